--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -22,13 +22,15 @@
   std::minstd_rand chance(1);
   const auto count = static_cast<std::size_t>(state.range(0));
   std::int64_t now_ms = 0;
-  for (std::size_t i = 0; i < count; ++i) arm(i, now_ms + 200 + static_cast<std::int64_t>(chance() % 5000));
+  for (std::size_t i = 0; i < count; ++i)
+    arm(i, now_ms + 200 + static_cast<std::int64_t>(chance() % 5000));
   std::size_t turn = 0;
   for (auto _ : state) {
     const auto i = chance() % count;
     disarm(i);
     arm(i, now_ms + 200 + static_cast<std::int64_t>(chance() % 5000));
-    if (++turn % 64 == 0) advance(++now_ms);
+    if (++turn % 64 == 0)
+      advance(++now_ms);
   }
   state.SetItemsProcessed(state.iterations());
 }
@@ -64,7 +66,8 @@
       },
       [&](std::size_t i) { ++generations[i]; },
       [&](std::int64_t ms) {
-        while (!heap.empty() && heap.top().due <= ms) heap.pop();
+        while (!heap.empty() && heap.top().due <= ms)
+          heap.pop();
       });
 }
 BENCHMARK(timers_heap)->Arg(1000)->Arg(100000);
@@ -73,7 +76,8 @@
   uv_loop_t loop;
   uv_loop_init(&loop);
   std::vector<uv_timer_t> timers(static_cast<std::size_t>(state.range(0)));
-  for (auto& timer : timers) uv_timer_init(&loop, &timer);
+  for (auto& timer : timers)
+    uv_timer_init(&loop, &timer);
   std::int64_t now = 0;
   churn(
       state,
@@ -83,7 +87,8 @@
       },
       [&](std::size_t i) { uv_timer_stop(&timers[i]); },
       [&](std::int64_t ms) { now = ms, uv_run(&loop, UV_RUN_NOWAIT); });
-  for (auto& timer : timers) uv_close(reinterpret_cast<uv_handle_t*>(&timer), nullptr);
+  for (auto& timer : timers)
+    uv_close(reinterpret_cast<uv_handle_t*>(&timer), nullptr);
   uv_run(&loop, UV_RUN_DEFAULT);
   uv_loop_close(&loop);
 }
@@ -93,7 +98,8 @@
   const http::Fields fields{{"CMCD-Object", "br=3200,d=4004,ot=v,tb=6000"},
                             {"CMCD-Request", "bl=21300,mtp=48100"},
                             {"CMCD-Session", "cid=\"faec5fc2\",sf=d,sid=\"6e2fb550-c457\",st=v"}};
-  for (auto _ : state) benchmark::DoNotOptimize(hints::read_cmcd(fields, "/a/b/r1/1.m4s"));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(hints::read_cmcd(fields, "/a/b/r1/1.m4s"));
 }
 BENCHMARK(read_hints);
 
@@ -123,12 +129,14 @@
         now, Request{id, 0, id % 100, now + 4s, std::nullopt, static_cast<int>(id % 8), 3, 1, nullptr});
     ServerId server = 0;
     for (const auto& order : orders) {
-      if (const auto* set_up = std::get_if<SetUp>(&order)) server = set_up->server;
+      if (const auto* set_up = std::get_if<SetUp>(&order))
+        server = set_up->server;
     }
     brain.handle(now, Started{id, server, 10ms});
     return std::pair(id, server);
   };
-  for (int i = 0; i < state.range(0); ++i) begin();
+  for (int i = 0; i < state.range(0); ++i)
+    begin();
   for (auto _ : state) {
     now += 1ms;
     const auto [id, server] = begin();
@@ -148,7 +156,8 @@
       const auto m = run_path(way, 64, 60'000, 8'000);
       std::printf("%-10s %12.0f %12.0f %12.0f %16.2f\n", name, m.per_second, m.median_us, m.p99_us,
                   m.front_cpu_us);
-      if (way == Way::relay) relay_cpu = m.front_cpu_us;
+      if (way == Way::relay)
+        relay_cpu = m.front_cpu_us;
       if (way == Way::manager)
         std::printf("%-10s the manager's own work is %.2f of the relay's (aim: under 0.5)\n", "",
                     m.front_cpu_us / relay_cpu - 1);
@@ -163,10 +172,13 @@
 
 int main(int count, char** words) {
   // One table alone, by its name.
-  if (count == 2 && std::string(words[1]) == "seats") return violettide::bench::seats_table(), 0;
-  if (count == 2 && std::string(words[1]) == "hls") return violettide::bench::hls_table(), 0;
+  if (count == 2 && std::string(words[1]) == "seats")
+    return violettide::bench::seats_table(), 0;
+  if (count == 2 && std::string(words[1]) == "hls")
+    return violettide::bench::hls_table(), 0;
   benchmark::Initialize(&count, words);
-  if (benchmark::ReportUnrecognizedArguments(count, words)) return 1;
+  if (benchmark::ReportUnrecognizedArguments(count, words))
+    return 1;
   benchmark::RunSpecifiedBenchmarks();
   violettide::bench::path_table();
   std::printf("\na set-up through the core, 10,000 playbacks open, so many catalogue changes before each\n");
--- a/bench/hls.cpp
+++ b/bench/hls.cpp
@@ -42,7 +42,8 @@
   double least = 1e9;
   for (int round = 0; round < 5; ++round) {
     const auto from = Clock::now();
-    for (std::size_t i = 0; i < times; ++i) run();
+    for (std::size_t i = 0; i < times; ++i)
+      run();
     least = std::min(least, since(from) / static_cast<double>(times));
   }
   return least;
@@ -66,7 +67,8 @@
         best(
             [&] {
               std::string came(older);
-              if (came == before.text) sum += std::string(before.text).size();
+              if (came == before.text)
+                sum += std::string(before.text).size();
             },
             times * 10),
         copy);
@@ -86,7 +88,8 @@
     row("read on", best([&] { write(media_of(newer, &before), false); }, times), copy);
     row("read whole", best([&] { write(media_of(newer), false); }, times), copy);
     row("whole, addressed", best([&] { write(media_of(newer), true); }, times), copy);
-    if (sum == 0) std::printf("nothing was written\n");
+    if (sum == 0)
+      std::printf("nothing was written\n");
   }
 }
 
@@ -172,9 +175,11 @@
       std::vector<Action> doing;
       doing.swap(actions_);
       for (auto& act : doing) {
-        if (const auto* dial = std::get_if<Dial>(&act)) hand(Connected{dial->link});
+        if (const auto* dial = std::get_if<Dial>(&act))
+          hand(Connected{dial->link});
         auto* send = std::get_if<Send>(&act);
-        if (!send) continue;
+        if (!send)
+          continue;
         if (send->link >= first_accepted) {
           got += send->bytes;
           hand(Flushed{send->link});
@@ -202,7 +207,8 @@
 void hls_table() {
   rewriting();
   std::printf("\nreload storms through the manager's core, one thread, no sockets\n");
-  for (const std::size_t window : {8, 200}) Storm(10'000, window).run(5);
+  for (const std::size_t window : {8, 200})
+    Storm(10'000, window).run(5);
 }
 
 }  // namespace violettide::bench
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -32,9 +32,11 @@
     happened(now, what, actions);
     if (now >= look_at_) {
       look_at_ = now + 20ms;
-      if (leave) actions.push_back(Leave{});
+      if (leave)
+        actions.push_back(Leave{});
     }
-    if (std::holds_alternative<Woken>(what) || !woken_) woken_ = true, actions.push_back(WakeAt{now + 20ms});
+    if (std::holds_alternative<Woken>(what) || !woken_)
+      woken_ = true, actions.push_back(WakeAt{now + 20ms});
   }
   virtual void happened(Span now, const IoEvent& what, std::vector<Action>& actions) = 0;
 
@@ -49,11 +51,13 @@
   QuickBox(std::size_t bytes) : object_(bytes, 'v') {}
   std::uint16_t port = 0;
   void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
-    if (const auto* ended = std::get_if<Ended>(&what)) readers_.erase(ended->link);
+    if (const auto* ended = std::get_if<Ended>(&what))
+      readers_.erase(ended->link);
     if (const auto* half = std::get_if<HalfClosed>(&what))
       actions.push_back(Close{half->link, false}), readers_.erase(half->link);
     const auto* received = std::get_if<Received>(&what);
-    if (!received) return;
+    if (!received)
+      return;
     auto& reader = readers_[received->link];
     reader.push(received->bytes);
     while (auto request = reader.next()) {
@@ -96,7 +100,8 @@
                      actions.push_back(Send{c.link, std::move(link.waiting)});
                    },
                    [&](const Received& r) {
-                     if (r.link >= first_accepted) return request(r.link, r.bytes, actions);
+                     if (r.link >= first_accepted)
+                       return request(r.link, r.bytes, actions);
                      auto& link = boxes_[r.link];
                      auto part = link.reader.push(r.bytes);
                      if (part.head) {
@@ -109,8 +114,10 @@
                        actions.push_back(Send{
                            link.viewer, http::head_text(part.head->status, fields, part.head->length, true)});
                      }
-                     if (!part.body.empty()) actions.push_back(Send{link.viewer, std::move(part.body)});
-                     if (part.done) idle_.push_back(r.link);
+                     if (!part.body.empty())
+                       actions.push_back(Send{link.viewer, std::move(part.body)});
+                     if (part.done)
+                       idle_.push_back(r.link);
                    },
                    [&](const HalfClosed& h) {
                      actions.push_back(Close{h.link, false}), viewers_.erase(h.link);
@@ -181,12 +188,15 @@
         links_[link], actions.push_back(Dial{link, "127.0.0.1", port_});
       return;
     }
-    if (const auto* connected = std::get_if<Connected>(&what)) return ask(connected->link, actions);
+    if (const auto* connected = std::get_if<Connected>(&what))
+      return ask(connected->link, actions);
     if (const auto* received = std::get_if<Received>(&what)) {
       auto& peer = links_[received->link];
       const auto part = peer.reader.push(received->bytes);
-      if (part.head && part.head->status != 200) ++failed;
-      if (!part.done) return;
+      if (part.head && part.head->status != 200)
+        ++failed;
+      if (!part.done)
+        return;
       times_us.push_back(
           std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - peer.sent).count());
       return ask(received->link, actions);
@@ -203,7 +213,8 @@
   };
   void ask(Link link, std::vector<Action>& actions) {
     if (left_ == 0) {
-      if (--connections_ == 0) actions.push_back(Leave{});
+      if (--connections_ == 0)
+        actions.push_back(Leave{});
       return;
     }
     --left_;
@@ -214,7 +225,8 @@
     said.object_duration = 1000;
     said.measured_throughput = 24000;
     http::Fields fields{{"Host", "x"}};
-    for (auto& field : hints::cmcd_headers(said)) fields.push_back(std::move(field));
+    for (auto& field : hints::cmcd_headers(said))
+      fields.push_back(std::move(field));
     peer.reader.expect(false);
     peer.sent = std::chrono::steady_clock::now();
     actions.push_back(Send{
@@ -272,7 +284,8 @@
   double front_cpu = 0;
   std::thread box_thread([&] { box_loop.run(); });
   std::thread front_thread([&] {
-    if (!front_loop) return;
+    if (!front_loop)
+      return;
     const double before = thread_cpu_us();
     front_loop->run();
     front_cpu = thread_cpu_us() - before;
@@ -285,14 +298,17 @@
   load_loop.run();
   const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
   box.leave = true;
-  if (front) front->leave = true;
+  if (front)
+    front->leave = true;
   box_thread.join();
   front_thread.join();
-  if (load.failed > 0) std::fprintf(stderr, "%zu requests failed\n", load.failed);
+  if (load.failed > 0)
+    std::fprintf(stderr, "%zu requests failed\n", load.failed);
   std::sort(load.times_us.begin(), load.times_us.end());
   Measured measured;
   const auto count = load.times_us.size();
-  if (count == 0) return measured;
+  if (count == 0)
+    return measured;
   measured.per_second = static_cast<double>(count) / took;
   measured.median_us = load.times_us[count / 2];
   measured.p99_us = load.times_us[count * 99 / 100];
@@ -326,9 +342,11 @@
       std::vector<Action> doing;
       doing.swap(actions);
       for (const auto& act : doing) {
-        if (const auto* dial = std::get_if<Dial>(&act)) front.handle(now, Connected{dial->link}, actions);
+        if (const auto* dial = std::get_if<Dial>(&act))
+          front.handle(now, Connected{dial->link}, actions);
         const auto* send = std::get_if<Send>(&act);
-        if (!send || send->link >= first_accepted) continue;
+        if (!send || send->link >= first_accepted)
+          continue;
         if (send->bytes.starts_with("HEAD"))
           front.handle(now, Received{send->link, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"}, actions);
         else
@@ -393,7 +411,8 @@
     std::vector<Action> doing;
     doing.swap(actions);
     for (const auto& act : doing) {
-      if (const auto* dial = std::get_if<Dial>(&act)) front.handle(now, Connected{dial->link}, actions);
+      if (const auto* dial = std::get_if<Dial>(&act))
+        front.handle(now, Connected{dial->link}, actions);
     }
     for (const auto& act : doing) {
       const auto* dial = std::get_if<Dial>(&act);
--- a/bench/seats.cpp
+++ b/bench/seats.cpp
@@ -37,16 +37,19 @@
       tokens.push_back(issuer.token(
           {"j" + std::to_string(i), "s" + std::to_string(i), "t", 5, now, now + 60s, Span(0), {}, {}}));
     auto from = Clock::now();
-    for (const auto& token : tokens) gate.judge(now, {token, "p", "t", "s"});
+    for (const auto& token : tokens)
+      gate.judge(now, {token, "p", "t", "s"});
     const double first = static_cast<double>(tokens.size()) / since(from);
     from = Clock::now();
     for (int round = 0; round < 20; ++round) {
-      for (const auto& token : tokens) gate.judge(now, {token, "p", "t", "s"});
+      for (const auto& token : tokens)
+        gate.judge(now, {token, "p", "t", "s"});
     }
     const double again = 20.0 * static_cast<double>(tokens.size()) / since(from);
     const auto bad = issuer.forged({"j", "s", "t", 5, now, now + 60s, Span(0), {}, {}});
     from = Clock::now();
-    for (int i = 0; i < 100'000; ++i) gate.judge(now, {bad, "p", "t", "s"});
+    for (int i = 0; i < 100'000; ++i)
+      gate.judge(now, {bad, "p", "t", "s"});
     std::printf("%s: verified %.0f, remembered %.0f, a bad one seen before %.0f\n", name, first, again,
                 100'000 / since(from));
   }
@@ -66,7 +69,8 @@
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
   std::vector<Ledger> ledgers;
   LedgerTerms terms;
-  for (Peer p = 0; p < managers; ++p) terms.peers.push_back("manager-" + std::to_string(p));
+  for (Peer p = 0; p < managers; ++p)
+    terms.peers.push_back("manager-" + std::to_string(p));
   for (Peer p = 0; p < managers; ++p) {
     terms.own = p;
     ledgers.emplace_back(terms, 1);
@@ -85,11 +89,14 @@
     due.push({at + watch, order++, to, Left{key}});
     asked[key] = at;
     auto& held = ideal[static_cast<std::size_t>(std::stoi(key.team.substr(5)))];
-    while (!held.empty() && *held.begin() <= at) held.erase(held.begin());
-    if (held.size() < static_cast<std::size_t>(seats)) held.insert(at + watch), ++central;
+    while (!held.empty() && *held.begin() <= at)
+      held.erase(held.begin());
+    if (held.size() < static_cast<std::size_t>(seats))
+      held.insert(at + watch), ++central;
   }
   for (Span at = 0s; at < length + 30s; at += 1s) {
-    for (Peer p = 0; p < managers; ++p) due.push({at, order++, p, Ticked{}});
+    for (Peer p = 0; p < managers; ++p)
+      due.push({at, order++, p, Ticked{}});
   }
   const auto from = Clock::now();
   std::size_t events = 0;
@@ -144,7 +151,8 @@
                                                  300s})
                      : ledger.handle(1s, Kept{ticket});
       for (const auto& act : actions) {
-        if (const auto* keep = std::get_if<KeepRecord>(&act)) ticket = keep->ticket;
+        if (const auto* keep = std::get_if<KeepRecord>(&act))
+          ticket = keep->ticket;
       }
     }
     ledger.handle(1s, Kept{ticket});
@@ -158,7 +166,8 @@
 void seats_table() {
   judging();
   std::printf("\n3,600 playbacks in 60 s, 20 teams of 50 seats; a message takes 0.5 ms, a disk 2 ms\n");
-  for (const Peer managers : {1, 3, 30, 300}) growth(managers);
+  for (const Peer managers : {1, 3, 30, 300})
+    growth(managers);
   state();
 }
 
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -44,7 +44,8 @@
     std::stable_sort(records_.begin(), records_.end(),
                      [](auto& a, auto& b) { return a.at_us() < b.at_us(); });
     const auto& plans = day_.deployment.front.plans;
-    for (std::size_t i = 0; i < plans.size(); ++i) plan_of_[plans[i].name] = i;
+    for (std::size_t i = 0; i < plans.size(); ++i)
+      plan_of_[plans[i].name] = i;
     gather();
   }
 
@@ -94,7 +95,8 @@
           lives_[record.manager()].push_back({record.at_us()});
           break;
         case Passed::KILLED:
-          if (auto& lives = lives_[record.manager()]; !lives.empty()) lives.back().to = record.at_us();
+          if (auto& lives = lives_[record.manager()]; !lives.empty())
+            lives.back().to = record.at_us();
           break;
         case Passed::STOOD_STILL:
           still_[record.manager()].push_back(
@@ -109,7 +111,8 @@
   void broke(int rule, std::uint64_t at, std::string what, std::vector<const Passed*> both = {}) {
     Broken broken{rule, at, std::move(what), {}};
     for (const auto* record : both) {
-      if (record) broken.both.push_back(*record);
+      if (record)
+        broken.both.push_back(*record);
     }
     verdict_.broken.push_back(std::move(broken));
   }
@@ -136,12 +139,14 @@
 
   void one_answer() {
     for (const auto& [trace, ask] : asks_) {
-      if (!ask.asked) continue;
+      if (!ask.asked)
+        continue;
       const auto& asked = *ask.asked;
       const auto until = asked.at_us() + micros(plan(asked).abandon) + answer_slack_us;
       std::vector<const Passed*> given;
       for (const auto* answer : ask.answers) {
-        if (answer->status() != 0) given.push_back(answer);
+        if (answer->status() != 0)
+          given.push_back(answer);
       }
       if (given.size() > 1)
         broke(1, given[1]->at_us(), "playback " + trace + " got " + std::to_string(given.size()) + " answers",
@@ -153,7 +158,8 @@
         continue;
       }
       const auto* end = !ask.answers.empty() ? ask.answers.front() : ask.left;
-      if (end && end->state() == "refused") continue;  // no manager took it: the connection was never made
+      if (end && end->state() == "refused")
+        continue;  // no manager took it: the connection was never made
       if (end && ran(asked.manager(), asked.at_us(), std::min(end->at_us(), until)))
         broke(1, end->at_us(),
               "playback " + trace + " got no answer from " + asked.manager() + ", which ran all the while",
@@ -185,9 +191,11 @@
           plan_terms(*ask.tries[0].came).pay_at_setup)
         broke(2, ask.tries[0].came->at_us(),
               "playback " + trace + " is paid at set-up and was set up unasked", {ask.tries[0].came});
-      if (!ask.asked || ask.tries.empty() || !plan_terms(*ask.asked).pay_at_setup) continue;
+      if (!ask.asked || ask.tries.empty() || !plan_terms(*ask.asked).pay_at_setup)
+        continue;
       for (const auto* answer : ask.answers) {
-        if (answer->status() != 503) continue;
+        if (answer->status() != 503)
+          continue;
         for (const auto& t : ask.tries) {
           if (!never_ran(t) && t.came->at_us() < answer->at_us())
             broke(2, answer->at_us(),
@@ -211,7 +219,8 @@
       } else if (record.kind() == Passed::TOLD) {
         auto& word = told[{record.manager(), record.box()}];
         const bool off = record.state() != "ready", was_off = !word.state.empty() && word.state != "ready";
-        if (!(off && was_off)) word.at = record.at_us();  // gone after draining began with the draining
+        if (!(off && was_off))
+          word.at = record.at_us();  // gone after draining began with the draining
         word.state = record.state();
       } else if (record.kind() == Passed::SET_UP) {
         const auto word = told.find({record.manager(), record.box()});
@@ -227,7 +236,8 @@
 
   void cold_pace() {
     const auto& site = day_.deployment.front.site;
-    if (site.cold_time.count() <= 0) return;
+    if (site.cold_time.count() <= 0)
+      return;
     struct Cold {
       std::uint64_t started = 0, down = 0;
       std::uint64_t number = 0;
@@ -235,25 +245,31 @@
     };
     std::map<std::string, Cold> cold;
     std::map<std::string, const standins::BoxTerms*> terms;
-    for (const auto& box : day_.boxes) terms[box.name] = &box;
+    for (const auto& box : day_.boxes)
+      terms[box.name] = &box;
     std::map<std::pair<std::string, std::string>, std::uint64_t> told,
         met;  // manager and box: incarnation; when it met a failure
     std::map<std::string, std::uint64_t> began;
     for (const auto& record : records_) {
       auto& box = cold[record.box()];
-      if (record.kind() == Passed::STARTED) began[record.manager()] = record.at_us();
-      if (record.kind() == Passed::TOLD) told[{record.manager(), record.box()}] = record.number();
+      if (record.kind() == Passed::STARTED)
+        began[record.manager()] = record.at_us();
+      if (record.kind() == Passed::TOLD)
+        told[{record.manager(), record.box()}] = record.number();
       if (record.kind() == Passed::TRY_ENDED && record.status() <= 0)
         met[{record.manager(), record.box()}] = record.at_us();
-      if (record.kind() == Passed::DOWN) box.down = record.at_us();
+      if (record.kind() == Passed::DOWN)
+        box.down = record.at_us();
       if (record.kind() == Passed::UP)
         box.started = record.at_us(), box.number = record.number(), box.set_ups.clear();
       if (record.kind() == Passed::FELL)
         broke(4, record.at_us(), record.box() + " fell over, pushed while cold", {&record});
-      if (record.kind() != Passed::SET_UP || box.number < 2 || !terms.contains(record.box())) continue;
+      if (record.kind() != Passed::SET_UP || box.number < 2 || !terms.contains(record.box()))
+        continue;
       const double age =
           static_cast<double>(record.at_us() - box.started) / static_cast<double>(micros(site.cold_time));
-      if (age >= 1) continue;
+      if (age >= 1)
+        continue;
       std::erase_if(box.set_ups,
                     [&](auto* r) { return r->at_us() + micros(day_.deployment.fall) <= record.at_us(); });
       box.set_ups.push_back(&record);
@@ -263,13 +279,15 @@
                               site.overload_multiple *
                               (static_cast<double>(micros(day_.deployment.fall)) / 1e6) +
                           cold_slack;
-      if (static_cast<double>(box.set_ups.size()) <= most) continue;
+      if (static_cast<double>(box.set_ups.size()) <= most)
+        continue;
       std::size_t knew = 0;
       for (const auto* sent : box.set_ups) {
         const std::pair key(sent->manager(), sent->box());
         const bool was_told = told.contains(key) && told[key] >= box.number;
         const bool witness = met.contains(key) && met[key] >= box.down;
-        if (was_told || witness || began[sent->manager()] >= box.started) ++knew;
+        if (was_told || witness || began[sent->manager()] >= box.started)
+          ++knew;
       }
       if (2 * knew > box.set_ups.size())
         broke(4, record.at_us(),
@@ -288,7 +306,8 @@
         trace_of_sid[record.sid()] = record.trace();
       if (record.kind() == Passed::OBJECT && (record.status() == 200 || record.status() == 206))
         last_object[trace_of_sid[record.sid()]] = record.at_us();
-      if (record.kind() != Passed::SET_UP && record.kind() != Passed::SERVED) continue;
+      if (record.kind() != Passed::SET_UP && record.kind() != Passed::SERVED)
+        continue;
       if (record.rung() >= 0 && record.rung() < plan_terms(record).floor)
         broke(5, record.at_us(),
               "playback " + record.trace() + " was set to rung " + std::to_string(record.rung()) +
@@ -303,7 +322,8 @@
     std::map<std::string, std::vector<Step>> held;
     for (const auto& [trace, ask] : asks_) {
       for (const auto& t : ask.tries) {
-        if (plan_terms(*t.came).seats <= 0 || !t.ended) continue;
+        if (plan_terms(*t.came).seats <= 0 || !t.ended)
+          continue;
         auto until = t.ended->at_us();
         // Held for as long as objects surely passed: what a viewer hid from the manager counts for the
         // manager.
@@ -330,7 +350,8 @@
   void budget() {
     const auto& site = day_.deployment.front.site;
     const auto window = micros(site.budget_window);
-    if (window == 0) return;
+    if (window == 0)
+      return;
     std::map<std::string, std::vector<std::uint64_t>> taken, further;
     for (const auto& [trace, ask] : asks_) {
       if (ask.asked)
@@ -362,11 +383,15 @@
     std::map<std::tuple<std::string, std::string, std::string>, std::uint64_t> unlisted;  // since when
     for (const auto& record : records_) {
       const std::tuple key(record.manager(), record.title(), record.box());
-      if (record.kind() == Passed::LISTED) unlisted.erase(key);
-      if (record.kind() == Passed::UNLISTED) unlisted.try_emplace(key, record.at_us());
-      if (record.kind() != Passed::SET_UP) continue;
+      if (record.kind() == Passed::LISTED)
+        unlisted.erase(key);
+      if (record.kind() == Passed::UNLISTED)
+        unlisted.try_emplace(key, record.at_us());
+      if (record.kind() != Passed::SET_UP)
+        continue;
       const auto found = unlisted.find(key);
-      if (found == unlisted.end() || record.at_us() <= found->second + kept_slack_us) continue;
+      if (found == unlisted.end() || record.at_us() <= found->second + kept_slack_us)
+        continue;
       broke(7, record.at_us(),
             record.manager() + " sent playback " + record.trace() + " of " + record.title() + " to " +
                 record.box() + ", which the catalogue no longer lists",
@@ -377,7 +402,8 @@
   // Seats of teams over all managers, told as rule 9: from a playback's answer to its last object it surely
   // has one, and no more of a team are had at once than there are.
   void seats() {
-    if (!day_.deployment.front.entitlement.on) return;
+    if (!day_.deployment.front.entitlement.on)
+      return;
     struct Playing {
       std::string team;
       std::uint64_t from = 0, to = 0;
@@ -387,7 +413,8 @@
     std::map<std::string, std::vector<std::pair<std::uint64_t, int>>> steps;
     std::map<std::string, std::string> team_of;
     const auto over = [&](const Playing& playing) {
-      if (playing.from == 0 || playing.to <= playing.from) return;
+      if (playing.from == 0 || playing.to <= playing.from)
+        return;
       steps[playing.team].emplace_back(playing.from, 1);
       steps[playing.team].emplace_back(playing.to, -1);
     };
@@ -406,7 +433,8 @@
         now[record.sid()].to = record.at_us();
       }
     }
-    for (const auto& [sid, playing] : now) over(playing);
+    for (const auto& [sid, playing] : now)
+      over(playing);
     for (const auto& record : records_) {
       if (record.kind() == Passed::LEAKED)
         broke(9, record.at_us(), record.manager() + " kept an odd seat: " + record.state(), {&record});
@@ -438,11 +466,13 @@
     const auto& front = day_.deployment.front;
     verdict_.plans.resize(front.plans.size());
     std::vector<std::set<std::uint64_t>> seen(front.plans.size());
-    for (std::size_t i = 0; i < front.plans.size(); ++i) verdict_.plans[i].plan = front.plans[i].name;
+    for (std::size_t i = 0; i < front.plans.size(); ++i)
+      verdict_.plans[i].plan = front.plans[i].name;
     const auto length = static_cast<double>(front.object_length.count()) / 1e6;
     for (const auto& record : records_) {
       const auto found = plan_of_.find(record.plan());
-      if (found == plan_of_.end()) continue;
+      if (found == plan_of_.end())
+        continue;
       auto& sum = verdict_.plans[found->second];
       const auto& site = front.site;
       const double worth = site.plans[found->second].revenue;
@@ -450,10 +480,12 @@
         sum.offered += record.value() * worth * site.rung_revenue[record.rung()];
       if (record.kind() == Passed::OBJECT && (record.status() == 200 || record.status() == 206))
         sum.earned += length * worth * site.rung_revenue[record.rung()];
-      if (record.kind() == Passed::SET_UP) ++sum.tries, ++verdict_.set_ups;
+      if (record.kind() == Passed::SET_UP)
+        ++sum.tries, ++verdict_.set_ups;
     }
     for (const auto& [trace, ask] : asks_) {
-      if (!ask.asked) continue;
+      if (!ask.asked)
+        continue;
       auto& sum = verdict_.plans[plan_of_.at(ask.asked->plan())];
       ++sum.asked;
       ++verdict_.asks;
@@ -472,7 +504,8 @@
       else
         ++sum.abandoned;
     }
-    for (std::size_t i = 0; i < seen.size(); ++i) verdict_.plans[i].viewers = seen[i].size();
+    for (std::size_t i = 0; i < seen.size(); ++i)
+      verdict_.plans[i].viewers = seen[i].size();
   }
 
   const standins::Day& day_;
@@ -529,13 +562,16 @@
                               : "seats, told as rule",
                   rule, count == 0 ? "kept\n" : "");
     text += line;
-    if (count > 0) text += "BROKEN " + std::to_string(count) + " times\n";
+    if (count > 0)
+      text += "BROKEN " + std::to_string(count) + " times\n";
   }
   std::size_t told = 0;
   for (const auto& broken : verdict.broken) {
-    if (++told > 20) break;
+    if (++told > 20)
+      break;
     text += "  rule " + std::to_string(broken.rule) + ": " + broken.what + "\n";
-    for (const auto& record : broken.both) text += "      " + text_of(record) + "\n";
+    for (const auto& record : broken.both)
+      text += "      " + text_of(record) + "\n";
   }
   text += std::string("verdict: ") + (verdict.kept() ? "all rules kept" : "RULES BROKEN") + ", " +
           std::to_string(verdict.asks) + " playbacks asked, " + std::to_string(verdict.set_ups) +
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -12,22 +12,34 @@
 LoadReport report_of(Fields& fields) { return load_report(load_values(fields.text("a load report"))); }
 
 Outcome outcome_of(std::string_view code) {
-  if (code == "GOOD") return Outcome::served;
-  if (code == "BAD") return Outcome::error;
-  if (code == "FULL") return Outcome::full;
-  if (code == "LATE") return Outcome::late;
-  if (code == "NOCONN") return Outcome::no_connection;
-  if (code == "RST") return Outcome::reset;
-  if (code == "CXL") return Outcome::cancelled;
-  if (code == "NOP") return Outcome::not_sent;
+  if (code == "GOOD")
+    return Outcome::served;
+  if (code == "BAD")
+    return Outcome::error;
+  if (code == "FULL")
+    return Outcome::full;
+  if (code == "LATE")
+    return Outcome::late;
+  if (code == "NOCONN")
+    return Outcome::no_connection;
+  if (code == "RST")
+    return Outcome::reset;
+  if (code == "CXL")
+    return Outcome::cancelled;
+  if (code == "NOP")
+    return Outcome::not_sent;
   throw Malformed("outcome '" + std::string(code) + "': expected one of the wire's outcomes");
 }
 
 Note::About subject_of(std::int64_t sort) {
-  if (sort == 1) return Note::About::share;
-  if (sort == 2) return Note::About::rung;
-  if (sort == 3) return Note::About::link_fill;
-  if (sort == 4) return Note::About::uplink_fill;
+  if (sort == 1)
+    return Note::About::share;
+  if (sort == 2)
+    return Note::About::rung;
+  if (sort == 3)
+    return Note::About::link_fill;
+  if (sort == 4)
+    return Note::About::uplink_fill;
   throw Malformed("note of kind " + std::to_string(sort) + ": expected 1 to 4");
 }
 
@@ -39,7 +51,8 @@
 ServerId Instance::server(std::string_view wire_id) {
   const auto [found, fresh] =
       servers_.try_emplace(std::string(wire_id), static_cast<ServerId>(server_names_.size()));
-  if (fresh) server_names_.emplace_back(wire_id);
+  if (fresh)
+    server_names_.emplace_back(wire_id);
   return found->second;
 }
 
@@ -56,7 +69,8 @@
 
 std::optional<PlaybackId> Instance::known(std::string_view wire_id) const {
   const auto found = playbacks_.find(std::string(wire_id));
-  if (found == playbacks_.end()) return std::nullopt;
+  if (found == playbacks_.end())
+    return std::nullopt;
   return found->second;
 }
 
@@ -69,7 +83,8 @@
 
 void Instance::forget_if_done(PlaybackId playback) {
   const auto found = doors_.find(playback);
-  if (found == doors_.end() || found->second.open || found->second.tries_out > 0) return;
+  if (found == doors_.end() || found->second.open || found->second.tries_out > 0)
+    return;
   playbacks_.erase(found->second.wire_id);
   doors_.erase(found);
 }
@@ -77,7 +92,8 @@
 void Instance::feed(int number, Span now, const Event& event, std::string& reply) {
   std::string lines;
   try {
-    for (const auto& order : brain_.handle(now, event)) lines += encode(number, order);
+    for (const auto& order : brain_.handle(now, event))
+      lines += encode(number, order);
   } catch (const std::exception& error) {
     lines = "DIE " + std::to_string(number) + " " + error.what() + "\n";
   }
@@ -117,7 +133,8 @@
 
 std::optional<std::string> Link::take(std::string_view line) {
   if (!in_batch_) {
-    if (line.empty()) return std::nullopt;
+    if (line.empty())
+      return std::nullopt;
     Fields fields(line);
     if (fields.name() != "BEGIN_BATCH") {
       throw Malformed("malformed line '" + std::string(line.substr(0, 200)) + "': expected BEGIN_BATCH");
@@ -132,7 +149,8 @@
     event(line);
     return std::nullopt;
   }
-  if (entries_due_ > 0) throw Malformed("line 'YOUR_TURN': expected an ITEM of the table begun before");
+  if (entries_due_ > 0)
+    throw Malformed("line 'YOUR_TURN': expected an ITEM of the table begun before");
   in_batch_ = false;
   return reply_ + "OK\n";
 }
@@ -144,14 +162,16 @@
     throw Malformed("malformed line '" + std::string(line.substr(0, 200)) + "': expected " +
                     (entries_due_ > 0 ? "an ITEM of the table begun before" : "a TABLE before its ITEMs"));
   }
-  if (name == "ITEM") return add_entry(fields);
+  if (name == "ITEM")
+    return add_entry(fields);
   if (name == "TABLE") {
     const auto page = fields.integer("a list number from 0 to 15");
     if (page < 0 || page > 15)
       throw Malformed("malformed line '" + std::string(line) + "': expected 0 to 15");
     page_ = static_cast<std::size_t>(page);
     entries_due_ = fields.integer("the number of entries");
-    if (entries_due_ < 0) throw Malformed("malformed line '" + std::string(line) + "': expected a count");
+    if (entries_due_ < 0)
+      throw Malformed("malformed line '" + std::string(line) + "': expected a count");
     fields.end();
     pages_[page_].clear();
     return;
@@ -176,10 +196,12 @@
   const auto found = instances_.find(number);
   Instance stranger(clock_, 0, Pairs(""));  // lines for no instance are still read, then ignored
   auto& instance = found == instances_.end() ? stranger : found->second;
-  if (name == "ANNOUNCE") return announce(number, instance, fields);
+  if (name == "ANNOUNCE")
+    return announce(number, instance, fields);
   const auto event = decode(instance, fields);
   fields.end();
-  if (event && &instance != &stranger) instance.feed(number, instance.since_start(clock_), *event, reply_);
+  if (event && &instance != &stranger)
+    instance.feed(number, instance.since_start(clock_), *event, reply_);
 }
 
 void Link::add_entry(Fields& fields) {
@@ -207,10 +229,13 @@
   fields.maybe_integer("a list version");
   const auto mode = fields.integer("a kind of list");
   fields.end();
-  if (mode < 0 || mode > 3) throw Malformed("list of kind " + std::to_string(mode) + ": expected 0 to 3");
+  if (mode < 0 || mode > 3)
+    throw Malformed("list of kind " + std::to_string(mode) + ": expected 0 to 3");
   const auto now = instance.since_start(clock_);
-  if (mode == 3) return instance.feed(number, now, ListFailed{}, reply_);
-  if (page < 0 || page > 15) throw Malformed("list number " + std::to_string(page) + ": expected 0 to 15");
+  if (mode == 3)
+    return instance.feed(number, now, ListFailed{}, reply_);
+  if (page < 0 || page > 15)
+    throw Malformed("list number " + std::to_string(page) + ": expected 0 to 15");
   ServerList list;
   list.reach = mode == 0   ? ServerList::Reach::changes
                : mode == 1 ? ServerList::Reach::complete
@@ -239,19 +264,22 @@
   request.holders = static_cast<int>(fields.maybe_number("a count of holders").value_or(1));
   request.top = static_cast<int>(fields.maybe_number("the best rung").value_or(0));
   const auto options = fields.maybe_integer("options").value_or(0);
-  if (length && (options & hint_is_valid)) request.length = Span(*length);
+  if (length && (options & hint_is_valid))
+    request.length = Span(*length);
   request.playback = instance.admit(ref, tries_out);
   return request;
 }
 
 std::optional<Event> Link::decode(Instance& instance, Fields& fields) {
   const auto name = fields.name();
-  if (name == "REQ") return request(instance, fields, 0);
+  if (name == "REQ")
+    return request(instance, fields, 0);
   if (name == "CARRIED") {
     auto open = request(instance, fields, 1);
     return CarriedOver{open, instance.server(fields.text("a video server"))};
   }
-  if (name == "ALARM") return TimerRang{static_cast<std::uint32_t>(fields.integer("a timer's token"))};
+  if (name == "ALARM")
+    return TimerRang{static_cast<std::uint32_t>(fields.integer("a timer's token"))};
   if (name == "WHISPER") {
     fields.integer("a sender");
     fields.text("a payload");
@@ -267,7 +295,8 @@
   }
   const auto known = instance.known(fields.text("a request id"));
   if (name == "WITHDRAWN") {
-    if (!known) return std::nullopt;
+    if (!known)
+      return std::nullopt;
     instance.end(*known);
     return Withdrawn{*known};
   }
@@ -277,7 +306,8 @@
     note.server = instance.server(fields.text("a video server"));
     note.about = subject_of(fields.integer("a kind of note"));
     note.value = fields.number("a value");
-    if (!known) return std::nullopt;
+    if (!known)
+      return std::nullopt;
     note.playback = *known;
     return note;
   }
@@ -286,7 +316,8 @@
     Started started;
     started.server = instance.server(fields.text("a video server"));
     started.waited = Span(fields.integer("a time"));
-    if (!known) return std::nullopt;
+    if (!known)
+      return std::nullopt;
     started.playback = *known;
     return started;
   }
@@ -298,10 +329,12 @@
     fields.integer("a try's number");
     ended.server = instance.server(fields.text("a video server"));
     ended.load = report_of(fields);
-    if (!known) return std::nullopt;
+    if (!known)
+      return std::nullopt;
     ended.playback = *known;
     instance.try_ended(*known);
-    if (ended.over) instance.end(*known);
+    if (ended.over)
+      instance.end(*known);
     return ended;
   }
   throw Malformed("malformed line: message '" + std::string(name) + "' is none of the wire's events");
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -11,8 +11,10 @@
   std::string line;
   try {
     while (std::getline(std::cin, line)) {
-      if (!line.empty() && line.back() == '\r') line.pop_back();
-      if (const auto reply = link.take(line)) std::cout << *reply << std::flush;
+      if (!line.empty() && line.back() == '\r')
+        line.pop_back();
+      if (const auto reply = link.take(line))
+        std::cout << *reply << std::flush;
     }
   } catch (const std::exception& error) {
     std::cerr << "violettide_benchlink: " << error.what() << '\n';
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -11,46 +11,55 @@
 }
 
 std::string_view Fields::text(const char* what) {
-  if (!more_) expected(what);
+  if (!more_)
+    expected(what);
   const auto cut = left_.find(' ');
   const auto part = left_.substr(0, cut);
   more_ = cut != std::string_view::npos;
   left_ = more_ ? left_.substr(cut + 1) : std::string_view{};
-  if (part.empty()) expected(what);
+  if (part.empty())
+    expected(what);
   return part;
 }
 
 std::optional<std::int64_t> Fields::maybe_integer(const char* what) {
   const auto part = text(what);
-  if (part == "-") return std::nullopt;
+  if (part == "-")
+    return std::nullopt;
   const auto value = read_number<std::int64_t>(part);
-  if (!value) expected(what);
+  if (!value)
+    expected(what);
   return value;
 }
 
 std::int64_t Fields::integer(const char* what) {
   const auto value = maybe_integer(what);
-  if (!value) expected(what);
+  if (!value)
+    expected(what);
   return *value;
 }
 
 std::optional<double> Fields::maybe_number(const char* what) {
   const auto part = text(what);
-  if (part == "-") return std::nullopt;
+  if (part == "-")
+    return std::nullopt;
   const auto value = read_number<double>(part);
-  if (!value) expected(what);
+  if (!value)
+    expected(what);
   return value;
 }
 
 double Fields::number(const char* what) {
   const auto value = maybe_number(what);
-  if (!value) expected(what);
+  if (!value)
+    expected(what);
   return *value;
 }
 
 bool Fields::flag(const char* what) {
   const auto value = integer(what);
-  if (value != 0 && value != 1) expected(what);
+  if (value != 0 && value != 1)
+    expected(what);
   return value == 1;
 }
 
@@ -60,7 +69,8 @@
 }
 
 void Fields::end() {
-  if (more_) expected("the end of the line");
+  if (more_)
+    expected("the end of the line");
 }
 
 std::map<std::string, double> load_values(std::string_view text) {
--- a/src/boxlist/boxlist.cpp
+++ b/src/boxlist/boxlist.cpp
@@ -26,8 +26,10 @@
 Value need(const Json& from, const char* key, const std::string& place, const char* expected,
            bool (Json::*is)() const noexcept) {
   const auto found = from.find(key);
-  if (found == from.end()) throw Missing{{place + "." + key, std::string("missing: expected ") + expected}};
-  if (!((*found).*is)()) throw Missing{{place + "." + key, std::string("expected ") + expected}};
+  if (found == from.end())
+    throw Missing{{place + "." + key, std::string("missing: expected ") + expected}};
+  if (!((*found).*is)())
+    throw Missing{{place + "." + key, std::string("expected ") + expected}};
   return found->get<Value>();
 }
 
@@ -46,12 +48,14 @@
 
 std::optional<ServerId> BoxList::find(std::string_view name) const {
   const auto found = by_name_.find(name);
-  if (found == by_name_.end()) return std::nullopt;
+  if (found == by_name_.end())
+    return std::nullopt;
   return found->second;
 }
 
 ServerId BoxList::index(std::string_view name) {
-  if (const auto known = find(name)) return *known;
+  if (const auto known = find(name))
+    return *known;
   const auto id = static_cast<ServerId>(boxes_.size());
   boxes_.emplace_back().name = name;
   started_.emplace_back();
@@ -70,18 +74,22 @@
     return Fault{"list", "a number beyond all bounds"};
   }
   try {
-    if (!json.is_object()) return Fault{"list", "expected an object"};
+    if (!json.is_object())
+      return Fault{"list", "expected an object"};
     revision = need<std::int64_t>(json, "revision", "list", "a whole number", &Json::is_number_integer);
     clock = need<std::int64_t>(json, "clock_ms", "list", "a whole number", &Json::is_number_integer);
-    if (clock < 0 || clock > latest_ms) return Fault{"list.clock_ms", "expected a time in ms"};
+    if (clock < 0 || clock > latest_ms)
+      return Fault{"list.clock_ms", "expected a time in ms"};
     const auto found = json.find("boxes");
-    if (found == json.end() || !found->is_array()) return Fault{"list.boxes", "expected an array"};
+    if (found == json.end() || !found->is_array())
+      return Fault{"list.boxes", "expected an array"};
     std::vector<Entry> entries;
     std::map<std::string, std::size_t> names;
     for (std::size_t i = 0; i < found->size(); ++i) {
       const auto& box = (*found)[i];
       const auto place = "boxes[" + std::to_string(i) + "]";
-      if (!box.is_object()) return Fault{place, "expected an object"};
+      if (!box.is_object())
+        return Fault{place, "expected an object"};
       Entry entry;
       entry.name = need<std::string>(box, "name", place, "a string", &Json::is_string);
       entry.address = need<std::string>(box, "address", place, "a string", &Json::is_string);
@@ -89,7 +97,8 @@
       if (inet_pton(AF_INET, entry.address.c_str(), &numbers) != 1)
         return Fault{place + ".address", "expected an IPv4 address in numbers"};
       const auto port = need<std::int64_t>(box, "port", place, "a port", &Json::is_number_integer);
-      if (port < 1 || port > 65535) return Fault{place + ".port", "expected 1 to 65535"};
+      if (port < 1 || port > 65535)
+        return Fault{place + ".port", "expected 1 to 65535"};
       entry.port = static_cast<std::uint16_t>(port);
       const auto state = need<std::string>(box, "state", place, "ready, draining or gone", &Json::is_string);
       if (state == "ready")
@@ -104,16 +113,19 @@
       entry.cell = need<int>(box, "cell", place, "a whole number", &Json::is_number_integer);
       const auto hall = need<std::string>(box, "hall", place, "a hall's name", &Json::is_string);
       const auto at = std::find(halls_.begin(), halls_.end(), hall);
-      if (at == halls_.end()) return Fault{place + ".hall", "no hall of that name in the settings"};
+      if (at == halls_.end())
+        return Fault{place + ".hall", "no hall of that name in the settings"};
       entry.hall = static_cast<int>(at - halls_.begin());
       entry.weight = need<double>(box, "weight", place, "a number", &Json::is_number);
-      if (!(entry.weight > 0)) return Fault{place + ".weight", "expected more than 0"};
+      if (!(entry.weight > 0))
+        return Fault{place + ".weight", "expected more than 0"};
       if (box.contains("started_ms"))
         entry.started =
             need<std::int64_t>(box, "started_ms", place, "a time in ms", &Json::is_number_integer);
       if (entry.started < 0 || entry.started > latest_ms)
         return Fault{place + ".started_ms", "expected a time in ms"};
-      if (entry.name.empty()) return Fault{place + ".name", "expected some text"};
+      if (entry.name.empty())
+        return Fault{place + ".name", "expected some text"};
       if (const auto [other, fresh] = names.try_emplace(entry.name, i); !fresh)
         return Fault{place + ".name", "the same as boxes[" + std::to_string(other->second) + "].name"};
       entries.push_back(std::move(entry));
@@ -130,7 +142,8 @@
   const bool fresh = box.port == 0;  // named by others at most
   const bool elsewhere = !fresh && (box.address != entry.address || box.port != entry.port);
   const bool anew = entry.started != 0 && entry.started != box.incarnation;
-  if (elsewhere || (!fresh && anew && box.incarnation != 0)) news.moved.push_back(id);
+  if (elsewhere || (!fresh && anew && box.incarnation != 0))
+    news.moved.push_back(id);
   // The list's clock is another: a start is mapped to ours once and kept, as a start that moved by the
   // list's way here would read as a new start each time.
   if (anew && !cached)
@@ -153,7 +166,8 @@
   // Guards against a list service that fell behind its own word: a drain once told stays told. One that
   // began again, with a lower count, says drains too: those count at once, and all of it after a while.
   if (revision < revision_) {
-    if (!older_since_) older_since_ = now;
+    if (!older_since_)
+      older_since_ = now;
     if (now - *older_since_ < begins_again) {
       news.remark = "older than the list held: only its drains count";
       take_drains(now, read_entries, clock, news);
@@ -163,12 +177,15 @@
     older_since_.reset();
   }
   std::map<std::string_view, bool> named;
-  for (const auto& entry : read_entries) named[entry.name] = true;
+  for (const auto& entry : read_entries)
+    named[entry.name] = true;
   std::size_t ready = 0, dropped = 0;
   for (const auto& box : boxes_) {
-    if (box.standing != Standing::ready) continue;
+    if (box.standing != Standing::ready)
+      continue;
     ++ready;
-    if (!named.contains(box.name)) ++dropped;
+    if (!named.contains(box.name))
+      ++dropped;
   }
   // Guards against an empty or cut list taking the whole fleet away. What it names still counts.
   const bool shrinks =
@@ -182,10 +199,12 @@
     revision_ = revision;
   if (!hold) {
     for (auto& box : boxes_) {
-      if (!named.contains(box.name)) box.standing = Standing::gone;
+      if (!named.contains(box.name))
+        box.standing = Standing::gone;
     }
   }
-  for (const auto& entry : read_entries) put(now, entry, clock, false, news);
+  for (const auto& entry : read_entries)
+    put(now, entry, clock, false, news);
   return news;
 }
 
@@ -194,10 +213,13 @@
   news.list = ServerList{ServerList::Reach::changes, {}};
   for (const auto& entry : entries) {
     const auto known = find(entry.name);
-    if (!known || entry.standing == Standing::ready || boxes_[*known].standing != Standing::ready) continue;
-    if (entry.started == boxes_[*known].incarnation) put(now, entry, clock, false, news);
+    if (!known || entry.standing == Standing::ready || boxes_[*known].standing != Standing::ready)
+      continue;
+    if (entry.started == boxes_[*known].incarnation)
+      put(now, entry, clock, false, news);
   }
-  if (news.list->entries.empty()) news.list.reset();
+  if (news.list->entries.empty())
+    news.list.reset();
 }
 
 News BoxList::take_cached(Span now, std::string_view json) {
@@ -209,7 +231,8 @@
     return news;
   }
   news.list = ServerList{ServerList::Reach::cached, {}};
-  for (const auto& entry : std::get<std::vector<Entry>>(entries)) put(now, entry, clock, true, news);
+  for (const auto& entry : std::get<std::vector<Entry>>(entries))
+    put(now, entry, clock, true, news);
   return news;
 }
 
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -34,25 +34,25 @@
 // a front may ask before it fills room, and where it hears only what all hear.
 constexpr double reserve_asked = 0.25;
 constexpr double reserve_told = 0.4;
-constexpr double unheard_fill = 0.85;     // of a link, by the others, before any report
-constexpr double share_memory = 6;        // the share's mean reaches back so many note lags
-constexpr double uplink_memory = 10;      // likewise what an uplink was seen to give
-constexpr int report_memory = 10;         // a report is trusted so many note spacings
-constexpr double caution = 0.7;           // deviations by which a server without reports counts as fuller
-constexpr double rise_spacing = 10;       // a playback's rises lie so many switch costs apart at least
-constexpr double rise_payoff = 8;         // a rise earns so many times its price
-constexpr double pace_kept = 0.8;         // part of a cold server's pace that all fronts take together
-constexpr double earned_weight = 0.1;     // of the latest request in what requests earn
-constexpr double probe_spending = 0.03;   // part of the revenue that probes may cost
-constexpr int most_probes = 2;            // before one set-up
-constexpr double fresh_part = 0.25;       // of a report's memory: so long it needs no probe
+constexpr double unheard_fill = 0.85;    // of a link, by the others, before any report
+constexpr double share_memory = 6;       // the share's mean reaches back so many note lags
+constexpr double uplink_memory = 10;     // likewise what an uplink was seen to give
+constexpr int report_memory = 10;        // a report is trusted so many note spacings
+constexpr double caution = 0.7;          // deviations by which a server without reports counts as fuller
+constexpr double rise_spacing = 10;      // a playback's rises lie so many switch costs apart at least
+constexpr double rise_payoff = 8;        // a rise earns so many times its price
+constexpr double pace_kept = 0.8;        // part of a cold server's pace that all fronts take together
+constexpr double earned_weight = 0.1;    // of the latest request in what requests earn
+constexpr double probe_spending = 0.03;  // part of the revenue that probes may cost
+constexpr int most_probes = 2;           // before one set-up
+constexpr double fresh_part = 0.25;      // of a report's memory: so long it needs no probe
 constexpr double most_probes_due = 4;
 constexpr double first_try_share = 0.45;  // part of the time to the startup target that one try may take
 constexpr double first_rest = 1;          // a failing server rests so many startup targets, doubling
 constexpr double come_back_part = 0.5;    // of the longest come-back time
 constexpr Span first_life = 30s;          // how long playbacks last until this front knows
 constexpr double first_lives = 10;        // so many lives of its own count as much as that
-constexpr double fill_most = 20;  // of a link or an uplink: a report beyond says no more
+constexpr double fill_most = 20;          // of a link or an uplink: a report beyond says no more
 constexpr Span tick = 250ms;
 constexpr std::uint32_t tick_token = 1;
 
@@ -69,7 +69,8 @@
 
 // Guards against figures that are none, or beyond all sense: one would stay in a mean for good.
 std::optional<double> sane(std::optional<double> told, double most) {
-  if (!told || !std::isfinite(*told)) return std::nullopt;
+  if (!told || !std::isfinite(*told))
+    return std::nullopt;
   return std::clamp(*told, 0.0, most);
 }
 
@@ -239,10 +240,13 @@
   Mind(SiteTerms terms, std::uint64_t seed) : terms_(std::move(terms)) {
     chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
     // Absent or nonsensical settings still give one of each, and floors on the ladder.
-    if (terms_.rung_kb.empty()) terms_.rung_kb = {1};
-    if (terms_.plans.empty()) terms_.plans.emplace_back();
+    if (terms_.rung_kb.empty())
+      terms_.rung_kb = {1};
+    if (terms_.plans.empty())
+      terms_.plans.emplace_back();
     const int last = static_cast<int>(terms_.rung_kb.size()) - 1;
-    for (auto& plan : terms_.plans) plan.floor = std::clamp(plan.floor, 0, last);
+    for (auto& plan : terms_.plans)
+      plan.floor = std::clamp(plan.floor, 0, last);
     terms_.rung_revenue.resize(terms_.rung_kb.size(), 1);
     terms_.fronts = std::max(1, terms_.fronts);
     const auto fronts = static_cast<std::size_t>(terms_.fronts);
@@ -255,7 +259,8 @@
   std::vector<Order> handle(Span now, const Event& event) {
     now_ = now;
     orders_.clear();
-    if (!ticking_) start_ticking();
+    if (!ticking_)
+      start_ticking();
     std::visit([this](const auto& what) { on(what); }, event);
     return std::move(orders_);
   }
@@ -264,9 +269,11 @@
   // ---- what happened ----
   void on(const ServerList& list) {
     if (list.reach != ServerList::Reach::changes) {
-      for (auto& server : servers_) server.standing = Standing::gone;
+      for (auto& server : servers_)
+        server.standing = Standing::gone;
     }
-    for (const auto& entry : list.entries) take_entry(entry);
+    for (const auto& entry : list.entries)
+      take_entry(entry);
     arrange();
   }
 
@@ -276,8 +283,10 @@
   bool is_known(const Request& request) const { return playbacks_.contains(request.playback); }
 
   void on(const Request& request) {
-    if (is_known(request)) return;
-    if (terms_.budget_window > 0s) taken_.push_back(now_);
+    if (is_known(request))
+      return;
+    if (terms_.budget_window > 0s)
+      taken_.push_back(now_);
     forget_old_tries();
     probes_due_ = std::min(probes_due_ + probes_per_playback(), most_probes_due);
     auto& playback = admit(request);
@@ -290,13 +299,16 @@
   // A request that waits is placed by its new holders at once, so that it is not held back for none.
   void on(const HoldersChanged& what) {
     const auto found = playbacks_.find(what.playback);
-    if (found == playbacks_.end()) return;
+    if (found == playbacks_.end())
+      return;
     found->second.request.listed = what.listed;
-    if (found->second.state == Playback::State::waiting) place(found->second);
+    if (found->second.state == Playback::State::waiting)
+      place(found->second);
   }
 
   void on(const CarriedOver& carried) {
-    if (is_known(carried.request)) return;
+    if (is_known(carried.request))
+      return;
     auto& playback = admit(carried.request);
     playback.state = Playback::State::playing;
     playback.tries = 1;
@@ -306,15 +318,19 @@
 
   void on(const Withdrawn& what) {
     const auto found = playbacks_.find(what.playback);
-    if (found == playbacks_.end()) return;
-    if (found->second.state == Playback::State::waiting) return forget(what.playback);
+    if (found == playbacks_.end())
+      return;
+    if (found->second.state == Playback::State::waiting)
+      return forget(what.playback);
     found->second.withdrawn = true;
   }
 
   void on(const Started& what) {
     const auto found = playbacks_.find(what.playback);
-    if (found == playbacks_.end() || found->second.state != Playback::State::setting_up) return;
-    if (found->second.server != what.server) return;  // of a try before this one
+    if (found == playbacks_.end() || found->second.state != Playback::State::setting_up)
+      return;
+    if (found->second.server != what.server)
+      return;  // of a try before this one
     auto& server = servers_[what.server];
     found->second.state = Playback::State::playing;
     server.strikes = 0;
@@ -323,21 +339,26 @@
   void on(const TryEnded& what) {
     take_report(what.server, what.load);
     const auto found = playbacks_.find(what.playback);
-    if (found == playbacks_.end()) return;
+    if (found == playbacks_.end())
+      return;
     auto& playback = found->second;
     // Guards against a second set-up: what ends here is the try that is out there, and no other.
     const bool of_this = playback.state != Playback::State::waiting && playback.server == what.server;
-    if (!of_this && !what.over) return;
+    if (!of_this && !what.over)
+      return;
     detach(playback);
     judge_outcome(server_at(what.server), playback, what.outcome);
-    if (what.outcome == Outcome::served && !playback.request.length) learn_life(now_ - playback.since);
-    if (what.over || playback.withdrawn) return forget(what.playback);
+    if (what.outcome == Outcome::served && !playback.request.length)
+      learn_life(now_ - playback.since);
+    if (what.over || playback.withdrawn)
+      return forget(what.playback);
     place(playback);
   }
 
   void on(const ProbeEnded& what) {
     take_report(what.server, what.load);
-    if (!what.answered && what.left) strike(server_at(what.server));
+    if (!what.answered && what.left)
+      strike(server_at(what.server));
     place_waiting([&](const Playback& playback) { return playback.asked == what.server; });
   }
 
@@ -345,25 +366,30 @@
     const auto found = playbacks_.find(note.playback);
     switch (note.about) {
       case Note::About::rung:
-        if (found != playbacks_.end()) take_rung(found->second, note.value);
+        if (found != playbacks_.end())
+          take_rung(found->second, note.value);
         return;
       case Note::About::link_fill:
         return take_report(note.server, {note.value, {}, {}});
       case Note::About::uplink_fill:
         return take_report(note.server, {{}, note.value, {}});
       case Note::About::share:
-        if (const auto share = sane(note.value, 1)) take_share(server_at(note.server), *share);
+        if (const auto share = sane(note.value, 1))
+          take_share(server_at(note.server), *share);
         return;
     }
   }
 
   void on(const TimerRang& timer) {
-    if (timer.token != tick_token) return;
+    if (timer.token != tick_token)
+      return;
     orders_.push_back(SetTimer{tick, tick_token});
-    if (std::exchange(ask_for_list_, false)) orders_.push_back(FollowList{});
+    if (std::exchange(ask_for_list_, false))
+      orders_.push_back(FollowList{});
     // A probe that stays out must not hold its playback: it is placed by what is known.
     place_waiting([&](Playback& playback) {
-      if (now_ - playback.asked_at <= tick) return false;
+      if (now_ - playback.asked_at <= tick)
+        return false;
       playback.probes = most_probes;
       return true;
     });
@@ -379,7 +405,8 @@
   }
 
   Server& server_at(ServerId id) {
-    if (id >= servers_.size()) servers_.resize(id + 1);
+    if (id >= servers_.size())
+      servers_.resize(id + 1);
     return servers_[id];
   }
 
@@ -387,12 +414,14 @@
   // against names that were listed once deciding for ever what a mean server is.
   void arrange() {
     cells_.assign(static_cast<std::size_t>(terms_.cells), {});
-    for (auto& rack : racks_) rack.servers.clear(), rack.reckoned_at.reset();
+    for (auto& rack : racks_)
+      rack.servers.clear(), rack.reckoned_at.reset();
     double streams = 0;
     int count = 0;
     for (ServerId id = 0; id < servers_.size(); ++id) {
       const auto& server = servers_[id];
-      if (server.standing == Standing::gone) continue;
+      if (server.standing == Standing::gone)
+        continue;
       cells_[wrapped(server.cell, cells_.size())].push_back(id);
       rack_of(server).servers.push_back(id);
       streams += streams_of(server);
@@ -411,10 +440,12 @@
     server.weight = std::isfinite(entry.weight) && entry.weight > 0 ? entry.weight : 1;
     server.standing = entry.standing;
     server.started = std::max(server.started, entry.started);
-    if (restarted) begin_anew(server);
+    if (restarted)
+      begin_anew(server);
     if (server.started)
       server.cold_since = std::max(server.cold_since.value_or(*server.started), *server.started);
-    if (!server.listed) server.window.open_at(std::max(1.0, streams_of(server) - server.held), now_);
+    if (!server.listed)
+      server.window.open_at(std::max(1.0, streams_of(server) - server.held), now_);
     server.listed = true;
   }
 
@@ -442,7 +473,8 @@
 
   // Where weights say nothing, a machine's kind does: links go with the streams it runs.
   double link_of(const Server& server) const {
-    if (terms_.weights_told) return terms_.link_kb_per_weight * server.weight;
+    if (terms_.weights_told)
+      return terms_.link_kb_per_weight * server.weight;
     return mean_streams_ > 0 ? terms_.link_kb_per_weight * streams_of(server) / mean_streams_ : 0;
   }
 
@@ -457,7 +489,8 @@
     if (load.link_fill) {
       const double others = *load.link_fill * link_of(server) - server.own_kb;
       server.others.hear(others, now_);
-      if (link_of(server) > 0) usual_link_.hear(std::max(0.0, others) / link_of(server), now_, memory());
+      if (link_of(server) > 0)
+        usual_link_.hear(std::max(0.0, others) / link_of(server), now_, memory());
       server.news = true;
     }
     // The first window leaves out the streams in use, this front's own aside.
@@ -488,7 +521,8 @@
 
   double own_in(const Rack& rack) {
     double own = 0;
-    for (const auto id : rack.servers) own += servers_[id].own_kb;
+    for (const auto id : rack.servers)
+      own += servers_[id].own_kb;
     return own;
   }
 
@@ -502,28 +536,33 @@
   }
 
   double room_in(Rack& rack, double filled) {
-    if (terms_.uplink_kb <= 0) return std::numeric_limits<double>::max();
+    if (terms_.uplink_kb <= 0)
+      return std::numeric_limits<double>::max();
     const double uplink = uplink_of(rack) * filled;
-    if (!rack.others.kb) return uplink - asked_of(rack);
+    if (!rack.others.kb)
+      return uplink - asked_of(rack);
     return uplink - own_in(rack) - others_of(rack.others, uplink, usual_uplink_);
   }
 
   // What servers' reports tell of all that is asked of a rack. Kept for one moment, as a crowd of
   // requests at once would else walk whole racks for each holder of each.
   double asked_of(Rack& rack) {
-    if (rack.reckoned_at == now_) return rack.asked_kb;
+    if (rack.reckoned_at == now_)
+      return rack.asked_kb;
     rack.reckoned_at = now_;
     rack.asked_kb = 0;
     for (const auto id : rack.servers) {
       const auto& server = servers_[id];
-      if (server.standing == Standing::ready) rack.asked_kb += server.own_kb + others_on(server);
+      if (server.standing == Standing::ready)
+        rack.asked_kb += server.own_kb + others_on(server);
     }
     return rack.asked_kb;
   }
 
   // The told uplink, or what it was seen to give, trusted less as that grows old.
   double uplink_of(const Rack& rack) const {
-    if (!rack.gave_kb) return terms_.uplink_kb;
+    if (!rack.gave_kb)
+      return terms_.uplink_kb;
     const double kept = std::exp(-seconds(now_ - rack.gave_at) / (uplink_memory * seconds(silence())));
     return terms_.uplink_kb + kept * (*rack.gave_kb - terms_.uplink_kb);
   }
@@ -533,16 +572,20 @@
   // does harm where several links fall short for reasons of their own while their reports are old.
   void judge_uplink(Server& server, double share) {
     auto& rack = rack_of(server);
-    if (terms_.uplink_kb <= 0 || rack.others.kb) return;
+    if (terms_.uplink_kb <= 0 || rack.others.kb)
+      return;
     int held = 0, cut = 0;
     for (const auto id : rack.servers) {
       const auto& other = servers_[id];
-      if (other.held == 0) continue;
+      if (other.held == 0)
+        continue;
       const bool fits = other.own_kb + other.others.kb.value_or(0) < full_share * link_of(other);
       ++held;
-      if (other.last_short && now_ - *other.last_short <= 2 * silence() && fits) ++cut;
+      if (other.last_short && now_ - *other.last_short <= 2 * silence() && fits)
+        ++cut;
     }
-    if (cut < 2 || 2 * cut <= held) return;
+    if (cut < 2 || 2 * cut <= held)
+      return;
     rack.gave_kb = asked_of(rack) * share;
     rack.gave_at = now_;
   }
@@ -571,14 +614,17 @@
   // Steps playbacks down until this front's part of the shortfall is covered, least lost per kB first. The
   // notes that follow tell of the time before, so they drop nothing more.
   void drop_rungs(Server& server, double share) {
-    if (server.last_drop && now_ - *server.last_drop < terms_.note_lag + silence()) return;
+    if (server.last_drop && now_ - *server.last_drop < terms_.note_lag + silence())
+      return;
     server.last_drop = now_;
     double needed = server.own_kb * (1 - filled_most * share);
     while (needed > 0) {
       const auto step = cheapest_step(server);
-      if (!step.playback) return;
+      if (!step.playback)
+        return;
       // Guards against all fronts dropping a whole rung for a part of one: the last step is drawn for.
-      if (draw() * step.freed >= needed) return;
+      if (draw() * step.freed >= needed)
+        return;
       needed -= step.freed;
       change_rung(*step.playback, step.rung);
     }
@@ -611,7 +657,8 @@
   // The rung in force, as told of what plays: never under the floor, whatever is said.
   void take_rung(Playback& playback, double told) {
     const auto rung = sane(told, static_cast<double>(terms_.rung_kb.size() - 1));
-    if (!rung || playback.state == Playback::State::waiting) return;
+    if (!rung || playback.state == Playback::State::waiting)
+      return;
     set_held_rung(playback, std::max(static_cast<int>(*rung), floor_of(playback.request)));
   }
 
@@ -646,8 +693,10 @@
   StepDown cheapest_step(const Server& server) {
     StepDown best;
     for (auto& [id, playback] : playbacks_) {
-      if (playback.state != Playback::State::playing || playback.withdrawn) continue;
-      if (&servers_[playback.server] != &server) continue;
+      if (playback.state != Playback::State::playing || playback.withdrawn)
+        continue;
+      if (&servers_[playback.server] != &server)
+        continue;
       for (int rung = floor_of(playback.request); rung < playback.rung; ++rung) {
         const double freed = rate(playback.request, playback.rung) - rate(playback.request, rung);
         const double loss = loss_of(playback, rung);
@@ -661,7 +710,8 @@
   // How far a link may be filled for this rung: the less its last step earns for each kB, beside the
   // ladder's best, the more stays free for those who come later.
   double filled_for(const Request& request, int rung) const {
-    if (rung <= floor_of(request)) return filled_most;
+    if (rung <= floor_of(request))
+      return filled_most;
     double best = 0;
     for (int step = 0; step < static_cast<int>(terms_.rung_kb.size()); ++step)
       best = std::max(best, step_value(request, step));
@@ -688,11 +738,13 @@
       if (may_rise(playback) && servers_[playback.server].news)
         wishes.emplace_back(-step_value(playback.request, playback.rung + 1), &playback);
     }
-    for (const auto& [value, playback] : wishes) servers_[playback->server].news = false;
+    for (const auto& [value, playback] : wishes)
+      servers_[playback->server].news = false;
     std::stable_sort(wishes.begin(), wishes.end(), [](auto& a, auto& b) { return a.first < b.first; });
     for (const auto& [value, playback] : wishes) {
       const int rung = rung_to_rise_to(*playback);
-      if (rung <= playback->rung || !rise_pays(*playback, rung) || !drawn_to_rise(*playback, rung)) continue;
+      if (rung <= playback->rung || !rise_pays(*playback, rung) || !drawn_to_rise(*playback, rung))
+        continue;
       change_rung(*playback, rung);
     }
   }
@@ -703,7 +755,8 @@
     int rung = top_of(request);
     for (; rung > playback.rung; --rung) {
       const double more = rate(request, rung) - rate(request, playback.rung);
-      if (more <= room(server, filled_for(request, rung))) break;
+      if (more <= room(server, filled_for(request, rung)))
+        break;
     }
     return rung;
   }
@@ -712,7 +765,8 @@
   // The answer to a probe one front hears alone; notes reach all that have playbacks there, which are
   // as many as the others' use at the rate of this front's own.
   bool drawn_to_rise(const Playback& playback, int rung) {
-    if (terms_.may_probe) return true;
+    if (terms_.may_probe)
+      return true;
     auto& server = servers_[playback.server];
     const double more = rate(playback.request, rung) - rate(playback.request, playback.rung);
     const double rivals = others_on(server) * server.held / server.own_kb;
@@ -730,8 +784,10 @@
   }
 
   bool may_rise(const Playback& playback) {
-    if (playback.state != Playback::State::playing || playback.withdrawn) return false;
-    if (playback.rung >= top_of(playback.request)) return false;
+    if (playback.state != Playback::State::playing || playback.withdrawn)
+      return false;
+    if (playback.rung >= top_of(playback.request))
+      return false;
     return !playback.chosen_at || now_ - *playback.chosen_at >= rise_spacing * terms_.switch_cost;
   }
 
@@ -742,8 +798,10 @@
     playback.request.plan = std::clamp(request.plan, 0, static_cast<int>(terms_.plans.size()) - 1);
     playback.rung = floor_of(playback.request);
     playback.since = now_;
-    if (request.length) learn_life(*request.length);
-    if (request.length) playback.ends_at = now_ + *request.length;
+    if (request.length)
+      learn_life(*request.length);
+    if (request.length)
+      playback.ends_at = now_ + *request.length;
     return playback;
   }
 
@@ -761,12 +819,15 @@
   }
 
   void detach(Playback& playback) {
-    if (playback.state == Playback::State::waiting) return;
+    if (playback.state == Playback::State::waiting)
+      return;
     auto& server = servers_[playback.server];
     const std::pair seat(playback.request.plan, playback.request.title);
-    if (--seated_[seat] == 0) seated_.erase(seat);
+    if (--seated_[seat] == 0)
+      seated_.erase(seat);
     ask_more(server, -rate(playback.request, playback.rung));
-    if (--server.held == 0) server.own_kb = 0;
+    if (--server.held == 0)
+      server.own_kb = 0;
     playback.state = Playback::State::waiting;
   }
 
@@ -780,13 +841,15 @@
     std::vector<ServerId> open;
     if (request.listed) {
       for (const auto id : *request.listed) {
-        if (id < servers_.size() && servers_[id].listed && is_open(servers_[id])) open.push_back(id);
+        if (id < servers_.size() && servers_[id].listed && is_open(servers_[id]))
+          open.push_back(id);
       }
       return open;
     }
     for (int i = 0; i < std::min(request.holders, terms_.cells); ++i) {
       for (const auto id : cells_[wrapped(request.first_cell + i, cells_.size())]) {
-        if (is_open(servers_[id])) open.push_back(id);
+        if (is_open(servers_[id]))
+          open.push_back(id);
       }
     }
     std::sort(open.begin(), open.end());
@@ -794,8 +857,10 @@
   }
 
   bool is_open(const Server& server) const {
-    if (server.standing != Standing::ready) return false;
-    if (now_ < server.rests_until) return false;
+    if (server.standing != Standing::ready)
+      return false;
+    if (now_ < server.rests_until)
+      return false;
     return server.held + 1 <= server.window.size(now_) && within_pace(server);
   }
 
@@ -809,7 +874,8 @@
   // turns, each one set-up long at the pace allowed. A turn that is not used is over, so that none are saved
   // up for a crowd, and all fronts together stay under the multiple whatever is asked of them.
   bool has_turn(const Server& server) const {
-    if (!server.cold_since || now_ - *server.cold_since >= terms_.cold_time) return true;
+    if (!server.cold_since || now_ - *server.cold_since >= terms_.cold_time)
+      return true;
     const auto turn = turn_at(server, now_);
     const bool used = server.last_set_up >= *server.cold_since && turn_at(server, server.last_set_up) == turn;
     return !used && turn % static_cast<std::size_t>(terms_.fronts) == number_;
@@ -825,7 +891,8 @@
 
   // How far apart this front sends set-ups to a server that may have started when it did.
   Span own_interval(const Server& server) const {
-    if (now_ >= terms_.cold_time) return 0s;
+    if (now_ >= terms_.cold_time)
+      return 0s;
     const double warmed = seconds(now_) / seconds(terms_.cold_time);
     const double warmth = terms_.cold_from + (1 - terms_.cold_from) * warmed * warmed;
     const double pace = streams_of(server) / seconds(terms_.cold_time) * warmth * terms_.overload_multiple;
@@ -834,14 +901,16 @@
 
   bool has_seat(const Request& request) const {
     const int seats = terms_.plans[request.plan].seats;
-    if (seats <= 0) return true;
+    if (seats <= 0)
+      return true;
     const auto taken = seated_.find({request.plan, request.title});
     return taken == seated_.end() || taken->second < seats;
   }
 
   // Tries beyond the first, this one too, stay within the free few and the share of playbacks taken.
   bool within_budget(const Playback& playback) {
-    if (playback.tries == 0 || terms_.budget_window <= 0s) return true;
+    if (playback.tries == 0 || terms_.budget_window <= 0s)
+      return true;
     forget_old_tries();
     return further_.size() + 1.0 <=
            terms_.budget_free + terms_.budget_share * static_cast<double>(taken_.size());
@@ -849,20 +918,25 @@
 
   // With each request, so that a front which seldom tries again does not count its requests for ever.
   void forget_old_tries() {
-    while (!taken_.empty() && taken_.front() <= now_ - terms_.budget_window) taken_.pop_front();
-    while (!further_.empty() && further_.front() < now_ - terms_.budget_window) further_.pop_front();
+    while (!taken_.empty() && taken_.front() <= now_ - terms_.budget_window)
+      taken_.pop_front();
+    while (!further_.empty() && further_.front() < now_ - terms_.budget_window)
+      further_.pop_front();
   }
 
   bool may_try(const Playback& playback) {
     const auto& plan = terms_.plans[playback.request.plan];
-    if (plan.pay_at_setup && playback.may_have_run) return false;
-    if (now_ >= playback.target_at) return false;
+    if (plan.pay_at_setup && playback.may_have_run)
+      return false;
+    if (now_ >= playback.target_at)
+      return false;
     return playback.tries < terms_.most_tries && within_budget(playback) && has_seat(playback.request);
   }
 
   void place(Playback& playback) {
     playback.asked.reset();
-    if (!may_try(playback)) return give_up(playback);
+    if (!may_try(playback))
+      return give_up(playback);
     const auto& request = playback.request;
     const auto open = open_holders(request);
     std::optional<ServerId> best;
@@ -882,9 +956,11 @@
   void place_waiting(Which which) {
     std::vector<Playback*> waiting;
     for (auto& [id, playback] : playbacks_) {
-      if (playback.asked && which(playback)) waiting.push_back(&playback);
+      if (playback.asked && which(playback))
+        waiting.push_back(&playback);
     }
-    for (auto* playback : waiting) place(*playback);
+    for (auto* playback : waiting)
+      place(*playback);
   }
 
   // The page's choice: window room and room for the rung, least spread, ties to most room. Of those
@@ -897,20 +973,25 @@
     for (const auto id : open) {
       auto& server = servers_[id];
       const double left = room(server, filled) - kb;
-      if (left < 0) continue;
+      if (left < 0)
+        continue;
       const double spread = server.shares.spread(now_, silence());
       const double more = left - best_room;
       if (best && std::abs(spread - best_spread) > spread_tie) {
-        if (spread > best_spread) continue;
+        if (spread > best_spread)
+          continue;
         alike = 1;
       } else if (best && crosses(server) != crosses(servers_[*best])) {
-        if (crosses(server)) continue;
+        if (crosses(server))
+          continue;
         alike = 1;
       } else if (best && std::abs(more) > room_tie * link_of(server)) {
-        if (more < 0) continue;
+        if (more < 0)
+          continue;
         alike = 1;
       } else if (best && just_heard(server) != just_heard(servers_[*best])) {
-        if (!just_heard(server)) continue;
+        if (!just_heard(server))
+          continue;
         alike = 1;
       } else if (draw() * ++alike >= 1) {
         continue;
@@ -941,7 +1022,8 @@
     earned_ += earned_weight * (terms_.rung_revenue.at(rung) - earned_);
     attach(playback, id);
     playback.state = Playback::State::setting_up;
-    if (playback.tries > 0 && terms_.budget_window > 0s) further_.push_back(now_);
+    if (playback.tries > 0 && terms_.budget_window > 0s)
+      further_.push_back(now_);
     ++playback.tries;
     server.last_set_up = now_;
     orders_.push_back(SetRung{request.playback, rung});
@@ -951,8 +1033,10 @@
   // A try leaves time for another before the startup target, unless it is the last that may be made.
   Span time_limit(const Playback& playback) {
     const Span left = playback.request.abandon_at - now_;
-    if (terms_.plans[playback.request.plan].pay_at_setup) return left;
-    if (playback.tries >= terms_.most_tries) return left;
+    if (terms_.plans[playback.request.plan].pay_at_setup)
+      return left;
+    if (playback.tries >= terms_.most_tries)
+      return left;
     return std::min(left, span_of(first_try_share * seconds(playback.target_at - now_)) + 50ms);
   }
 
@@ -971,16 +1055,19 @@
   void judge_outcome(Server& server, Playback& playback, Outcome outcome) {
     const bool proof =
         outcome == Outcome::full || outcome == Outcome::no_connection || outcome == Outcome::not_sent;
-    if (!proof) playback.may_have_run = true;
+    if (!proof)
+      playback.may_have_run = true;
     if (outcome == Outcome::reset || outcome == Outcome::no_connection || outcome == Outcome::late)
       strike(server);
-    if (outcome == Outcome::full) server.others.hear(link_of(server) - server.own_kb, now_);
+    if (outcome == Outcome::full)
+      server.others.hear(link_of(server) - server.own_kb, now_);
   }
 
   // Silence, a reset or a refused connection: rest, the longer the more in a row until a try starts.
   // What failed may come back cold.
   void strike(Server& server) {
-    if (now_ < server.rests_until) return;
+    if (now_ < server.rests_until)
+      return;
     const double rest = first_rest * std::exp2(std::min(server.strikes, 3)) * seconds(shortest_target());
     ++server.strikes;
     server.rests_until = now_ + span_of(rest);
@@ -989,39 +1076,48 @@
 
   Span shortest_target() const {
     Span shortest = Span::max();
-    for (const auto& plan : terms_.plans) shortest = std::min(shortest, plan.startup_target);
+    for (const auto& plan : terms_.plans)
+      shortest = std::min(shortest, plan.startup_target);
     return shortest;
   }
 
   // ---- probes ----
   double probes_per_playback() const {
-    if (!terms_.may_probe) return 0;
+    if (!terms_.may_probe)
+      return 0;
     return terms_.probe_price > 0 ? std::min(2.0, probe_spending * earned_ / terms_.probe_price) : 2.0;
   }
 
   // Old knowledge of the server chosen is renewed before the set-up, where price and startup target
   // allow.
   bool may_ask(const Playback& playback, const Server& server) const {
-    if (!terms_.may_probe || probes_due_ < 1 || playback.probes >= most_probes) return false;
-    if (playback.target_at - now_ < 2 * tick) return false;
+    if (!terms_.may_probe || probes_due_ < 1 || playback.probes >= most_probes)
+      return false;
+    if (playback.target_at - now_ < 2 * tick)
+      return false;
     return !just_heard(server);
   }
 
   // Where playbacks that may rise play, a probe tells of room: at once for those handed over, and then
   // as far as probes are left, the oldest report first.
   void ask_where_playbacks_play() {
-    if (!terms_.may_probe) return;
+    if (!terms_.may_probe)
+      return;
     Server* oldest = nullptr;
     ServerId oldest_id = 0;
     for (const auto& [id, playback] : playbacks_) {
       auto& server = servers_[playback.server];
-      if (!may_rise(playback) || now_ - std::max(server.asked_at, server.others.heard_at) < fresh()) continue;
-      if (oldest && oldest->others.heard_at <= server.others.heard_at) continue;
+      if (!may_rise(playback) || now_ - std::max(server.asked_at, server.others.heard_at) < fresh())
+        continue;
+      if (oldest && oldest->others.heard_at <= server.others.heard_at)
+        continue;
       oldest = &server;
       oldest_id = playback.server;
     }
-    if (!oldest || (probes_due_ < 1 && oldest->others.kb)) return;
-    if (oldest->others.kb) probes_due_ -= 1;
+    if (!oldest || (probes_due_ < 1 && oldest->others.kb))
+      return;
+    if (oldest->others.kb)
+      probes_due_ -= 1;
     oldest->asked_at = now_;
     orders_.push_back(Probe{oldest_id});
   }
@@ -1031,13 +1127,16 @@
     std::optional<ServerId> stalest;
     int alike = 0;
     for (const auto id : open) {
-      if (just_heard(servers_[id])) continue;
+      if (just_heard(servers_[id]))
+        continue;
       const auto rank = [&](ServerId of) {
         return std::pair(crosses(servers_[of]), servers_[of].others.heard_at);
       };
-      if (stalest && rank(id) > rank(*stalest)) continue;
+      if (stalest && rank(id) > rank(*stalest))
+        continue;
       alike = !stalest || rank(id) < rank(*stalest) ? 1 : alike + 1;
-      if (alike == 1 || draw() * alike < 1) stalest = id;
+      if (alike == 1 || draw() * alike < 1)
+        stalest = id;
     }
     return stalest;
   }
--- a/src/catalogue/demand.cpp
+++ b/src/catalogue/demand.cpp
@@ -12,12 +12,15 @@
 
 // All counts fade alike, so their order, and the heap, stay as they are.
 void Demand::fade(Span now) {
-  if (now <= faded_at_) return;
+  if (now <= faded_at_)
+    return;
   const double kept =
       std::exp2(-std::chrono::duration<double>(now - faded_at_) / std::chrono::duration<double>(half_life_));
-  if (kept > 0.99) return;  // little by little would cost a pass each time
+  if (kept > 0.99)
+    return;  // little by little would cost a pass each time
   faded_at_ = now;
-  for (auto& counter : counters_) counter.count *= kept, counter.doubt *= kept, counter.turned_away *= kept;
+  for (auto& counter : counters_)
+    counter.count *= kept, counter.doubt *= kept, counter.turned_away *= kept;
 }
 
 void Demand::swap(std::size_t a, std::size_t b) {
@@ -30,9 +33,11 @@
   for (;;) {
     std::size_t least = at;
     for (const auto below : {2 * at + 1, 2 * at + 2}) {
-      if (below < counters_.size() && counters_[below].count < counters_[least].count) least = below;
+      if (below < counters_.size() && counters_[below].count < counters_[least].count)
+        least = below;
     }
-    if (least == at) return;
+    if (least == at)
+      return;
     swap(at, least);
     at = least;
   }
@@ -40,7 +45,8 @@
 
 // The counter of a recording; a new one takes the place of the least asked and its count, as doubt.
 Demand::Counter& Demand::counter(RecordingId recording) {
-  if (const auto found = places_.find(recording); found != places_.end()) return counters_[found->second];
+  if (const auto found = places_.find(recording); found != places_.end())
+    return counters_[found->second];
   if (counters_.size() < most_) {
     counters_.push_back({recording, 0, 0, 0});
     std::size_t at = counters_.size() - 1;
@@ -67,7 +73,8 @@
 void Demand::turned_away(Span now, RecordingId recording) {
   fade(now);
   const auto found = places_.find(recording);
-  if (found != places_.end()) counters_[found->second].turned_away += 1;
+  if (found != places_.end())
+    counters_[found->second].turned_away += 1;
 }
 
 double Demand::asked_of(RecordingId recording) const {
@@ -83,20 +90,24 @@
   const double window = std::chrono::duration<double>(half_life_).count() / std::log(2.0);
   for (const auto& counter : counters_) {
     const auto* entry = snapshot.find(counter.recording);
-    if (!entry) continue;
+    if (!entry)
+      continue;
     Wanted one{counter.recording,   counter.count,          counter.doubt,
                counter.turned_away, entry->holders->size(), 0};
     const double sure = std::max(0.0, counter.count - counter.doubt);
     const double playing = sure / window * std::chrono::duration<double>(life).count();
     const double given = link_kb * static_cast<double>(one.holders);
     one.fill = given > 0 ? playing * playback_kb / given : (sure > 0 ? 1e9 : 0);
-    if (one.fill > fill || one.turned_away >= 1) wanting.push_back(one);
+    if (one.fill > fill || one.turned_away >= 1)
+      wanting.push_back(one);
   }
   std::sort(wanting.begin(), wanting.end(), [](const Wanted& a, const Wanted& b) {
-    if (a.turned_away != b.turned_away) return a.turned_away > b.turned_away;
+    if (a.turned_away != b.turned_away)
+      return a.turned_away > b.turned_away;
     return a.fill != b.fill ? a.fill > b.fill : a.recording < b.recording;
   });
-  if (wanting.size() > most) wanting.resize(most);
+  if (wanting.size() > most)
+    wanting.resize(most);
   return wanting;
 }
 
--- a/src/catalogue/keeper.cpp
+++ b/src/catalogue/keeper.cpp
@@ -17,7 +17,8 @@
 // By what is left on the whole: moves are no shrink, however many.
 bool Keeper::shrinks(const Applied& applied) const {
   const auto before = writer_.present()->sums.locations;
-  if (before <= terms_.small) return false;
+  if (before <= terms_.small)
+    return false;
   return static_cast<double>(applied.snapshot->sums.locations) <
          terms_.shrink_believed * static_cast<double>(before);
 }
@@ -37,7 +38,8 @@
   Revision had = writer_.present()->revision + waiting_.size();
   for (std::size_t i = 0; i < what.batches.size(); ++i) {
     const auto revision = what.from + i;
-    if (revision <= had) continue;  // told twice
+    if (revision <= had)
+      continue;  // told twice
     if (revision != had + 1) {
       actions.push_back(AskFeed{
           had, true, "batch " + std::to_string(revision) + " does not follow " + std::to_string(had)});
@@ -49,7 +51,8 @@
   next(actions);
   const bool asks = std::any_of(actions.begin(), actions.end(),
                                 [](auto& act) { return std::holds_alternative<AskFeed>(act); });
-  if (waiting_.empty() && !asks) actions.push_back(AskFeed{writer_.present()->revision, false, ""});
+  if (waiting_.empty() && !asks)
+    actions.push_back(AskFeed{writer_.present()->revision, false, ""});
 }
 
 void Keeper::on(const FedWhole& what, std::vector<KeeperAct>& actions) {
@@ -66,7 +69,8 @@
 
 void Keeper::next(std::vector<KeeperAct>& actions) {
   while (!keeping_ && !waiting_.empty()) {
-    if (begin(waiting_.front(), actions)) return;
+    if (begin(waiting_.front(), actions))
+      return;
     waiting_.pop_front();
   }
 }
@@ -81,11 +85,13 @@
   };
   if (waiting.asked && waiting.asked->if_revision && *waiting.asked->if_revision != present)
     return refuse(Answered::stale, {}, "the catalogue is at revision " + std::to_string(present));
-  if (!waiting.asked && !waiting.whole && waiting.expected != present + 1) return false;  // had meanwhile
+  if (!waiting.asked && !waiting.whole && waiting.expected != present + 1)
+    return false;  // had meanwhile
   if (waiting.whole) {
     // As changes on top of what is held: what it doesn't name goes, what is the same stays shared.
     std::map<std::string_view, const Recording*> named;
-    for (const auto& recording : waiting.whole->recordings) named[recording.title] = &recording;
+    for (const auto& recording : waiting.whole->recordings)
+      named[recording.title] = &recording;
     writer_.present()->each([&](const std::string& title, const Entry& entry) {
       const auto found = named.find(title);
       if (found == named.end())
@@ -93,11 +99,13 @@
       else if (writer_.present()->recording_of(title, entry) == *found->second)
         named.erase(found);
     });
-    for (const auto& [title, recording] : named) waiting.changes.push_back(PutRecording{*recording});
+    for (const auto& [title, recording] : named)
+      waiting.changes.push_back(PutRecording{*recording});
   }
   auto result = writer_.apply(waiting.changes);
   if (auto* bad = std::get_if<Bad>(&result)) {
-    if (waiting.asked) return refuse(Answered::bad, *bad, bad->cause);
+    if (waiting.asked)
+      return refuse(Answered::bad, *bad, bad->cause);
     actions.push_back(
         AskFeed{present, !waiting.whole,
                 "change " + std::to_string(bad->change) + ", " + bad->field + ": " + bad->cause});
@@ -107,7 +115,8 @@
   if (shrinks(applied)) {
     const auto cause = "leaves " + std::to_string(applied.snapshot->sums.locations) + " of " +
                        std::to_string(writer_.present()->sums.locations) + " locations: confirm it";
-    if (waiting.asked && !waiting.asked->confirmed) return refuse(Answered::held, {}, cause);
+    if (waiting.asked && !waiting.asked->confirmed)
+      return refuse(Answered::held, {}, cause);
     // A feed confirms by saying so again, be it of a later revision: nobody else can be asked.
     if (!waiting.asked && (!held_ || *held_ > waiting.expected)) {
       held_ = waiting.expected;
@@ -125,7 +134,8 @@
   ToKeep keep{applied.snapshot->revision, waiting.changes, waiting.whole.has_value()};
   if (waiting.whole) {
     keep.changes.clear();
-    for (const auto& recording : waiting.whole->recordings) keep.changes.push_back(PutRecording{recording});
+    for (const auto& recording : waiting.whole->recordings)
+      keep.changes.push_back(PutRecording{recording});
   }
   actions.push_back(std::move(keep));
   applying_ = std::move(applied);
@@ -134,7 +144,8 @@
 }
 
 void Keeper::on(const Kept& what, std::vector<KeeperAct>& actions) {
-  if (!keeping_ || waiting_.empty() || !applying_ || applying_->snapshot->revision != what.revision) return;
+  if (!keeping_ || waiting_.empty() || !applying_ || applying_->snapshot->revision != what.revision)
+    return;
   auto done = std::move(waiting_.front());
   waiting_.pop_front();
   keeping_ = false;
@@ -155,19 +166,23 @@
     log_.clear();  // what came before it can't be told apart any more
   else
     log_.emplace_back(what.revision, std::move(done.changes));
-  while (log_.size() > terms_.batches_kept) log_.pop_front();
+  while (log_.size() > terms_.batches_kept)
+    log_.pop_front();
   actions.push_back(std::move(changed));
-  if (done.asked) actions.push_back(Answer{done.asked->ticket, Answered::taken, what.revision, {}, ""});
+  if (done.asked)
+    actions.push_back(Answer{done.asked->ticket, Answered::taken, what.revision, {}, ""});
   const bool was_fed = !done.asked;
   next(actions);
-  if (was_fed && waiting_.empty()) actions.push_back(AskFeed{writer_.present()->revision, false, ""});
+  if (was_fed && waiting_.empty())
+    actions.push_back(AskFeed{writer_.present()->revision, false, ""});
 }
 
 std::optional<std::string> Keeper::restore(Revision revision, const std::vector<Recording>& recordings) {
   writer_.reset(0);
   std::vector<Change> changes;
   changes.reserve(recordings.size());
-  for (const auto& recording : recordings) changes.push_back(PutRecording{recording});
+  for (const auto& recording : recordings)
+    changes.push_back(PutRecording{recording});
   auto result = writer_.apply(changes);
   if (const auto* bad = std::get_if<Bad>(&result))
     return "recording " + std::to_string(bad->change) + ", " + bad->field + ": " + bad->cause;
@@ -187,7 +202,8 @@
            bad->field + ": " + bad->cause;
   writer_.commit(std::get<Applied>(std::move(result)));
   log_.emplace_back(revision, changes);
-  while (log_.size() > terms_.batches_kept) log_.pop_front();
+  while (log_.size() > terms_.batches_kept)
+    log_.pop_front();
   return std::nullopt;
 }
 
@@ -195,10 +211,13 @@
     Revision revision, std::size_t most) const {
   const auto present = writer_.present()->revision;
   std::vector<std::pair<Revision, const std::vector<Change>*>> batches;
-  if (revision == present) return batches;
-  if (revision > present || log_.empty() || log_.front().first > revision + 1) return std::nullopt;
+  if (revision == present)
+    return batches;
+  if (revision > present || log_.empty() || log_.front().first > revision + 1)
+    return std::nullopt;
   for (const auto& [at, changes] : log_) {
-    if (at > revision && batches.size() < most) batches.emplace_back(at, &changes);
+    if (at > revision && batches.size() < most)
+      batches.emplace_back(at, &changes);
   }
   return batches;
 }
--- a/src/cataloguestore/store.cpp
+++ b/src/cataloguestore/store.cpp
@@ -26,12 +26,14 @@
 std::string write_file(const std::string& path, const std::string& bytes) {
   const auto beside = path + ".new";
   std::FILE* file = std::fopen(beside.c_str(), "wb");
-  if (!file) return beside + ": " + std::strerror(errno);
+  if (!file)
+    return beside + ": " + std::strerror(errno);
   bool whole = std::fwrite(bytes.data(), 1, bytes.size(), file) == bytes.size();
   whole = std::fflush(file) == 0 && ::fsync(::fileno(file)) == 0 && whole;
   const auto cause = std::string(std::strerror(errno));
   whole = std::fclose(file) == 0 && whole;
-  if (whole && std::rename(beside.c_str(), path.c_str()) == 0) return {};
+  if (whole && std::rename(beside.c_str(), path.c_str()) == 0)
+    return {};
   std::remove(beside.c_str());
   return beside + ": " + cause;
 }
@@ -62,7 +64,8 @@
 
   std::string run(const char* sql) {
     char* error = nullptr;
-    if (sqlite3_exec(handle_, sql, nullptr, nullptr, &error) == SQLITE_OK) return {};
+    if (sqlite3_exec(handle_, sql, nullptr, nullptr, &error) == SQLITE_OK)
+      return {};
     const std::string cause = path_ + ": " + (error ? error : "unknown");
     sqlite3_free(error);
     return cause;
@@ -72,7 +75,8 @@
     for (const auto* sql : {"PRAGMA journal_mode=WAL", "PRAGMA synchronous=FULL",
                             "CREATE TABLE IF NOT EXISTS log(revision INTEGER PRIMARY KEY, whole INTEGER NOT "
                             "NULL, changes BLOB NOT NULL, sum INTEGER NOT NULL)"}) {
-      if (auto cause = run(sql); !cause.empty()) return cause;
+      if (auto cause = run(sql); !cause.empty())
+        return cause;
     }
     return {};
   }
@@ -86,9 +90,11 @@
     return count;
   }
   std::string put(std::uint64_t revision, const std::string& text, bool whole) {
-    if (auto cause = run("BEGIN IMMEDIATE"); !cause.empty()) return cause;
+    if (auto cause = run("BEGIN IMMEDIATE"); !cause.empty())
+      return cause;
     std::string cause;
-    if (whole) cause = run("DELETE FROM log");
+    if (whole)
+      cause = run("DELETE FROM log");
     sqlite3_stmt* insert = nullptr;
     if (cause.empty() &&
         sqlite3_prepare_v2(handle_, "INSERT INTO log VALUES(?,?,?,?)", -1, &insert, nullptr) == SQLITE_OK) {
@@ -96,13 +102,16 @@
       sqlite3_bind_int(insert, 2, whole);
       sqlite3_bind_blob64(insert, 3, text.data(), text.size(), SQLITE_STATIC);
       sqlite3_bind_int64(insert, 4, sum_of(revision, text));
-      if (sqlite3_step(insert) != SQLITE_DONE) cause = path_ + ": " + sqlite3_errmsg(handle_);
+      if (sqlite3_step(insert) != SQLITE_DONE)
+        cause = path_ + ": " + sqlite3_errmsg(handle_);
     } else if (cause.empty()) {
       cause = path_ + ": " + sqlite3_errmsg(handle_);
     }
     sqlite3_finalize(insert);
-    if (cause.empty()) cause = run("COMMIT");
-    if (!cause.empty()) run("ROLLBACK");
+    if (cause.empty())
+      cause = run("COMMIT");
+    if (!cause.empty())
+      run("ROLLBACK");
     return cause;
   }
   // Each row from a revision on, until `take` says stop. The cause if the database itself can't be read.
@@ -119,7 +128,8 @@
       const std::string_view text(bytes ? bytes : "",
                                   static_cast<std::size_t>(sqlite3_column_bytes(select, 2)));
       const bool sound = sqlite3_column_int64(select, 3) == sum_of(revision, text);
-      if (!take(revision, sqlite3_column_int(select, 1) != 0, text, sound)) break;
+      if (!take(revision, sqlite3_column_int(select, 1) != 0, text, sound))
+        break;
     }
     const auto cause =
         code == SQLITE_ROW || code == SQLITE_DONE ? std::string() : path_ + ": " + sqlite3_errmsg(handle_);
@@ -136,7 +146,8 @@
     : folder_(folder), snapshot_every_(snapshot_every) {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
-  if (error) throw Unusable{folder + ": " + error.message()};
+  if (error)
+    throw Unusable{folder + ": " + error.message()};
   database_ = std::make_unique<Database>(folder + "/catalogue.db");
 }
 Store::~Store() = default;
@@ -149,7 +160,8 @@
   };
   const auto snapshot_path = folder_ + "/catalogue.snapshot";
   const auto from_snapshot = [&]() -> catalogue::Revision {
-    if (!std::filesystem::exists(snapshot_path)) return 0;
+    if (!std::filesystem::exists(snapshot_path))
+      return 0;
     auto read = read_snapshot(snapshot_path);
     if (read.fault.empty()) {
       if (const auto cause = keeper.restore(read.revision, read.recordings))
@@ -165,7 +177,8 @@
   auto cause = database_->prepare();
   if (cause.empty()) {
     cause = database_->each([&](std::uint64_t revision, bool whole, std::string_view text, bool sound) {
-      if (revision <= at) return true;
+      if (revision <= at)
+        return true;
       if (!sound) {
         damage("batch " + std::to_string(revision) + " does not match its checksum");
         return false;
@@ -197,7 +210,8 @@
       return true;
     });
   }
-  if (!cause.empty()) damage(cause);
+  if (!cause.empty())
+    damage(cause);
   found.revision = at;
   if (!found.damaged) {
     // A long log is made short here: a snapshot first, then the rows that it covers.
@@ -210,14 +224,19 @@
   database_.reset();
   const auto path = folder_ + "/catalogue.db";
   auto aside = path + ".damaged";
-  for (int n = 2; std::filesystem::exists(aside); ++n) aside = path + ".damaged-" + std::to_string(n);
+  for (int n = 2; std::filesystem::exists(aside); ++n)
+    aside = path + ".damaged-" + std::to_string(n);
   std::error_code error;
   std::filesystem::rename(path, aside, error);
-  if (error) throw Unusable{path + ": damaged, and can't be put aside: " + error.message()};
-  for (const auto* tail : {"-wal", "-shm"}) std::filesystem::rename(path + tail, aside + tail, error);
+  if (error)
+    throw Unusable{path + ": damaged, and can't be put aside: " + error.message()};
+  for (const auto* tail : {"-wal", "-shm"})
+    std::filesystem::rename(path + tail, aside + tail, error);
   database_ = std::make_unique<Database>(path);
-  if (auto failed = database_->prepare(); !failed.empty()) throw Unusable{failed};
-  if (auto failed = write_snapshot(snapshot_path, *keeper.present()); !failed.empty()) throw Unusable{failed};
+  if (auto failed = database_->prepare(); !failed.empty())
+    throw Unusable{failed};
+  if (auto failed = write_snapshot(snapshot_path, *keeper.present()); !failed.empty())
+    throw Unusable{failed};
   found.told +=
       "; restored to revision " + std::to_string(at) + ", later changes are missing; put aside as " + aside;
   return found;
@@ -225,7 +244,8 @@
 
 std::string Store::keep(std::uint64_t revision, const std::string& changes, bool whole) {
   auto cause = database_->put(revision, changes, whole);
-  if (!cause.empty()) return cause;
+  if (!cause.empty())
+    return cause;
   if (++since_snapshot_ >= snapshot_every_) {
     since_snapshot_ = 0;
     database_->run("PRAGMA wal_checkpoint(PASSIVE)");
@@ -247,7 +267,8 @@
 ReadSnapshot read_snapshot(const std::string& path) {
   ReadSnapshot read;
   std::ifstream file(path, std::ios::binary);
-  if (!file) return {0, {}, std::strerror(errno)};
+  if (!file)
+    return {0, {}, std::strerror(errno)};
   std::ostringstream bytes;
   bytes << file.rdbuf();
   const auto coded = bytes.str();
@@ -257,13 +278,15 @@
   std::string plain(size, '\0');
   const auto got = ZSTD_decompress(plain.data(), plain.size(), coded.data(), coded.size());
   std::int64_t sum = 0;
-  if (ZSTD_isError(got) || got != size || size < sizeof sum) return {0, {}, "cut off or damaged"};
+  if (ZSTD_isError(got) || got != size || size < sizeof sum)
+    return {0, {}, "cut off or damaged"};
   std::memcpy(&sum, plain.data() + size - sizeof sum, sizeof sum);
   plain.resize(size - sizeof sum);
   std::size_t count = 0;
   std::istringstream head(plain.substr(0, plain.find('\n')));
   head >> read.revision >> count;
-  if (sum != sum_of(read.revision, plain)) return {0, {}, "does not match its checksum"};
+  if (sum != sum_of(read.revision, plain))
+    return {0, {}, "does not match its checksum"};
   for (std::size_t from = plain.find('\n') + 1; from < plain.size();) {
     const auto end = plain.find('\n', from);
     auto recording = cataloguewire::read_own_recording(std::string_view(plain).substr(from, end - from));
--- a/src/cataloguewire/json.cpp
+++ b/src/cataloguewire/json.cpp
@@ -49,7 +49,8 @@
   std::string place;
   for (std::size_t i = 1; i < context.size(); ++i) {
     auto part = context[i];
-    if (part.size() > 2 && part.front() == '[') part = part.substr(1, part.size() - 2);
+    if (part.size() > 2 && part.front() == '[')
+      part = part.substr(1, part.size() - 2);
     const bool index = !part.empty() && part.find_first_not_of("0123456789") == std::string::npos;
     if (index)
       place += "[" + part + "]";
@@ -68,14 +69,17 @@
   } catch (const Json::exception&) {
     return BadJson{"body", "a number beyond all bounds"};
   }
-  if (!schema) return json;
+  if (!schema)
+    return json;
   valijson::ValidationResults results;
   valijson::Validator validator;
-  if (validator.validate(*schema, Adapter(json), &results)) return json;
+  if (validator.validate(*schema, Adapter(json), &results))
+    return json;
   // The deepest complaint says which field of which entry; those above it only that something is wrong.
   valijson::ValidationResults::Error error, deepest;
   while (results.popError(error)) {
-    if (error.context.size() > deepest.context.size()) deepest = error;
+    if (error.context.size() > deepest.context.size())
+      deepest = error;
   }
   return BadJson{place_of(deepest.context), deepest.description};
 }
@@ -91,17 +95,24 @@
 }
 Recording recording_of(const Json& json) {
   Recording recording{json.at("title"), {}, {}};
-  for (const auto& one : json.at("renditions")) recording.renditions.push_back(rendition_of(one));
-  for (const auto& one : json.at("locations")) recording.locations.push_back(location_of(one));
+  for (const auto& one : json.at("renditions"))
+    recording.renditions.push_back(rendition_of(one));
+  for (const auto& one : json.at("locations"))
+    recording.locations.push_back(location_of(one));
   return recording;
 }
 Change change_of(const Json& json) {
   const auto& [kind, value] = *json.items().begin();
-  if (kind == "put") return PutRecording{recording_of(value)};
-  if (kind == "remove") return RemoveRecording{value};
-  if (kind == "put_rendition") return PutRendition{value.at("title"), rendition_of(value.at("rendition"))};
-  if (kind == "remove_rendition") return RemoveRendition{value.at("title"), value.at("name")};
-  if (kind == "put_location") return PutLocation{value.at("title"), location_of(value.at("location"))};
+  if (kind == "put")
+    return PutRecording{recording_of(value)};
+  if (kind == "remove")
+    return RemoveRecording{value};
+  if (kind == "put_rendition")
+    return PutRendition{value.at("title"), rendition_of(value.at("rendition"))};
+  if (kind == "remove_rendition")
+    return RemoveRendition{value.at("title"), value.at("name")};
+  if (kind == "put_location")
+    return PutLocation{value.at("title"), location_of(value.at("location"))};
   return RemoveLocation{value.at("title"), value.at("box")};
 }
 
@@ -119,8 +130,10 @@
 }
 Json json_of(const Recording& recording) {
   Json json{{"title", recording.title}, {"renditions", Json::array()}, {"locations", Json::array()}};
-  for (const auto& one : recording.renditions) json["renditions"].push_back(json_of(one));
-  for (const auto& one : recording.locations) json["locations"].push_back(json_of(one));
+  for (const auto& one : recording.renditions)
+    json["renditions"].push_back(json_of(one));
+  for (const auto& one : recording.locations)
+    json["locations"].push_back(json_of(one));
   return json;
 }
 struct Said {
@@ -141,13 +154,15 @@
 };
 Json json_of(const std::vector<Change>& changes) {
   Json list = Json::array();
-  for (const auto& change : changes) list.push_back(std::visit(Said{}, change));
+  for (const auto& change : changes)
+    list.push_back(std::visit(Said{}, change));
   return {{"changes", std::move(list)}};
 }
 
 std::vector<Change> changes_of(const Json& json) {
   std::vector<Change> changes;
-  for (const auto& one : json.at("changes")) changes.push_back(change_of(one));
+  for (const auto& one : json.at("changes"))
+    changes.push_back(change_of(one));
   return changes;
 }
 
@@ -157,13 +172,15 @@
 
 std::variant<std::vector<Change>, BadJson> read_changes(std::string_view text) {
   auto json = parsed(text, &changes_schema());
-  if (auto* bad = std::get_if<BadJson>(&json)) return *bad;
+  if (auto* bad = std::get_if<BadJson>(&json))
+    return *bad;
   return changes_of(std::get<Json>(json));
 }
 
 std::variant<Recording, BadJson> read_recording(std::string_view text) {
   auto json = parsed(text, &recording_schema());
-  if (auto* bad = std::get_if<BadJson>(&json)) return *bad;
+  if (auto* bad = std::get_if<BadJson>(&json))
+    return *bad;
   return recording_of(std::get<Json>(json));
 }
 
@@ -181,7 +198,8 @@
 std::string feed_text(Revision from,
                       const std::vector<std::pair<Revision, const std::vector<Change>*>>& batches) {
   Json list = Json::array();
-  for (const auto& [revision, changes] : batches) list.push_back(json_of(*changes));
+  for (const auto& [revision, changes] : batches)
+    list.push_back(json_of(*changes));
   return dumped({{"from", from}, {"batches", std::move(list)}});
 }
 
@@ -195,9 +213,11 @@
 
 std::variant<Fed, FedWhole, BadJson> read_feed(std::string_view text) {
   auto json = parsed(text, nullptr);
-  if (auto* bad = std::get_if<BadJson>(&json)) return *bad;
+  if (auto* bad = std::get_if<BadJson>(&json))
+    return *bad;
   const auto& said = std::get<Json>(json);
-  if (!said.is_object()) return BadJson{"body", "expected an object"};
+  if (!said.is_object())
+    return BadJson{"body", "expected an object"};
   const auto whole_number = [&](const char* key) {
     return said.contains(key) && said[key].is_number_unsigned();
   };
--- a/src/cataloguewire/resource.cpp
+++ b/src/cataloguewire/resource.cpp
@@ -31,13 +31,15 @@
 std::optional<std::uint64_t> number(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  if (error != std::errc{} || end != text.data() + text.size())
+    return std::nullopt;
   return value;
 }
 
 std::optional<std::string> argument(std::string_view target, std::string_view name) {
   const auto question = target.find('?');
-  if (question == std::string_view::npos) return std::nullopt;
+  if (question == std::string_view::npos)
+    return std::nullopt;
   auto query = target.substr(question + 1);
   while (!query.empty()) {
     const auto end = std::min(query.find('&'), query.size());
@@ -60,12 +62,14 @@
     path.remove_prefix(1);
     const auto end = std::min(path.find('/'), path.size());
     const auto part = http::percent_decoded(path.substr(0, end));
-    if (!part) return refused(400, present, "path", "malformed percent-encoding");
+    if (!part)
+      return refused(400, present, "path", "malformed percent-encoding");
     parts.push_back(*part);
     path.remove_prefix(end);
   }
   const auto nowhere = [&] { return refused(404, present, "path", "no such resource"); };
-  if (parts.empty() || parts[0] != "catalogue") return nowhere();
+  if (parts.empty() || parts[0] != "catalogue")
+    return nowhere();
   const auto& method = request.method;
   const auto only = [&](const char* methods) {
     auto reply = refused(405, present, "method", std::string("expected ") + methods);
@@ -78,40 +82,49 @@
     const bool is_quoted = match->size() > 2 && match->front() == '"' && match->back() == '"';
     const auto revision =
         is_quoted ? number(std::string_view(*match).substr(1, match->size() - 2)) : std::nullopt;
-    if (!revision) return refused(400, present, "If-Match", "expected a revision in quotes, or *");
+    if (!revision)
+      return refused(400, present, "If-Match", "expected a revision in quotes, or *");
     asked.if_revision = *revision;
   }
   if (parts.size() == 1) {
-    if (method != "GET") return only("GET");
+    if (method != "GET")
+      return only("GET");
     return told(200, present,
                 {{"recordings", snapshot.sums.recordings}, {"locations", snapshot.sums.locations}});
   }
   if (parts.size() == 2 && parts[1] == "whole") {
-    if (method != "GET") return only("GET");
+    if (method != "GET")
+      return only("GET");
     return Reply{
         200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, whole_text(snapshot)};
   }
   if (parts.size() == 2 && parts[1] == "wanting") {
-    if (method != "GET") return only("GET");
+    if (method != "GET")
+      return only("GET");
     return AskWanting{};
   }
   if (parts.size() == 2 && parts[1] == "feed") {
-    if (method != "GET") return only("GET");
+    if (method != "GET")
+      return only("GET");
     const auto after = number(argument(target, "after").value_or(""));
-    if (!after) return refused(400, present, "after", "expected a revision");
+    if (!after)
+      return refused(400, present, "after", "expected a revision");
     const auto wait = number(argument(target, "wait_ms").value_or("0"));
-    if (!wait) return refused(400, present, "wait_ms", "expected a time in ms");
+    if (!wait)
+      return refused(400, present, "wait_ms", "expected a time in ms");
     return FeedWait{*after, std::chrono::milliseconds(std::min<std::uint64_t>(*wait, longest_wait_ms))};
   }
   if (parts.size() == 2 && parts[1] == "changes") {
-    if (method != "POST") return only("POST");
+    if (method != "POST")
+      return only("POST");
     auto changes = read_changes(request.body);
     if (const auto* bad = std::get_if<BadJson>(&changes))
       return refused(400, present, bad->place, bad->cause);
     asked.changes = std::get<std::vector<Change>>(std::move(changes));
     return asked;
   }
-  if (parts[1] != "recordings" || parts.size() < 3) return nowhere();
+  if (parts[1] != "recordings" || parts.size() < 3)
+    return nowhere();
   const auto& title = parts[2];
   // A body that stands for a part of a change is checked as that change.
   const auto change = [&](const char* kind, Json whole) -> Meaning {
@@ -131,7 +144,8 @@
   if (parts.size() == 3) {
     if (method == "GET") {
       const auto recording = snapshot.recording(title);
-      if (!recording) return refused(404, present, "title", "no recording '" + title + "'");
+      if (!recording)
+        return refused(404, present, "title", "no recording '" + title + "'");
       return Reply{
           200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, text_of(*recording) + "\n"};
     }
@@ -141,7 +155,8 @@
       body["title"] = title;
       return change("put", std::move(body));
     }
-    if (method == "DELETE") return change("remove", title);
+    if (method == "DELETE")
+      return change("remove", title);
     return only("GET, PUT, DELETE");
   }
   if (parts.size() == 5 && (parts[3] == "locations" || parts[3] == "renditions")) {
@@ -184,10 +199,12 @@
 
 std::optional<Reply> feed_reply(const Keeper& keeper, Revision after) {
   const auto present = keeper.present()->revision;
-  if (after == present) return std::nullopt;
+  if (after == present)
+    return std::nullopt;
   const auto batches = keeper.after(after, feed_most);
   // The log no longer reaches back, or never came so far: take the whole.
-  if (!batches) return refused(410, present, "after", "take /catalogue/whole and go on from there");
+  if (!batches)
+    return refused(410, present, "after", "take /catalogue/whole and go on from there");
   return Reply{
       200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, feed_text(after + 1, *batches)};
 }
--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -35,7 +35,8 @@
         context_(ZSTD_createDCtx(), ZSTD_freeDCtx),
         raw_(256 * 1024),
         space_(256 * 1024) {
-    if (!file_) throw Unreadable{path + ": can't be read"};
+    if (!file_)
+      throw Unreadable{path + ": can't be read"};
   }
   std::size_t number() const { return number_; }  // of the last line given
   // The next line that is not empty.
@@ -46,7 +47,8 @@
         auto line = plain_.substr(from_, end - from_);
         from_ = end + 1;
         ++number_;
-        if (!line.empty()) return line;
+        if (!line.empty())
+          return line;
         continue;
       }
       plain_.erase(0, from_);
@@ -57,7 +59,8 @@
         if (unfinished_ != 0)
           throw Unreadable{path_ + ": after line " + std::to_string(number_) +
                            ": the zstd stream is cut off"};
-        if (plain_.empty()) return std::nullopt;
+        if (plain_.empty())
+          return std::nullopt;
         ++number_;
         return std::exchange(plain_, {});
       }
@@ -67,7 +70,8 @@
  private:
   bool more() {
     const auto count = std::fread(raw_.data(), 1, raw_.size(), file_.get());
-    if (count == 0) return false;
+    if (count == 0)
+      return false;
     if (std::exchange(first_, false))
       zstd_ = count >= 4 && std::string_view(raw_.data(), 4) == "\x28\xb5\x2f\xfd";
     if (!zstd_) {
@@ -120,30 +124,37 @@
       actions.push_back(WakeAt{now + limit});
       heard_ = now;
     }
-    if (std::holds_alternative<Connected>(what)) return ask(actions);
+    if (std::holds_alternative<Connected>(what))
+      return ask(actions);
     if (const auto* received = std::get_if<Received>(&what)) {
       heard_ = now;
       auto part = reader_.push(received->bytes);
-      if (part.fault) return end(part.fault->cause, actions);
-      if (part.head) status_ = part.head->status;
+      if (part.fault)
+        return end(part.fault->cause, actions);
+      if (part.head)
+        status_ = part.head->status;
       body_ += part.body;
-      if (!part.done) return;
+      if (!part.done)
+        return;
       const bool on = take(status_, std::exchange(body_, {}));
       return on ? ask(actions) : actions.push_back(Leave{});
     }
     if (std::holds_alternative<Ended>(what) || std::holds_alternative<HalfClosed>(what))
       return end("no connection to " + address + ":" + std::to_string(port), actions);
-    if (std::holds_alternative<StopAsked>(what)) return end("stopped", actions);
+    if (std::holds_alternative<StopAsked>(what))
+      return end("stopped", actions);
     if (std::holds_alternative<Woken>(what) && now - heard_ >= limit)
       return end("no answer within a minute", actions);
-    if (std::holds_alternative<Woken>(what)) actions.push_back(WakeAt{heard_ + limit});
+    if (std::holds_alternative<Woken>(what))
+      actions.push_back(WakeAt{heard_ + limit});
   }
 
  private:
   static constexpr Span limit = 60s;
   void ask(std::vector<Action>& actions) {
     const auto one = next();
-    if (!one) return actions.push_back(Leave{});
+    if (!one)
+      return actions.push_back(Leave{});
     reader_.expect(false);
     http::Fields fields{{"Host", address},
                         {"Content-Type", "application/json"},
@@ -170,7 +181,8 @@
   asker.take = std::move(take);
   runtime::Loop loop(asker, {}, {}, "");
   loop.run();
-  if (asker.failed.empty()) return 0;
+  if (asker.failed.empty())
+    return 0;
   std::cerr << "violettide: " << asker.failed << '\n';
   return 2;
 }
@@ -196,7 +208,8 @@
   const int code = ask_manager(
       words,
       [&]() -> std::optional<Asker::Ask> {
-        if (std::exchange(asked, true)) return std::nullopt;
+        if (std::exchange(asked, true))
+          return std::nullopt;
         return Asker::Ask{"GET", target, ""};
       },
       [&](int status, const std::string& body) {
@@ -222,7 +235,8 @@
         locations += recording.locations.size();
       } catch (const Unreadable& bad) {
         std::cerr << bad.what << '\n';
-        if (++mistakes == 100) break;
+        if (++mistakes == 100)
+          break;
       }
     }
     std::cout << words.file << ": " << recordings << " recordings, " << locations << " locations, "
@@ -247,10 +261,12 @@
           std::vector<catalogue::Change> changes;
           while (changes.size() < words.batch) {
             const auto line = lines.next();
-            if (!line) break;
+            if (!line)
+              break;
             changes.push_back(catalogue::PutRecording{recording_at(words.file, lines.number(), *line)});
           }
-          if (changes.empty()) return std::nullopt;
+          if (changes.empty())
+            return std::nullopt;
           sent += changes.size();
           return Asker::Ask{"POST", "/catalogue/changes", cataloguewire::text_of(changes)};
         },
@@ -261,11 +277,14 @@
             return false;
           }
           loaded = sent;
-          if (terminal) std::cerr << "\r" << loaded << " of " << total << " recordings" << std::flush;
+          if (terminal)
+            std::cerr << "\r" << loaded << " of " << total << " recordings" << std::flush;
           return true;
         });
-    if (terminal) std::cerr << '\n';
-    if (code || result) return code ? code : result;
+    if (terminal)
+      std::cerr << '\n';
+    if (code || result)
+      return code ? code : result;
     std::cout << loaded << " recordings loaded\n";
     return 0;
   });
@@ -277,7 +296,8 @@
       const auto json = nlohmann::json::parse(body, nullptr, false);
       if (!json.is_object() || !json.contains("recordings"))
         throw Unreadable{"the manager's answer is no catalogue"};
-      for (const auto& recording : json["recordings"]) std::cout << recording.dump() << '\n';
+      for (const auto& recording : json["recordings"])
+        std::cout << recording.dump() << '\n';
     });
   });
 }
@@ -315,7 +335,8 @@
         ++differ, std::cout << "~ " << title << "\n  - " << text << "\n  + " << found->second << '\n';
     }
     for (const auto& [title, text] : after) {
-      if (!before.contains(title)) ++differ, std::cout << "+ " << title << '\n';
+      if (!before.contains(title))
+        ++differ, std::cout << "+ " << title << '\n';
     }
     return differ == 0 ? 0 : 1;
   });
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -48,7 +48,8 @@
   Child() = default;
   Child(std::vector<std::string> words, const std::string& errors_to) {
     std::vector<char*> pointers;
-    for (auto& word : words) pointers.push_back(word.data());
+    for (auto& word : words)
+      pointers.push_back(word.data());
     pointers.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
@@ -56,7 +57,8 @@
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
     const int code = posix_spawn(&pid_, "/proc/self/exe", &actions, nullptr, pointers.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
-    if (code) throw Unplayable{"can't start '" + words[1] + "': " + std::strerror(code)};
+    if (code)
+      throw Unplayable{"can't start '" + words[1] + "': " + std::strerror(code)};
   }
   Child(Child&& other) noexcept : pid_(std::exchange(other.pid_, 0)) {}
   Child& operator=(Child&& other) noexcept {
@@ -64,33 +66,40 @@
     return *this;
   }
   ~Child() {
-    if (pid_ <= 0) return;
+    if (pid_ <= 0)
+      return;
     kill(pid_, SIGCONT);
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
   void signal(int number) const {
-    if (pid_ > 0) kill(pid_, number);
+    if (pid_ > 0)
+      kill(pid_, number);
   }
   void end_at_once() {
-    if (pid_ <= 0) return;
+    if (pid_ <= 0)
+      return;
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     pid_ = 0;
   }
   // Its exit code, or 128 and the signal, once it has ended.
   std::optional<int> ended() {
-    if (pid_ <= 0) return 0;
+    if (pid_ <= 0)
+      return 0;
     int status = 0;
-    if (waitpid(pid_, &status, WNOHANG) != pid_) return std::nullopt;
+    if (waitpid(pid_, &status, WNOHANG) != pid_)
+      return std::nullopt;
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
   std::optional<int> wait(std::chrono::steady_clock::duration limit) {
     const auto until = std::chrono::steady_clock::now() + limit;
     for (;;) {
-      if (const auto code = ended()) return code;
-      if (std::chrono::steady_clock::now() >= until) return std::nullopt;
+      if (const auto code = ended())
+        return code;
+      if (std::chrono::steady_clock::now() >= until)
+        return std::nullopt;
       std::this_thread::sleep_for(look_every);
     }
   }
@@ -104,8 +113,10 @@
   for (;;) {
     if (std::ifstream file(path); file) {
       std::vector<std::uint16_t> ports;
-      for (int port = 0; file >> port;) ports.push_back(static_cast<std::uint16_t>(port));
-      if (!ports.empty()) return ports;
+      for (int port = 0; file >> port;)
+        ports.push_back(static_cast<std::uint16_t>(port));
+      if (!ports.empty())
+        return ports;
     }
     if (const auto code = writer.ended())
       throw Unplayable{path + ": its process ended with " + std::to_string(*code)};
@@ -125,8 +136,10 @@
   const bool bound = socket >= 0 &&
                      bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0 &&
                      getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size) == 0;
-  if (socket >= 0) close(socket);
-  if (!bound) throw Unplayable{std::string("no port is free: ") + std::strerror(errno)};
+  if (socket >= 0)
+    close(socket);
+  if (!bound)
+    throw Unplayable{std::string("no port is free: ") + std::strerror(errno)};
   return ntohs(address.sin_port);
 }
 
@@ -154,14 +167,16 @@
                 folder_ + "/boxes.err");
     const auto service_ports = ports_in(folder_ + "/boxes.ports", boxes);
     list_port_ = service_ports.at(day_.boxes.size());
-    if (day_.deployment.front.catalogued) feed_port_ = service_ports.at(day_.boxes.size() + 1);
+    if (day_.deployment.front.catalogued)
+      feed_port_ = service_ports.at(day_.boxes.size() + 1);
     // One secret for all managers of the day: an address must outlive the process that gave it out.
     if (day_.deployment.hls)
       std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << zero << "\n";
     if (day_.deployment.front.entitlement.on) {
       keys_port_ = service_ports.back();
       std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << zero << "\n";
-      for (int i = 0; i < day_.managers; ++i) peer_ports_.push_back(free_port());
+      for (int i = 0; i < day_.managers; ++i)
+        peer_ports_.push_back(free_port());
     }
     managers_.resize(static_cast<std::size_t>(day_.managers));
     ports_.resize(managers_.size());
@@ -179,7 +194,8 @@
     std::vector<Deed> deeds = script();
     std::size_t next = 0;
     Span longest{0};
-    for (const auto& plan : day_.deployment.front.plans) longest = std::max(longest, plan.abandon);
+    for (const auto& plan : day_.deployment.front.plans)
+      longest = std::max(longest, plan.abandon);
     const auto give_up = zero + static_cast<std::uint64_t>((day_.length + 4 * longest).count()) + 10'000'000;
     std::optional<int> over;
     while (!(over = viewers.ended())) {
@@ -187,17 +203,21 @@
       while (next < deeds.size() && zero + static_cast<std::uint64_t>(deeds[next].at.count()) <= now)
         perform(deeds[next++]);
       for (std::size_t i = 0; i < managers_.size(); ++i) {
-        if (down_[static_cast<int>(i)]) continue;
+        if (down_[static_cast<int>(i)])
+          continue;
         if (const auto code = managers_[i].ended())
           throw Unplayable{name(static_cast<int>(i)) + " ended by itself with " + std::to_string(*code) +
                            ": see " + folder_};
       }
-      if (now > give_up) throw Unplayable{"the viewers did not end"};
+      if (now > give_up)
+        throw Unplayable{"the viewers did not end"};
       std::this_thread::sleep_for(look_every);
     }
-    if (*over != 0) throw Unplayable{"the viewers ended with " + std::to_string(*over) + ": see " + folder_};
+    if (*over != 0)
+      throw Unplayable{"the viewers ended with " + std::to_string(*over) + ": see " + folder_};
     const auto stopped = std::chrono::system_clock::now();
-    for (auto& manager : managers_) manager.signal(SIGCONT), manager.signal(SIGTERM);
+    for (auto& manager : managers_)
+      manager.signal(SIGCONT), manager.signal(SIGTERM);
     for (std::size_t i = 0; i < managers_.size(); ++i) {
       const auto code = managers_[i].wait(stop_limit);
       if (!code || *code != 0)
@@ -209,7 +229,8 @@
     if (!code || *code != 0)
       throw Unplayable{"the boxes ended with " + (code ? std::to_string(*code) : std::string("nothing")) +
                        ": see " + folder_};
-    if (day_.deployment.front.entitlement.on) look_for_leaks(stopped);
+    if (day_.deployment.front.entitlement.on)
+      look_for_leaks(stopped);
     trace_.flush();
   }
 
@@ -344,7 +365,8 @@
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
-    if (read.cut_off) std::cerr << path << ": cut off after " << read.records.size() << " records\n";
+    if (read.cut_off)
+      std::cerr << path << ": cut off after " << read.records.size() << " records\n";
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
   const auto verdict = audit::check(day, std::move(records));
@@ -361,7 +383,8 @@
 int run_day(const DayWords& words) {
   auto read = standins::read_day(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
-    for (const auto& mistake : *mistakes) std::cerr << mistake.text() << '\n';
+    for (const auto& mistake : *mistakes)
+      std::cerr << mistake.text() << '\n';
     return 1;
   }
   const auto day = std::get<standins::Day>(std::move(read));
@@ -369,7 +392,8 @@
     auto folder = words.folder;
     if (folder.empty()) {
       auto pattern = (std::filesystem::temp_directory_path() / "violettide-day-XXXXXX").string();
-      if (!mkdtemp(pattern.data())) throw Unplayable{pattern + ": " + std::strerror(errno)};
+      if (!mkdtemp(pattern.data()))
+        throw Unplayable{pattern + ": " + std::strerror(errno)};
       folder = pattern;
     }
     std::filesystem::create_directories(folder);
@@ -393,7 +417,8 @@
 int run_audit(const AuditWords& words) {
   auto read = standins::read_day(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
-    for (const auto& mistake : *mistakes) std::cerr << mistake.text() << '\n';
+    for (const auto& mistake : *mistakes)
+      std::cerr << mistake.text() << '\n';
     return 1;
   }
   try {
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -27,16 +27,21 @@
 
 int run_platform() {
   const auto path = told("GW_CONFIG");
-  if (path.empty()) return wrong("GW_CONFIG: expected the configuration file's path");
+  if (path.empty())
+    return wrong("GW_CONFIG: expected the configuration file's path");
   const auto text = settings::file_text(path);
-  if (!text) return wrong(path + ": can't be read");
+  if (!text)
+    return wrong(path + ": can't be read");
   auto read = platform::read_start(*text);
-  if (const auto* fault = std::get_if<platform::StartFault>(&read)) return wrong(path + ": " + fault->cause);
+  if (const auto* fault = std::get_if<platform::StartFault>(&read))
+    return wrong(path + ": " + fault->cause);
   auto terms = std::get<platform::StartTerms>(std::move(read));
-  if (const auto name = told("GW_NAME"); !name.empty()) terms.name = name;
+  if (const auto name = told("GW_NAME"); !name.empty())
+    terms.name = name;
   if (const auto listen = told("GW_LISTEN"); !listen.empty()) {
     const auto place = platform::read_place(listen);
-    if (!place) return wrong("GW_LISTEN: expected address:port");
+    if (!place)
+      return wrong("GW_LISTEN: expected address:port");
     terms.listen = *place;
   }
   terms.wall_at_zero = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -26,7 +26,8 @@
 namespace {
 
 int tell(const settings::Mistakes& mistakes) {
-  for (const auto& mistake : mistakes) std::cerr << mistake.text() << '\n';
+  for (const auto& mistake : mistakes)
+    std::cerr << mistake.text() << '\n';
   std::cerr << mistakes.size() << (mistakes.size() == 1 ? " mistake\n" : " mistakes\n");
   return 1;
 }
@@ -52,16 +53,19 @@
 namespace {
 
 void write_ports(const std::string& path, const std::vector<std::uint16_t>& ports) {
-  if (path.empty()) return;
+  if (path.empty())
+    return;
   {
     std::ofstream file(path + ".new");
-    for (const auto port : ports) file << port << '\n';
+    for (const auto port : ports)
+      file << port << '\n';
   }
   std::rename((path + ".new").c_str(), path.c_str());
 }
 
 Span into_day(std::uint64_t origin_us, std::uint64_t zero_us) {
-  if (zero_us == 0) return Span(0);
+  if (zero_us == 0)
+    return Span(0);
   return Span(static_cast<std::int64_t>(origin_us) - static_cast<std::int64_t>(zero_us));
 }
 
@@ -69,12 +73,15 @@
 class TraceFile {
  public:
   explicit TraceFile(const std::string& folder, const std::string& name) {
-    if (!folder.empty()) writer_ = std::make_unique<trace::Writer>(folder + "/" + name);
+    if (!folder.empty())
+      writer_ = std::make_unique<trace::Writer>(folder + "/" + name);
   }
   void put(const trace::Passed& record) {
-    if (!writer_) return;
+    if (!writer_)
+      return;
     writer_->put(record);
-    if (++count_ % 512 == 0) writer_->flush();
+    if (++count_ % 512 == 0)
+      writer_->flush();
   }
 
  private:
@@ -86,7 +93,8 @@
 class Later : public Core {
  public:
   void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
-    if (core) core->handle(now, what, actions);
+    if (core)
+      core->handle(now, what, actions);
   }
   std::unique_ptr<Core> core;
 };
@@ -149,7 +157,8 @@
 // The managers of the hall by words in place of the settings', this one's place among them, and their key.
 bool take_peers(const ServeWords& words, const std::string& key_from, const std::string& own,
                 peers::PeerTerms& terms) {
-  if (!words.peers.empty()) terms.all.clear();
+  if (!words.peers.empty())
+    terms.all.clear();
   for (const auto& word : words.peers) {
     const auto colon = word.rfind(':');
     const int port = colon == std::string::npos ? 0 : std::atoi(word.c_str() + colon + 1);
@@ -159,7 +168,8 @@
     }
     terms.all.push_back({word.substr(0, colon), "127.0.0.1", static_cast<std::uint16_t>(port)});
   }
-  if (terms.all.empty()) return true;
+  if (terms.all.empty())
+    return true;
   const auto at =
       std::find_if(terms.all.begin(), terms.all.end(), [&](auto& peer) { return peer.name == own; });
   if (at == terms.all.end()) {
@@ -194,7 +204,8 @@
     }
     secrets.clear();
     for (std::string line; std::getline(lines, line);) {
-      if (!line.empty()) secrets.push_back(line);
+      if (!line.empty())
+        secrets.push_back(line);
     }
     if (secrets.empty()) {
       std::cerr << "violettide: " << file << ": no secret in it\n";
@@ -223,16 +234,24 @@
 
 int run_serve(const ServeWords& words) {
   auto read = standins::read_settings(words.settings);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) return tell(*mistakes);
+  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+    return tell(*mistakes);
   auto deployment = std::get<settings::Deployment>(std::move(read));
   auto& front = deployment.front;
-  if (!words.name.empty()) front.name = words.name;
-  if (words.list_port) front.list_port = *words.list_port;
-  if (words.port) deployment.listen_port = *words.port;
-  if (words.control_port) deployment.control_port = *words.control_port;
-  if (words.feed_port) front.feed_port = *words.feed_port;
-  if (words.fronts) front.site.fronts = *words.fronts;
-  if (!words.keep_in.empty()) deployment.keep_in = words.keep_in;
+  if (!words.name.empty())
+    front.name = words.name;
+  if (words.list_port)
+    front.list_port = *words.list_port;
+  if (words.port)
+    deployment.listen_port = *words.port;
+  if (words.control_port)
+    deployment.control_port = *words.control_port;
+  if (words.feed_port)
+    front.feed_port = *words.feed_port;
+  if (words.fronts)
+    front.site.fronts = *words.fronts;
+  if (!words.keep_in.empty())
+    deployment.keep_in = words.keep_in;
   if (!words.hall.empty()) {
     const auto at = std::find(front.halls.begin(), front.halls.end(), words.hall);
     if (at == front.halls.end()) {
@@ -243,7 +262,8 @@
   }
   if (deployment.hls) {
     const auto& file = words.hls_secrets.empty() ? deployment.hls_secrets_from : words.hls_secrets;
-    if (!take_secrets(file, front.hls.passes.secrets)) return 2;
+    if (!take_secrets(file, front.hls.passes.secrets))
+      return 2;
   }
   // Guards against an owner that forgets what it gave out, and numbers its claims as before.
   if (front.entitlement.on && deployment.keep_in.empty()) {
@@ -251,16 +271,19 @@
         << "violettide: seats take a folder that survives a restart: front(keep_in = ...), or --keep-in\n";
     return 2;
   }
-  if (!take_peers(words, deployment.peers_key_from, front.name, front.peers)) return 2;
+  if (!take_peers(words, deployment.peers_key_from, front.name, front.peers))
+    return 2;
   if (words.number && (*words.number < 0 || *words.number >= front.site.fronts)) {
     std::cerr << "violettide: --number " << *words.number << ": expected 0 to " << front.site.fronts - 1
               << ", as there are " << front.site.fronts << " managers\n";
     return 2;
   }
-  if (words.number) front.site.own_number = *words.number;
+  if (words.number)
+    front.site.own_number = *words.number;
   if (!front.site.own_number && static_cast<int>(front.peers.all.size()) == front.site.fronts)
     front.site.own_number = static_cast<int>(front.peers.own);
-  if (words.keys_port) front.entitlement.keys_port = *words.keys_port;
+  if (words.keys_port)
+    front.entitlement.keys_port = *words.keys_port;
   front.wall_at_zero = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
   front.peer_door = front.catalogued ? 2 : 1;
   const auto kept = deployment.keep_in.empty()
@@ -275,8 +298,10 @@
       // What no longer matters is left out of the log here, once for each start.
       auto terms = front.entitlement.ledger;
       terms.own = front.peers.own;
-      for (const auto& peer : front.peers.all) terms.peers.push_back(peer.name);
-      if (terms.peers.empty()) terms.peers.push_back(front.name);
+      for (const auto& peer : front.peers.all)
+        terms.peers.push_back(peer.name);
+      if (terms.peers.empty())
+        terms.peers.push_back(front.name);
       const auto present = entitlement::Ledger(terms, 0, front.wall_at_zero, seats->records()).snapshot();
       front.entitlement.restart = seats->restart();
       front.entitlement.kept = present;
@@ -298,7 +323,8 @@
         const auto found = store->restore_to(manager.catalogue());
         log(Span(0), Say{"catalogue_restored",
                          {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
-        if (found.damaged) std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
+        if (found.damaged)
+          std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
       }
     }
     if (!front.peers.all.empty()) {
@@ -308,7 +334,8 @@
     Books books(store.get(), seats.get());
     runtime::Loop loop(manager, doors, log, deployment.keep_in, store || seats ? &books : nullptr);
     std::vector<std::uint16_t> ports;
-    for (int door = 0; door < static_cast<int>(doors.size()); ++door) ports.push_back(loop.port(door));
+    for (int door = 0; door < static_cast<int>(doors.size()); ++door)
+      ports.push_back(loop.port(door));
     write_ports(words.ports_to, ports);
     if (words.log.empty()) {
       std::cerr << "violettide: " << who << " listens at http://" << deployment.listen_address << ":"
@@ -336,14 +363,17 @@
     };
     const auto found = entitlement::replayed(records);
     if (!words.audit) {
-      for (const auto& [key, record] : found.given) tell_seat(record, "");
+      for (const auto& [key, record] : found.given)
+        tell_seat(record, "");
       for (const auto& [key, record] : found.asked)
         std::printf("asked  %-20s %-40s by this manager\n", key.team.c_str(), key.who.c_str());
     }
-    for (const auto& [record, why] : odd) tell_seat(record, ": odd: " + why);
+    for (const auto& [record, why] : odd)
+      tell_seat(record, ": odd: " + why);
     std::printf("%zu seats given, %zu odd; %zu asked for by this manager; %zu records\n", found.given.size(),
                 odd.size(), found.asked.size(), records.size());
-    if (words.audit && !odd.empty()) return 1;
+    if (words.audit && !odd.empty())
+      return 1;
     return 0;
   } catch (const entitlement::SeatLog::Unusable& unusable) {
     std::cerr << "violettide: " << unusable.what << '\n';
@@ -363,23 +393,28 @@
 
 int run_boxes(const StandinWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) return tell(*mistakes);
+  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+    return tell(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
   return guarded([&] {
     TraceFile trace(words.folder, "boxes.trace");
     Later later;
     std::vector<runtime::Listening> doors(day.boxes.size(), {"127.0.0.1", 0});
     doors.push_back({"127.0.0.1", day.deployment.front.list_port});
-    if (day.deployment.front.catalogued) doors.push_back({"127.0.0.1", day.deployment.front.feed_port});
-    if (day.deployment.front.entitlement.on) doors.push_back({"127.0.0.1", 0});
+    if (day.deployment.front.catalogued)
+      doors.push_back({"127.0.0.1", day.deployment.front.feed_port});
+    if (day.deployment.front.entitlement.on)
+      doors.push_back({"127.0.0.1", 0});
     runtime::Loop loop(later, doors, log_to(words.folder.empty() ? "" : words.folder + "/boxes.log", "boxes"),
                        "");
     std::vector<std::uint16_t> ports;
-    for (int i = 0; i < static_cast<int>(doors.size()); ++i) ports.push_back(loop.port(i));
+    for (int i = 0; i < static_cast<int>(doors.size()); ++i)
+      ports.push_back(loop.port(i));
     auto fleet = std::make_unique<standins::Fleet>(day, ports, into_day(loop.origin_us(), words.zero_us),
                                                    [&](const trace::Passed& record) { trace.put(record); });
     fleet->clock_at(loop.origin_us());
-    if (day.deployment.front.entitlement.on) fleet->issue_by(issuer_in(words.folder, day));
+    if (day.deployment.front.entitlement.on)
+      fleet->issue_by(issuer_in(words.folder, day));
     later.core = std::move(fleet);
     write_ports(words.ports_to, ports);
     if (words.ports_to.empty())
@@ -392,7 +427,8 @@
 
 int run_viewers(const StandinWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) return tell(*mistakes);
+  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+    return tell(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
   std::vector<standins::Door> doors;
   for (const auto& word : words.managers) {
--- a/src/entitlement/gate/gate.cpp
+++ b/src/entitlement/gate/gate.cpp
@@ -21,12 +21,14 @@
     bad_.erase(bad_order_.front());
     bad_order_.pop_front();
   }
-  if (bad_.emplace(std::string(token), fault).second) bad_order_.emplace_back(token);
+  if (bad_.emplace(std::string(token), fault).second)
+    bad_order_.emplace_back(token);
 }
 
 Judged Gate::judge(Span now, const Shown& shown) {
   const auto refuse = [&](TokenFault fault) -> Judged { return Bad{fault}; };
-  if (shown.token.size() > most_token_bytes) return refuse(TokenFault::malformed);
+  if (shown.token.size() > most_token_bytes)
+    return refuse(TokenFault::malformed);
   const std::string text(shown.token);
   if (const auto known = bad_.find(text); known != bad_.end()) {
     ++counts_.refused_cheaply;
@@ -36,7 +38,8 @@
     return judge_token(now, shown, known->second);
   }
   const auto head = read_unsigned(shown.token);
-  if (const auto* fault = std::get_if<TokenFault>(&head)) return refuse(*fault);
+  if (const auto* fault = std::get_if<TokenFault>(&head))
+    return refuse(*fault);
   const auto& key_id = std::get<Unsigned>(head).key_id;
   const auto key = keys_.find(key_id);
   const bool stale = ever_ && now - answered_at_ > terms_.keys_kept;
@@ -83,10 +86,14 @@
     }
     forget_at_.erase(forget_at_.begin());
   }
-  if (token.not_before > now + terms_.skew) return refuse(TokenFault::not_yet);
-  if (token.expires + terms_.skew <= now) return refuse(TokenFault::expired);
-  if (!among(token.plans, shown.plan)) return refuse(TokenFault::not_this_plan);
-  if (!among(token.titles, shown.title)) return refuse(TokenFault::not_this_title);
+  if (token.not_before > now + terms_.skew)
+    return refuse(TokenFault::not_yet);
+  if (token.expires + terms_.skew <= now)
+    return refuse(TokenFault::expired);
+  if (!among(token.plans, shown.plan))
+    return refuse(TokenFault::not_this_plan);
+  if (!among(token.titles, shown.title))
+    return refuse(TokenFault::not_this_title);
   const auto who = token.subject + "/" + std::string(shown.session);
   const auto seat = token.team + "/" + who;
   const auto gone_at = token.expires + terms_.skew + terms_.grace;
@@ -97,7 +104,8 @@
     return refuse(TokenFault::replayed);
   // A renewal takes the older token's place; that one is not taken again.
   auto& [issued, forget] = newest_[seat];
-  if (token.issued < issued) return refuse(TokenFault::replayed);
+  if (token.issued < issued)
+    return refuse(TokenFault::replayed);
   if (token.issued > issued || forget < gone_at) {
     issued = token.issued;
     forget = gone_at;
@@ -107,10 +115,12 @@
 }
 
 bool Gate::wants_fetch(Span now) {
-  if (fetching_) return false;
+  if (fetching_)
+    return false;
   const bool due = !ever_ || now - fetched_at_ >= terms_.fetch_every ||
                    (wanted_ && now - fetched_at_ >= terms_.fetch_least);
-  if (!due) return false;
+  if (!due)
+    return false;
   fetching_ = true;
   wanted_ = false;
   ever_ = true;
--- a/src/entitlement/ledger/ledger.cpp
+++ b/src/entitlement/ledger/ledger.cpp
@@ -28,7 +28,8 @@
   for (Peer peer = 0; peer < terms.peers.size(); ++peer) {
     const auto& name = terms.peers[peer];
     const auto weight = XXH64(team.data(), team.size(), XXH64(name.data(), name.size(), 0));
-    if (peer == 0 || weight > most) best = peer, most = weight;
+    if (peer == 0 || weight > most)
+      best = peer, most = weight;
   }
   return best;
 }
@@ -64,7 +65,8 @@
   std::vector<OddSeat> odd;
   std::map<std::pair<Peer, ClaimNumber>, int> claims;
   for (const auto& [key, record] : replayed(records).given) {
-    if (record.until < now) odd.push_back({record, "past its time"});
+    if (record.until < now)
+      odd.push_back({record, "past its time"});
     if (++claims[{record.holder, record.number}] > 1)
       odd.push_back({record, "its claim has another seat too"});
   }
@@ -86,7 +88,8 @@
   }
   for (const auto& [key, record] : found.given) {
     auto& team = team_of(key.team);
-    if (record.issued >= team.issued) team.seats = record.seats, team.issued = record.issued;
+    if (record.issued >= team.issued)
+      team.seats = record.seats, team.issued = record.issued;
     team.held[key.who] = {record.holder, record.number, record.until, 0, {}};
   }
   for (const auto& record : found.freed) {
@@ -193,7 +196,8 @@
 
 void Ledger::on(const Left& what) {
   const auto found = own_.find(what.key);
-  if (found == own_.end() || found->second.state == Own::State::returning) return;
+  if (found == own_.end() || found->second.state == Own::State::returning)
+    return;
   give_back(found->first, found->second);
 }
 
@@ -216,18 +220,23 @@
     if (const auto found = own_.find(key); found != own_.end() && found->second.ticket == ticket) {
       auto& own = found->second;
       own.ticket = 0;
-      if (own.state == Own::State::keeping) own.state = Own::State::asking;
-      if (own.state == Own::State::asking || own.renewing) send(key, own);
+      if (own.state == Own::State::keeping)
+        own.state = Own::State::asking;
+      if (own.state == Own::State::asking || own.renewing)
+        send(key, own);
     }
     const auto team = teams_.find(key.team);
-    if (team == teams_.end()) continue;
+    if (team == teams_.end())
+      continue;
     const auto held = team->second.held.find(key.who);
-    if (held == team->second.held.end() || held->second.ticket != ticket) continue;
+    if (held == team->second.held.end() || held->second.ticket != ticket)
+      continue;
     auto& seat = held->second;
     seat.ticket = 0;
     for (const auto& [holder, number] : std::exchange(seat.taken_from, {}))
       tell(holder, SeatTaken{key, number});
-    if (!terms_.planted.answers_unkept) tell(seat.holder, SeatGiven{key, seat.number, seat.until});
+    if (!terms_.planted.answers_unkept)
+      tell(seat.holder, SeatGiven{key, seat.number, seat.until});
   }
 }
 
@@ -249,7 +258,8 @@
     own.held_until = given.until;
     actions_->push_back(Admit{given.key, given.until});
   }
-  if (own.held_until >= own.until) own.renewing = false;
+  if (own.held_until >= own.until)
+    own.renewing = false;
 }
 
 void Ledger::heard(Peer from, const SeatRefused& refused) {
@@ -311,12 +321,14 @@
 }
 
 void Ledger::heard(Peer from, const AskSeat& ask) {
-  if (owner_of(terms_, ask.key.team) != terms_.own) return;
+  if (owner_of(terms_, ask.key.team) != terms_.own)
+    return;
   auto& team = team_of(ask.key.team);
   free_lapsed(team, ask.key.team);
   const auto refuse = [&] {
     Span first = Span::max();
-    for (const auto& [who, seat] : team.held) first = std::min(first, seat.until + terms_.skew - now_);
+    for (const auto& [who, seat] : team.held)
+      first = std::min(first, seat.until + terms_.skew - now_);
     tell(from, SeatRefused{ask.key, ask.number, first == Span::max() ? Span(0) : first});
   };
   // Guards against a copy of a claim that is over: it was given back, or its token is past its time.
@@ -331,10 +343,12 @@
   const auto found = team.held.find(ask.key.who);
   if (found != team.held.end()) {
     auto& seat = found->second;
-    if (seat.holder == from && ask.number < seat.number) return;  // a copy of an older claim
+    if (seat.holder == from && ask.number < seat.number)
+      return;  // a copy of an older claim
     const bool moved = seat.holder != from || seat.number != ask.number;
     if (!moved && ask.until <= seat.until) {
-      if (seat.ticket == 0) tell(from, SeatGiven{ask.key, seat.number, seat.until});
+      if (seat.ticket == 0)
+        tell(from, SeatGiven{ask.key, seat.number, seat.until});
       return;
     }
     if (seat.holder != from) {
@@ -348,19 +362,23 @@
     seat.number = ask.number;
     seat.until = std::max(seat.until, ask.until);
   } else {
-    if (static_cast<int>(team.held.size()) >= team.seats) return refuse();
+    if (static_cast<int>(team.held.size()) >= team.seats)
+      return refuse();
     team.held[ask.key.who] = {from, ask.number, ask.until, 0, {}};
   }
   auto& seat = team.held[ask.key.who];
   // On the disk before it is given: after a crash the book must not be shorter than what was given out.
   seat.ticket = keep({Record::What::given, ask.key, from, seat.number, team.seats, team.issued, seat.until});
   // Behind it, so that no crash between them frees what may still be played.
-  if (went) keep({Record::What::freed, ask.key, went->first, went->second, 0, Span(0), seat.until});
-  if (terms_.planted.answers_unkept) tell(from, SeatGiven{ask.key, seat.number, seat.until});
+  if (went)
+    keep({Record::What::freed, ask.key, went->first, went->second, 0, Span(0), seat.until});
+  if (terms_.planted.answers_unkept)
+    tell(from, SeatGiven{ask.key, seat.number, seat.until});
 }
 
 void Ledger::heard(Peer from, const GiveBack& back) {
-  if (owner_of(terms_, back.key.team) != terms_.own) return;
+  if (owner_of(terms_, back.key.team) != terms_.own)
+    return;
   auto& team = team_of(back.key.team);
   const auto seat = team.held.find(back.key.who);
   Span until = back.until;
@@ -395,7 +413,8 @@
         if (now_ - own.asked_at >= terms_.ask_limit) {
           // Whether it was given is not known: it is given back until the owner says that it heard.
           actions_->push_back(TurnAway{TurnAway::Why::owner_silent, key, terms_.ask_limit});
-          if (own.state == Own::State::keeping && own.ticket != 0) own.ticket = 0;
+          if (own.state == Own::State::keeping && own.ticket != 0)
+            own.ticket = 0;
           give_back(key, own);
         } else if (own.state == Own::State::asking && now_ - own.sent_at >= terms_.ask_again) {
           send(key, own);
@@ -434,8 +453,10 @@
 
 Ledger::Sums Ledger::sums() const {
   Sums sums;
-  for (const auto& [key, own] : own_) ++(own.state == Own::State::held ? sums.held : sums.asked);
-  for (const auto& [name, team] : teams_) sums.in_book += team.held.size();
+  for (const auto& [key, own] : own_)
+    ++(own.state == Own::State::held ? sums.held : sums.asked);
+  for (const auto& [name, team] : teams_)
+    sums.in_book += team.held.size();
   return sums;
 }
 
--- a/src/entitlement/seatlog/seatlog.cpp
+++ b/src/entitlement/seatlog/seatlog.cpp
@@ -10,24 +10,28 @@
 class SeatLog::Database {
  public:
   explicit Database(const std::string& path) : path_(path) {
-    if (sqlite3_open(path.c_str(), &handle_) != SQLITE_OK) fail("open");
+    if (sqlite3_open(path.c_str(), &handle_) != SQLITE_OK)
+      fail("open");
     run("PRAGMA journal_mode=WAL");
     run("PRAGMA synchronous=FULL");
     run("CREATE TABLE IF NOT EXISTS log(at INTEGER PRIMARY KEY, bytes BLOB NOT NULL, sum INTEGER NOT NULL)");
     run("CREATE TABLE IF NOT EXISTS starts(number INTEGER PRIMARY KEY)");
   }
   ~Database() {
-    if (put_) sqlite3_finalize(put_);
+    if (put_)
+      sqlite3_finalize(put_);
     sqlite3_close(handle_);
   }
   void run(const char* sql) {
-    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(sql);
+    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
+      fail(sql);
   }
   std::uint32_t start() {
     run("INSERT INTO starts SELECT coalesce(max(number), 0) + 1 FROM starts");
     sqlite3_stmt* ask = nullptr;
     sqlite3_prepare_v2(handle_, "SELECT max(number) FROM starts", -1, &ask, nullptr);
-    if (sqlite3_step(ask) != SQLITE_ROW) fail("read the count of starts");
+    if (sqlite3_step(ask) != SQLITE_ROW)
+      fail("read the count of starts");
     const auto number = static_cast<std::uint32_t>(sqlite3_column_int64(ask, 0));
     sqlite3_finalize(ask);
     return number;
@@ -52,7 +56,8 @@
       records.push_back(*record);
     }
     sqlite3_finalize(ask);
-    if (code != SQLITE_DONE) fail("read");
+    if (code != SQLITE_DONE)
+      fail("read");
     return records;
   }
   std::string put(std::string_view bytes) {
@@ -103,7 +108,8 @@
     std::string failed;
     for (std::size_t at = 0; at + 4 <= bytes.size() && failed.empty();) {
       std::size_t size = 0;
-      for (int i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(bytes[at++]);
+      for (int i = 0; i < 4; ++i)
+        size = size << 8 | static_cast<unsigned char>(bytes[at++]);
       failed = database_->put(std::string_view(bytes).substr(at, size));
       at += size;
     }
--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -39,7 +39,8 @@
 constexpr std::size_t least_modulus = 256;  // bytes; RFC 7518, 3.3
 
 std::optional<std::string> octets(const json& key, const char* name) {
-  if (!key.contains(name) || !key[name].is_string()) return std::nullopt;
+  if (!key.contains(name) || !key[name].is_string())
+    return std::nullopt;
   return signing::from_base64url(key[name].get<std::string>());
 }
 
@@ -51,7 +52,8 @@
     return "";
   const Key key(made);
   const std::unique_ptr<BIO, Frees<BIO_free_all>> bio(BIO_new(BIO_s_mem()));
-  if (PEM_write_bio_PUBKEY(bio.get(), key.get()) != 1) return "";
+  if (PEM_write_bio_PUBKEY(bio.get(), key.get()) != 1)
+    return "";
   char* bytes = nullptr;
   const auto size = BIO_get_mem_data(bio.get(), &bytes);
   return {bytes, static_cast<std::size_t>(size)};
@@ -59,7 +61,8 @@
 
 std::string elliptic_pem(const json& key, const char* group, std::size_t size) {
   const auto x = octets(key, "x"), y = octets(key, "y");
-  if (!x || !y || x->size() != size || y->size() != size) return "";
+  if (!x || !y || x->size() != size || y->size() != size)
+    return "";
   const auto point = std::string(1, '\x04') + *x + *y;
   const Build build(OSSL_PARAM_BLD_new());
   OSSL_PARAM_BLD_push_utf8_string(build.get(), OSSL_PKEY_PARAM_GROUP_NAME, group, 0);
@@ -70,7 +73,8 @@
 
 std::string rsa_pem(const json& key) {
   const auto n = octets(key, "n"), e = octets(key, "e");
-  if (!n || !e || n->size() < least_modulus || n->size() > 1024 || e->empty() || e->size() > 8) return "";
+  if (!n || !e || n->size() < least_modulus || n->size() > 1024 || e->empty() || e->size() > 8)
+    return "";
   const auto number = [](const std::string& bytes) {
     return Number(BN_bin2bn(reinterpret_cast<const unsigned char*>(bytes.data()),
                             static_cast<int>(bytes.size()), nullptr));
@@ -90,15 +94,18 @@
 }
 
 bool texts(const json& claims, const char* name, std::vector<std::string>& into) {
-  if (!claims.contains(name)) return true;
+  if (!claims.contains(name))
+    return true;
   const auto& claim = claims[name];
   if (claim.is_string()) {
     into.push_back(claim);
     return true;
   }
-  if (!claim.is_array()) return false;
+  if (!claim.is_array())
+    return false;
   for (const auto& one : claim) {
-    if (!one.is_string()) return false;
+    if (!one.is_string())
+      return false;
     into.push_back(one);
   }
   return true;
@@ -106,10 +113,13 @@
 
 // NumericDate (RFC 7519, 2): seconds, a fraction allowed.
 bool date(const json& claims, const char* name, Span& into) {
-  if (!claims.contains(name)) return true;
-  if (!claims[name].is_number()) return false;
+  if (!claims.contains(name))
+    return true;
+  if (!claims[name].is_number())
+    return false;
   const double seconds = claims[name];
-  if (!(seconds >= 0 && seconds < 1e11)) return false;
+  if (!(seconds >= 0 && seconds < 1e11))
+    return false;
   into = Span(static_cast<std::int64_t>(seconds * 1e6));
   return true;
 }
@@ -117,9 +127,12 @@
 }  // namespace
 
 std::optional<Algorithm> algorithm_of(std::string_view name) {
-  if (name == "ES256") return Algorithm::es256;
-  if (name == "ES384") return Algorithm::es384;
-  if (name == "RS256") return Algorithm::rs256;
+  if (name == "ES256")
+    return Algorithm::es256;
+  if (name == "ES384")
+    return Algorithm::es384;
+  if (name == "RS256")
+    return Algorithm::rs256;
   return std::nullopt;
 }
 
@@ -142,8 +155,10 @@
 
 std::variant<ReadKeys, std::string> read_key_set(std::string_view text) {
   const auto set = json::parse(text, nullptr, false);
-  if (!set.is_object() || !set.contains("keys") || !set["keys"].is_array()) return std::string("no JWK set");
-  if (set["keys"].size() > most_keys) return "more than " + std::to_string(most_keys) + " keys";
+  if (!set.is_object() || !set.contains("keys") || !set["keys"].is_array())
+    return std::string("no JWK set");
+  if (set["keys"].size() > most_keys)
+    return "more than " + std::to_string(most_keys) + " keys";
   ReadKeys read;
   std::size_t number = 0;
   for (const auto& key : set["keys"]) {
@@ -193,15 +208,20 @@
   if (token.empty() || token.size() > most_token_bytes || std::count(token.begin(), token.end(), '.') != 2)
     return TokenFault::malformed;
   const auto header = signing::from_base64url(token.substr(0, token.find('.')));
-  if (!header) return TokenFault::malformed;
+  if (!header)
+    return TokenFault::malformed;
   const auto read = json::parse(*header, nullptr, false);
-  if (!read.is_object() || !read.contains("alg") || !read["alg"].is_string()) return TokenFault::malformed;
+  if (!read.is_object() || !read.contains("alg") || !read["alg"].is_string())
+    return TokenFault::malformed;
   // Extensions that must be understood are not (RFC 7515, 4.1.11).
-  if (read.contains("crit")) return TokenFault::malformed;
+  if (read.contains("crit"))
+    return TokenFault::malformed;
   Unsigned made;
   made.algorithm = read["alg"];
-  if (!algorithm_of(made.algorithm)) return TokenFault::no_algorithm;
-  if (!read.contains("kid") || !read["kid"].is_string()) return TokenFault::unknown_key;
+  if (!algorithm_of(made.algorithm))
+    return TokenFault::no_algorithm;
+  if (!read.contains("kid") || !read["kid"].is_string())
+    return TokenFault::unknown_key;
   made.key_id = read["kid"];
   return made;
 }
@@ -209,21 +229,27 @@
 std::variant<Token, TokenFault> verify(std::string_view token, const PublicKey& key,
                                        std::string_view audience) {
   const auto head = read_unsigned(token);
-  if (const auto* fault = std::get_if<TokenFault>(&head)) return *fault;
+  if (const auto* fault = std::get_if<TokenFault>(&head))
+    return *fault;
   // Guards against a token that chooses how it is checked: the key's algorithm counts.
-  if (algorithm_of(std::get<Unsigned>(head).algorithm) != key.algorithm) return TokenFault::wrong_algorithm;
+  if (algorithm_of(std::get<Unsigned>(head).algorithm) != key.algorithm)
+    return TokenFault::wrong_algorithm;
   jwt_t* decoded = nullptr;
   const std::string text(token);
   const int code = jwt_decode(&decoded, text.c_str(), reinterpret_cast<const unsigned char*>(key.pem.data()),
                               static_cast<int>(key.pem.size()));
   const Jwt jwt(decoded);
-  if (code != 0 || !jwt || jwt_get_alg(jwt.get()) != jwt_algorithm(key.algorithm)) return TokenFault::forged;
+  if (code != 0 || !jwt || jwt_get_alg(jwt.get()) != jwt_algorithm(key.algorithm))
+    return TokenFault::forged;
   const std::unique_ptr<char, Frees<std::free>> grants(jwt_get_grants_json(jwt.get(), nullptr));
   const auto claims = grants ? json::parse(grants.get(), nullptr, false) : json();
-  if (!claims.is_object()) return TokenFault::malformed;
+  if (!claims.is_object())
+    return TokenFault::malformed;
   const auto text_of = [&](const char* name, std::string& into) {
-    if (!claims.contains(name)) return true;
-    if (!claims[name].is_string()) return false;
+    if (!claims.contains(name))
+      return true;
+    if (!claims[name].is_string())
+      return false;
     into = claims[name];
     return true;
   };
@@ -252,7 +278,8 @@
 std::string sign(const std::string& claims_json, Algorithm algorithm, const std::string& key_id,
                  const std::string& private_pem) {
   jwt_t* made = nullptr;
-  if (jwt_new(&made) != 0) return "";
+  if (jwt_new(&made) != 0)
+    return "";
   const Jwt jwt(made);
   if (jwt_add_grants_json(made, claims_json.c_str()) != 0 ||
       jwt_add_header(made, "kid", key_id.c_str()) != 0 ||
--- a/src/entitlement/words/words.cpp
+++ b/src/entitlement/words/words.cpp
@@ -51,9 +51,11 @@
 
 std::optional<Message> read_message(std::string_view bytes) {
   SeatWord word;
-  if (!word.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
+  if (!word.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+    return std::nullopt;
   const SeatKey key{word.team(), word.who()};
-  if (key.team.empty() || key.who.empty()) return std::nullopt;
+  if (key.team.empty() || key.who.empty())
+    return std::nullopt;
   switch (word.kind()) {
     case SeatWord::ASK:
       return AskSeat{key, word.number(), word.seats(), Span(word.issued_us()), Span(word.until_us())};
--- a/src/gzip/gzip.cpp
+++ b/src/gzip/gzip.cpp
@@ -15,7 +15,8 @@
 
 std::optional<std::string> unpacked(std::string_view bytes, std::size_t most) {
   z_stream stream{};
-  if (inflateInit2(&stream, gzip_window) != Z_OK) return std::nullopt;
+  if (inflateInit2(&stream, gzip_window) != Z_OK)
+    return std::nullopt;
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
   stream.avail_in = static_cast<uInt>(bytes.size());
   std::string text;
@@ -27,11 +28,13 @@
     stream.avail_out = static_cast<uInt>(text.size() - before);
     code = inflate(&stream, Z_NO_FLUSH);
     text.resize(text.size() - stream.avail_out);
-    if (text.size() == before && stream.avail_in == 0) break;
+    if (text.size() == before && stream.avail_in == 0)
+      break;
   }
   const bool all_read = stream.avail_in == 0;
   inflateEnd(&stream);
-  if (code != Z_STREAM_END || !all_read || text.size() > most) return std::nullopt;
+  if (code != Z_STREAM_END || !all_read || text.size() > most)
+    return std::nullopt;
   return text;
 }
 
@@ -56,9 +59,12 @@
     from = end + 1;
     const auto semicolon = coding.find(';');
     auto name = coding.substr(0, semicolon);
-    while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
-    while (!name.empty() && name.back() == ' ') name.remove_suffix(1);
-    if (name != "gzip" && name != "x-gzip" && name != "*") continue;
+    while (!name.empty() && name.front() == ' ')
+      name.remove_prefix(1);
+    while (!name.empty() && name.back() == ' ')
+      name.remove_suffix(1);
+    if (name != "gzip" && name != "x-gzip" && name != "*")
+      continue;
     const auto weight = semicolon == std::string_view::npos ? std::string_view::npos : coding.find("q=");
     return weight == std::string_view::npos ||
            std::strtod(std::string(coding.substr(weight + 2)).c_str(), nullptr) > 0;
--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -36,7 +36,8 @@
 template <typename Kind, std::size_t count>
 std::string_view letter_of(const std::array<Letter<Kind>, count>& letters, Kind kind) {
   for (const auto& letter : letters) {
-    if (letter.kind == kind) return letter.text;
+    if (letter.kind == kind)
+      return letter.text;
   }
   return {};
 }
@@ -48,25 +49,33 @@
 // Counts round to hundreds when written, but any whole number of at least 0 is read.
 Cause take_count(const Raw& raw, std::optional<std::int64_t>& into) {
   const auto* value = raw ? std::get_if<std::int64_t>(&*raw) : nullptr;
-  if (!value) return "expected a whole number";
-  if (*value < 0) return "expected no negative number";
+  if (!value)
+    return "expected a whole number";
+  if (*value < 0)
+    return "expected no negative number";
   into = *value;
   return {};
 }
 
 Cause take_flag(const Raw& raw, bool& into) {
-  if (!raw) return into = true, Cause{};
-  if (const auto* flag = std::get_if<bool>(&*raw)) return into = *flag, Cause{};
+  if (!raw)
+    return into = true, Cause{};
+  if (const auto* flag = std::get_if<bool>(&*raw))
+    return into = *flag, Cause{};
   const auto* word = std::get_if<Token>(&*raw);  // `bs=true` was common before version 1 was settled
-  if (word && (word->text == "true" || word->text == "false")) return into = word->text == "true", Cause{};
+  if (word && (word->text == "true" || word->text == "false"))
+    return into = word->text == "true", Cause{};
   return "expected the bare key, true or false";
 }
 
 Cause take_text(const Raw& raw, std::optional<std::string>& into, std::size_t most) {
   const auto* value = raw ? std::get_if<std::string>(&*raw) : nullptr;
-  if (!value) return "expected a quoted string";
-  if (value->empty()) return "expected some text";
-  if (value->size() > most) return "longer than " + std::to_string(most) + " characters";
+  if (!value)
+    return "expected a quoted string";
+  if (value->empty())
+    return "expected some text";
+  if (value->size() > most)
+    return "longer than " + std::to_string(most) + " characters";
   into = *value;
   return {};
 }
@@ -75,41 +84,55 @@
 Cause take_letter(const Raw& raw, const std::array<Letter<Kind>, count>& letters, std::optional<Kind>& into) {
   const auto* word = raw ? std::get_if<Token>(&*raw) : nullptr;
   for (const auto& letter : letters) {
-    if (word && word->text == letter.text) return into = letter.kind, Cause{};
+    if (word && word->text == letter.text)
+      return into = letter.kind, Cause{};
   }
   return "expected one of the key's tokens";
 }
 
 Cause take_rate(const Raw& raw, double& into) {
-  if (!raw) return "expected a number";
+  if (!raw)
+    return "expected a number";
   const auto* whole = std::get_if<std::int64_t>(&*raw);
   const auto* parts = std::get_if<double>(&*raw);
-  if (!whole && !parts) return "expected a number";
+  if (!whole && !parts)
+    return "expected a number";
   const double value = whole ? static_cast<double>(*whole) : *parts;
-  if (value < 0) return "expected no negative number";
+  if (value < 0)
+    return "expected no negative number";
   into = value;
   return {};
 }
 
 Cause take(Cmcd& hints, std::string_view key, const Raw& raw) {
-  if (key == "br") return take_count(raw, hints.encoded_bitrate);
-  if (key == "bl") return take_count(raw, hints.buffer_length);
-  if (key == "bs") return take_flag(raw, hints.buffer_starved);
-  if (key == "cid") return take_text(raw, hints.content_id, most_text);
-  if (key == "d") return take_count(raw, hints.object_duration);
-  if (key == "dl") return take_count(raw, hints.deadline);
-  if (key == "mtp") return take_count(raw, hints.measured_throughput);
+  if (key == "br")
+    return take_count(raw, hints.encoded_bitrate);
+  if (key == "bl")
+    return take_count(raw, hints.buffer_length);
+  if (key == "bs")
+    return take_flag(raw, hints.buffer_starved);
+  if (key == "cid")
+    return take_text(raw, hints.content_id, most_text);
+  if (key == "d")
+    return take_count(raw, hints.object_duration);
+  if (key == "dl")
+    return take_count(raw, hints.deadline);
+  if (key == "mtp")
+    return take_count(raw, hints.measured_throughput);
   if (key == "nor") {
     std::optional<std::string> coded;
-    if (auto cause = take_text(raw, coded, 4096)) return cause;
+    if (auto cause = take_text(raw, coded, 4096))
+      return cause;
     const auto plain = http::percent_decoded(*coded);
-    if (!plain) return "malformed percent-encoding";
+    if (!plain)
+      return "malformed percent-encoding";
     hints.next_object = *plain;
     return {};
   }
   if (key == "nrr") {
     std::optional<std::string> range;
-    if (auto cause = take_text(raw, range, 64)) return cause;
+    if (auto cause = take_text(raw, range, 64))
+      return cause;
     const auto dash = range->find('-');
     if (dash == std::string::npos || range->size() == 1 || range->find('-', dash + 1) != std::string::npos ||
         range->find_first_not_of("0123456789-") != std::string::npos)
@@ -117,29 +140,42 @@
     hints.next_range = *range;
     return {};
   }
-  if (key == "ot") return take_letter(raw, object_types, hints.object_type);
-  if (key == "pr") return take_rate(raw, hints.playback_rate);
-  if (key == "rtp") return take_count(raw, hints.requested_maximum);
-  if (key == "sf") return take_letter(raw, formats, hints.format);
-  if (key == "sid") return take_text(raw, hints.session_id, most_text);
-  if (key == "st") return take_letter(raw, stream_types, hints.stream_type);
-  if (key == "su") return take_flag(raw, hints.startup);
-  if (key == "tb") return take_count(raw, hints.top_bitrate);
+  if (key == "ot")
+    return take_letter(raw, object_types, hints.object_type);
+  if (key == "pr")
+    return take_rate(raw, hints.playback_rate);
+  if (key == "rtp")
+    return take_count(raw, hints.requested_maximum);
+  if (key == "sf")
+    return take_letter(raw, formats, hints.format);
+  if (key == "sid")
+    return take_text(raw, hints.session_id, most_text);
+  if (key == "st")
+    return take_letter(raw, stream_types, hints.stream_type);
+  if (key == "su")
+    return take_flag(raw, hints.startup);
+  if (key == "tb")
+    return take_count(raw, hints.top_bitrate);
   if (key == "v") {
     std::optional<std::int64_t> version;
-    if (auto cause = take_count(raw, version)) return cause;
-    if (*version != 1) return "a version that this front does not read";
+    if (auto cause = take_count(raw, version))
+      return cause;
+    if (*version != 1)
+      return "a version that this front does not read";
     hints.version = 1;
     return {};
   }
-  if (key.find('-') == std::string_view::npos) return "not a reserved key, and no custom key's hyphen";
+  if (key.find('-') == std::string_view::npos)
+    return "not a reserved key, and no custom key's hyphen";
   hints.custom.emplace_back(key, raw.value_or(true));
   return {};
 }
 
 std::string_view trimmed(std::string_view text) {
-  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+    text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+    text.remove_suffix(1);
   return text;
 }
 
@@ -153,7 +189,8 @@
       ++i;
       continue;
     }
-    if (i < text.size() && text[i] == '"') quoted = !quoted;
+    if (i < text.size() && text[i] == '"')
+      quoted = !quoted;
     if (i >= text.size() || (text[i] == ',' && !quoted)) {
       parts.push_back(trimmed(text.substr(from, std::min(i, text.size()) - from)));
       from = i + 1;
@@ -163,7 +200,8 @@
 }
 
 bool is_key(std::string_view key) {
-  if (key.empty()) return false;
+  if (key.empty())
+    return false;
   return std::all_of(key.begin(), key.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.';
   });
@@ -174,18 +212,22 @@
                                                        "CMCD-Status"};
 std::size_t header_of(std::string_view key) {
   for (const auto own : {"br", "d", "ot", "tb"})
-    if (key == own) return 0;
+    if (key == own)
+      return 0;
   for (const auto own : {"bl", "dl", "mtp", "nor", "nrr", "su"})
-    if (key == own) return 1;
+    if (key == own)
+      return 1;
   for (const auto own : {"cid", "pr", "sf", "sid", "st", "v"})
-    if (key == own) return 2;
+    if (key == own)
+      return 2;
   return 3;
 }
 
 std::string quoted(std::string_view text) {
   std::string made = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\') made += '\\';
+    if (c == '"' || c == '\\')
+      made += '\\';
     made += c;
   }
   return made += '"';
@@ -196,19 +238,23 @@
 template <typename Put>
 void each_entry(const Cmcd& hints, Put put) {
   const auto count = [&](std::string_view key, const std::optional<std::int64_t>& value) {
-    if (!value) return;
+    if (!value)
+      return;
     char digits[24];
     const auto end = std::to_chars(digits, digits + sizeof digits, *value).ptr;
     put(key, std::string_view(digits, static_cast<std::size_t>(end - digits)));
   };
   const auto text = [&](std::string_view key, const std::optional<std::string>& value) {
-    if (value) put(key, quoted(*value));
+    if (value)
+      put(key, quoted(*value));
   };
   const auto flag = [&](std::string_view key, bool value) {
-    if (value) put(key, std::string_view());
+    if (value)
+      put(key, std::string_view());
   };
   const auto word = [&](std::string_view key, std::string_view letter) {
-    if (!letter.empty()) put(key, letter);
+    if (!letter.empty())
+      put(key, letter);
   };
   count("bl", hints.buffer_length);
   count("br", hints.encoded_bitrate);
@@ -217,19 +263,24 @@
   count("d", hints.object_duration);
   count("dl", hints.deadline);
   count("mtp", hints.measured_throughput);
-  if (hints.next_object) put("nor", quoted(http::percent_encoded(*hints.next_object)));
+  if (hints.next_object)
+    put("nor", quoted(http::percent_encoded(*hints.next_object)));
   text("nrr", hints.next_range);
-  if (hints.object_type) word("ot", letter_of(object_types, *hints.object_type));
+  if (hints.object_type)
+    word("ot", letter_of(object_types, *hints.object_type));
   if (hints.playback_rate != 1) {
     const double whole = std::nearbyint(hints.playback_rate);
     const Bare rate =
         whole == hints.playback_rate ? Bare(static_cast<std::int64_t>(whole)) : Bare(hints.playback_rate);
-    if (const auto said = written(Item{rate, {}})) put("pr", *said);
+    if (const auto said = written(Item{rate, {}}))
+      put("pr", *said);
   }
   count("rtp", hints.requested_maximum);
-  if (hints.format) word("sf", letter_of(formats, *hints.format));
+  if (hints.format)
+    word("sf", letter_of(formats, *hints.format));
   text("sid", hints.session_id);
-  if (hints.stream_type) word("st", letter_of(stream_types, *hints.stream_type));
+  if (hints.stream_type)
+    word("st", letter_of(stream_types, *hints.stream_type));
   flag("su", hints.startup);
   count("tb", hints.top_bitrate);
   for (const auto& [key, value] : hints.custom) {
@@ -242,9 +293,11 @@
 }
 
 void append(std::string& to, std::string_view key, std::string_view text) {
-  if (!to.empty()) to += ',';
+  if (!to.empty())
+    to += ',';
   to.append(key);
-  if (!text.empty()) to.append("=").append(text);
+  if (!text.empty())
+    to.append("=").append(text);
 }
 
 }  // namespace
@@ -270,7 +323,8 @@
       }
       raw = std::get<Item>(item).value;
     }
-    if (const auto cause = take(into.hints, key, raw)) into.faults.push_back({std::string(key), *cause});
+    if (const auto cause = take(into.hints, key, raw))
+      into.faults.push_back({std::string(key), *cause});
   }
 }
 
@@ -282,7 +336,8 @@
     const auto end = std::min(query.find('&', from), query.size());
     const auto argument = query.substr(from, end - from);
     from = end + 1;
-    if (!argument.starts_with("CMCD=")) continue;
+    if (!argument.starts_with("CMCD="))
+      continue;
     read.present = true;
     if (const auto text = http::percent_decoded(argument.substr(5)))
       read_cmcd_text(*text, read);
@@ -291,7 +346,8 @@
   }
   for (const auto name : header_names) {
     const auto text = http::joined(fields, name);
-    if (text.empty()) continue;
+    if (text.empty())
+      continue;
     read.present = true;
     read_cmcd_text(text, read);
   }
@@ -304,7 +360,8 @@
              [&](std::string_view key, std::string_view text) { append(texts[header_of(key)], key, text); });
   http::Fields fields;
   for (std::size_t i = 0; i < texts.size(); ++i) {
-    if (!texts[i].empty()) fields.emplace_back(header_names[i], std::move(texts[i]));
+    if (!texts[i].empty())
+      fields.emplace_back(header_names[i], std::move(texts[i]));
   }
   return fields;
 }
--- a/src/hints/cmsd.cpp
+++ b/src/hints/cmsd.cpp
@@ -17,8 +17,10 @@
     const auto* item = member ? std::get_if<Item>(member) : nullptr;
     value = item ? &item->value : nullptr;
   }
-  if (!value) return std::nullopt;
-  if (const auto* whole = std::get_if<std::int64_t>(value); whole && *whole >= 0) return *whole;
+  if (!value)
+    return std::nullopt;
+  if (const auto* whole = std::get_if<std::int64_t>(value); whole && *whole >= 0)
+    return *whole;
   faults.push_back(std::string(key) + ": expected a whole number of at least 0");
   return std::nullopt;
 }
@@ -26,11 +28,13 @@
 std::optional<double> part(const Parameters& entries, std::string_view key,
                            std::vector<std::string>& faults) {
   const auto* value = find(entries, key);
-  if (!value) return std::nullopt;
+  if (!value)
+    return std::nullopt;
   const auto* whole = std::get_if<std::int64_t>(value);
   const auto* parts = std::get_if<double>(value);
   const double number = whole ? static_cast<double>(*whole) : parts ? *parts : -1;
-  if (number >= 0) return number;
+  if (number >= 0)
+    return number;
   faults.push_back(std::string(key) + ": expected a number of at least 0");
   return std::nullopt;
 }
@@ -38,9 +42,11 @@
 std::optional<std::string> word(const Dictionary& entries, std::string_view key,
                                 std::vector<std::string>& faults) {
   const auto* member = find(entries, key);
-  if (!member) return std::nullopt;
+  if (!member)
+    return std::nullopt;
   const auto* item = std::get_if<Item>(member);
-  if (const auto* token = item ? std::get_if<Token>(&item->value) : nullptr) return token->text;
+  if (const auto* token = item ? std::get_if<Token>(&item->value) : nullptr)
+    return token->text;
   faults.push_back(std::string(key) + ": expected a token");
   return std::nullopt;
 }
@@ -78,12 +84,15 @@
     item.parameters.emplace_back(key, std::move(value));
   };
   const auto whole = [&](std::string_view key, const std::optional<std::int64_t>& value) {
-    if (value) put(key, *value);
+    if (value)
+      put(key, *value);
   };
   const auto thousandths = [&](std::string_view key, const std::optional<double>& value) {
-    if (value && std::isfinite(*value)) put(key, std::nearbyint(*value * 1000) / 1000);
+    if (value && std::isfinite(*value))
+      put(key, std::nearbyint(*value * 1000) / 1000);
   };
-  if (hop.duress) put("du", true);
+  if (hop.duress)
+    put("du", true);
   whole("etp", hop.estimated_throughput);
   whole("mb", hop.max_suggested_bitrate);
   whole("rd", hop.response_delay);
@@ -122,7 +131,8 @@
       read.faults.push_back("CMSD-Dynamic, byte " + std::to_string(fault->at) + ": " + fault->cause);
     } else {
       for (const auto& member : std::get<List>(parsed)) {
-        if (auto hop = hop_of(member, read.faults)) read.hops.push_back(std::move(*hop));
+        if (auto hop = hop_of(member, read.faults))
+          read.hops.push_back(std::move(*hop));
       }
     }
   }
@@ -134,12 +144,18 @@
   const auto put = [&](std::string_view key, Bare value) {
     said.emplace_back(key, Item{std::move(value), {}});
   };
-  if (fixed.bitrate) put("br", *fixed.bitrate);
-  if (fixed.object_duration) put("d", *fixed.object_duration);
-  if (fixed.object_type) put("ot", Token{*fixed.object_type});
-  if (fixed.format) put("sf", Token{*fixed.format});
-  if (fixed.stream_type) put("st", Token{*fixed.stream_type});
-  if (fixed.version) put("v", *fixed.version);
+  if (fixed.bitrate)
+    put("br", *fixed.bitrate);
+  if (fixed.object_duration)
+    put("d", *fixed.object_duration);
+  if (fixed.object_type)
+    put("ot", Token{*fixed.object_type});
+  if (fixed.format)
+    put("sf", Token{*fixed.format});
+  if (fixed.stream_type)
+    put("st", Token{*fixed.stream_type});
+  if (fixed.version)
+    put("v", *fixed.version);
   return written(said).value_or("");
 }
 
--- a/src/hints/fields.h
+++ b/src/hints/fields.h
@@ -56,7 +56,8 @@
 template <typename Entries>
 auto* find(Entries& entries, std::string_view key) {
   for (auto& [name, value] : entries) {
-    if (name == key) return &value;
+    if (name == key)
+      return &value;
   }
   return static_cast<decltype(&entries.begin()->second)>(nullptr);
 }
--- a/src/hints/weighing/weighing.cpp
+++ b/src/hints/weighing/weighing.cpp
@@ -35,7 +35,8 @@
 
 Weighing::Box& Weighing::box(ServerId server) {
   const auto [found, fresh] = boxes_.try_emplace(server);
-  if (fresh) found->second.fill_trust = found->second.share_trust = box_prior;
+  if (fresh)
+    found->second.fill_trust = found->second.share_trust = box_prior;
   return found->second;
 }
 
@@ -48,7 +49,8 @@
 
 // What the relay measured there of late; absent after two silent spacings.
 std::optional<double> Weighing::measured(const Box& box) const {
-  if (box.relay.weight == 0 || now_ - box.relay.at > 2 * spacing_) return std::nullopt;
+  if (box.relay.weight == 0 || now_ - box.relay.at > 2 * spacing_)
+    return std::nullopt;
   return box.relay.mean;
 }
 
@@ -56,7 +58,8 @@
   auto& from = box(what.server);
   from.seen[what.playback] = now_;
   // Guards against a viewer that reads slowly passing for a box that sends slowly.
-  if (what.held_by_viewer) return;
+  if (what.held_by_viewer)
+    return;
   measure(from, what.share);
   note_if_due(what.server, from, out);
 }
@@ -79,7 +82,8 @@
 // A box's fill, drawn towards what deliveries prove wherever the two contradict.
 LoadReport Weighing::believed(Box& box, const CmsdDynamic& hop, double rate_kb) {
   LoadReport report;
-  if (hop.streams) report.streams = static_cast<double>(*hop.streams);
+  if (hop.streams)
+    report.streams = static_cast<double>(*hop.streams);
   report.uplink_fill = hop.uplink;
   const auto seen = measured(box);
   const bool proven = seen && box.relay.weight >= enough_weight;
@@ -87,9 +91,11 @@
   // Duress, or throughput under the rung's rate, say 'full' where no figure is told.
   const bool thin = rate_kb > 0 && hop.estimated_throughput &&
                     static_cast<double>(*hop.estimated_throughput) < kbit_per_kb * rate_kb;
-  if (!told && (hop.duress || thin)) told = 1;
+  if (!told && (hop.duress || thin))
+    told = 1;
   if (!told) {
-    if (proven && *seen < full_share) report.link_fill = 1 / std::max(0.05, *seen);
+    if (proven && *seen < full_share)
+      report.link_fill = 1 / std::max(0.05, *seen);
     return report;
   }
   if (!proven) {
@@ -138,7 +144,8 @@
     const double got = static_cast<double>(*what.hints.measured_throughput) / (kbit_per_kb * what.rate_kb);
     share = std::clamp(got, 0.5, full_share - 0.01);
   }
-  if (!relay_agrees) measure(from, share);
+  if (!relay_agrees)
+    measure(from, share);
   note_if_due(what.server, from, out);
 }
 
@@ -150,12 +157,14 @@
 }
 
 void Weighing::on(const TimePassed&, Weighed& out) {
-  for (auto& [server, box] : boxes_) note_if_due(server, box, out);
+  for (auto& [server, box] : boxes_)
+    note_if_due(server, box, out);
 }
 
 // The relay's own measure, or else the box's word as far as it is trusted.
 double Weighing::share_of(const Box& box) const {
-  if (const auto seen = measured(box)) return *seen;
+  if (const auto seen = measured(box))
+    return *seen;
   if (box.told_share && now_ - box.told_at <= 2 * spacing_ && box.share_trust >= believed_least)
     return box.share_trust * *box.told_share + (1 - box.share_trust);
   return 1;
@@ -163,11 +172,14 @@
 
 // As servers' own notes do: one a spacing while short, and one more when full again.
 void Weighing::note_if_due(ServerId server, Box& box, Weighed& out) {
-  if (box.ever_noted && now_ - box.noted < spacing_) return;
+  if (box.ever_noted && now_ - box.noted < spacing_)
+    return;
   const double share = share_of(box);
   const bool is_short = share < full_share;
-  if (!is_short && !box.was_short) return;
-  if (box.seen.empty()) return;  // a note is heard on a playback
+  if (!is_short && !box.was_short)
+    return;
+  if (box.seen.empty())
+    return;  // a note is heard on a playback
   out.notes.push_back(Note{box.seen.begin()->first, server, Note::About::share, is_short ? share : 1.0});
   box.was_short = is_short;
   box.noted = now_;
@@ -179,14 +191,16 @@
   int best = std::clamp(top, floor, std::max(floor, last));
   const auto fits = [&](int rung, double kbit) { return rung_kb_[rung] * rate_scale * kbit_per_kb <= kbit; };
   if (hints.top_bitrate) {
-    while (best > floor && !fits(best, static_cast<double>(*hints.top_bitrate))) --best;
+    while (best > floor && !fits(best, static_cast<double>(*hints.top_bitrate)))
+      --best;
   }
   const bool low = hints.buffer_length && hints.object_duration &&
                    static_cast<double>(*hints.buffer_length) <
                        low_buffer_objects * static_cast<double>(*hints.object_duration);
   if (low && hints.measured_throughput && *hints.measured_throughput > 0) {
     const double usable = usable_throughput * static_cast<double>(*hints.measured_throughput);
-    while (best > floor && !fits(best, usable)) --best;
+    while (best > floor && !fits(best, usable))
+      --best;
   }
   return best;
 }
--- a/src/hls/address.cpp
+++ b/src/hls/address.cpp
@@ -17,7 +17,8 @@
   for (std::size_t i = 0; i < uri.size(); ++i) {
     const char c = uri[i];
     if (c == '%') {
-      if (i + 2 >= uri.size() || !is_hex(uri[i + 1]) || !is_hex(uri[i + 2])) return false;
+      if (i + 2 >= uri.size() || !is_hex(uri[i + 1]) || !is_hex(uri[i + 2]))
+        return false;
       i += 2;
     } else if (!is_letter(c) && !is_digit(c) && others.find(c) == std::string_view::npos) {
       return false;
@@ -28,7 +29,8 @@
 
 std::string_view cut_scheme(std::string_view& uri) {
   const auto colon = uri.find_first_of(":/?#");
-  if (colon == std::string_view::npos || uri[colon] != ':' || colon == 0 || !is_letter(uri[0])) return {};
+  if (colon == std::string_view::npos || uri[colon] != ':' || colon == 0 || !is_letter(uri[0]))
+    return {};
   const auto scheme = uri.substr(0, colon);
   if (!std::all_of(scheme.begin(), scheme.end(),
                    [](char c) { return is_letter(c) || is_digit(c) || c == '+' || c == '-' || c == '.'; }))
@@ -48,7 +50,8 @@
     }
     const auto octet = path.substr(i, 3);
     for (const auto* hidden : {"%2f", "%2F", "%5c", "%5C", "%00"}) {
-      if (octet == hidden) return std::nullopt;
+      if (octet == hidden)
+        return std::nullopt;
     }
     if (octet == "%2e" || octet == "%2E")
       text += '.';
@@ -66,32 +69,38 @@
     from = end + 1;
     directory = last && (part.empty() || part == "." || part == "..");
     if (part == "..") {
-      if (parts.empty()) return std::nullopt;
+      if (parts.empty())
+        return std::nullopt;
       parts.pop_back();
     } else if (part != "." && !(last && part.empty())) {
       parts.push_back(part);
     }
   }
   std::string made;
-  for (const auto part : parts) made.append("/").append(part);
-  if (directory || made.empty()) made += '/';
+  for (const auto part : parts)
+    made.append("/").append(part);
+  if (directory || made.empty())
+    made += '/';
   return made;
 }
 
 }  // namespace
 
 std::variant<Target, Elsewhere, Unreadable> resolve(std::string_view base, std::string_view uri) {
-  if (!well_formed(uri) || !well_formed(base) || base.empty() || base[0] != '/') return Unreadable{};
+  if (!well_formed(uri) || !well_formed(base) || base.empty() || base[0] != '/')
+    return Unreadable{};
   auto rest = uri.substr(0, uri.find('#'));
   const auto scheme = cut_scheme(rest);
   const bool has_authority = rest.starts_with("//");
   if (!scheme.empty() || has_authority) {
-    if (has_authority) rest.remove_prefix(2);
+    if (has_authority)
+      rest.remove_prefix(2);
     const auto authority = has_authority ? rest.substr(0, rest.find_first_of("/?")) : std::string_view();
     rest.remove_prefix(authority.size());
     const auto path = rest.substr(0, rest.find('?'));
     auto plain = plain_path(path.empty() ? "/" : path);
-    if (has_authority && !plain) return Unreadable{};
+    if (has_authority && !plain)
+      return Unreadable{};
     return Elsewhere{scheme.empty() ? "http" : std::string(scheme), std::string(authority),
                      has_authority ? *plain + std::string(rest.substr(path.size())) : std::string(rest)};
   }
@@ -101,12 +110,14 @@
   std::string merged;
   if (path.empty()) {
     merged = base_path;
-    if (query.empty()) query = base.substr(base_path.size());
+    if (query.empty())
+      query = base.substr(base_path.size());
   } else {
     merged = path[0] == '/' ? std::string(path) : std::string(directory_of(base)) + std::string(path);
   }
   auto plain = plain_path(merged);
-  if (!plain) return Unreadable{};
+  if (!plain)
+    return Unreadable{};
   return Target{*plain + std::string(query)};
 }
 
@@ -117,7 +128,8 @@
 }
 
 bool plain_name(std::string_view uri) {
-  if (uri.empty() || uri[0] == '.' || uri[0] == '?') return false;
+  if (uri.empty() || uri[0] == '.' || uri[0] == '?')
+    return false;
   return std::all_of(uri.begin(), uri.end(), [](char c) {
     return is_letter(c) || is_digit(c) || c == '-' || c == '_' || c == '.' || c == '~';
   });
@@ -127,11 +139,14 @@
   std::string made;
   for (std::size_t at = 0;;) {
     const auto from = text.find("{$", at);
-    if (from == std::string_view::npos) return made.append(text.substr(at));
+    if (from == std::string_view::npos)
+      return made.append(text.substr(at));
     const auto to = text.find('}', from);
-    if (to == std::string_view::npos) return std::nullopt;
+    if (to == std::string_view::npos)
+      return std::nullopt;
     const auto found = variables.find(text.substr(from + 2, to - from - 2));
-    if (found == variables.end()) return std::nullopt;
+    if (found == variables.end())
+      return std::nullopt;
     made.append(text.substr(at, from - at)).append(found->second);
     at = to + 1;
   }
