--- a/src/hls/continuity/continuity.cpp
+++ b/src/hls/continuity/continuity.cpp
@@ -20,8 +20,10 @@
   const bool named = a.uri.of(in_a.text) == b.uri.of(in_b.text) && a.range_offset == b.range_offset &&
                      a.range_length == b.range_length;
   const bool timed = a.wall != no_wall && b.wall != no_wall;
-  if (timed && !near(a.wall, b.wall, a.duration)) return false;
-  if (same_rung) return named && a.discontinuity == b.discontinuity && a.gap == b.gap;
+  if (timed && !near(a.wall, b.wall, a.duration))
+    return false;
+  if (same_rung)
+    return named && a.discontinuity == b.discontinuity && a.gap == b.gap;
   return named || timed;
 }
 
@@ -35,14 +37,16 @@
   if (number >= media.media_sequence && number < media.end_sequence()) {
     const auto at = static_cast<std::uint32_t>(number - media.media_sequence);
     const auto& there = media.segments[at];
-    if (same(last, *piece.from, there, media, same_rung)) return at;
+    if (same(last, *piece.from, there, media, same_rung))
+      return at;
     // Of other rungs of the same box the numbers run together where no times are told.
     if (!same_rung && piece.source == fresh.source && (last.wall == no_wall || there.wall == no_wall) &&
         last.duration == there.duration)
       return at;
   }
   for (auto i = static_cast<std::uint32_t>(media.segments.size()); i > 0; --i) {
-    if (same(last, *piece.from, media.segments[i - 1], media, same_rung)) return i - 1;
+    if (same(last, *piece.from, media.segments[i - 1], media, same_rung))
+      return i - 1;
   }
   return std::nullopt;
 }
@@ -52,11 +56,13 @@
   const auto& piece = window_.pieces.back();
   const auto& last = piece.at(piece.count - 1);
   const auto& media = *fresh.media;
-  if (media.segments.empty()) return Lies::behind;
+  if (media.segments.empty())
+    return Lies::behind;
   const auto& first = media.segments.front();
   const auto& newest = media.segments.back();
   if (last.wall != no_wall && newest.wall != no_wall) {
-    if (newest.wall <= last.wall - half(last.duration)) return Lies::behind;
+    if (newest.wall <= last.wall - half(last.duration))
+      return Lies::behind;
     // One that reaches over what was shown last and lacks it has a gap there.
     return Lies::ahead;
   }
@@ -64,12 +70,14 @@
   std::size_t looked = 0;
   for (auto shown = window_.pieces.rbegin(); shown != window_.pieces.rend(); ++shown) {
     for (auto i = shown->count; i > 0 && looked < media.segments.size(); --i, ++looked) {
-      if (same(shown->at(i - 1), *shown->from, newest, media, shown->rung == fresh.rung)) return Lies::behind;
+      if (same(shown->at(i - 1), *shown->from, newest, media, shown->rung == fresh.rung))
+        return Lies::behind;
     }
   }
   if (piece.source == fresh.source && piece.rung == fresh.rung) {
     const auto number = piece.sequence(piece.count - 1);
-    if (media.media_sequence > number && first.duration == last.duration) return Lies::ahead;
+    if (media.media_sequence > number && first.duration == last.duration)
+      return Lies::ahead;
   }
   return Lies::unknown;
 }
@@ -84,14 +92,17 @@
     while (i > 0 && piece->rung == fresh.rung && matched <= last_at &&
            same(piece->at(i - 1), *piece->from, media.segments[last_at - matched], media, true))
       ++matched, --i;
-    if (i > 0) break;
+    if (i > 0)
+      break;
     breaks = piece->breaks;
   }
-  if (matched == 0) return;
+  if (matched == 0)
+    return;
   auto left = window_.size() - matched;
   std::vector<Piece> pieces;
   for (const auto& piece : window_.pieces) {
-    if (left == 0) break;
+    if (left == 0)
+      break;
     pieces.push_back(piece);
     pieces.back().count = static_cast<std::uint32_t>(std::min<std::size_t>(left, piece.count));
     left -= pieces.back().count;
@@ -100,19 +111,22 @@
   window_.pieces = std::move(pieces);
   // What lies before has slid out, where the fresh list begins there. EVENT lists lose nothing.
   if (matched == last_at + 1 && media.type != "EVENT") {
-    while (window_.pieces.size() > 1) drop_first(window_.pieces.front());
+    while (window_.pieces.size() > 1)
+      drop_first(window_.pieces.front());
   }
 }
 
 void Continuity::drop_first(Piece& piece) {
   const auto& gone = piece.at(0);
   // What breaks before the first of a playlist is counted once it is left out (RFC 8216, 6.2.2).
-  if (gone.discontinuity || piece.breaks) ++window_.discontinuity_sequence;
+  if (gone.discontinuity || piece.breaks)
+    ++window_.discontinuity_sequence;
   piece.breaks = false;
   ++piece.first;
   --piece.count;
   ++window_.media_sequence;
-  if (piece.count == 0) window_.pieces.erase(window_.pieces.begin());
+  if (piece.count == 0)
+    window_.pieces.erase(window_.pieces.begin());
 }
 
 void Continuity::append(const Fresh& fresh, std::uint32_t from, bool breaks) {
@@ -141,13 +155,15 @@
 }
 
 void Continuity::trim(std::size_t most) {
-  while (window_.size() > std::max<std::size_t>(1, most)) drop_first(window_.pieces.front());
+  while (window_.size() > std::max<std::size_t>(1, most))
+    drop_first(window_.pieces.front());
 }
 
 // Players take segments of one number in several renditions for the same stretch of time; so they are made to
 // be, where times tell.
 std::uint64_t Continuity::first_number(const Media& media, const Continuity* beside) const {
-  if (!beside || beside->window_.pieces.empty()) return media.media_sequence;
+  if (!beside || beside->window_.pieces.empty())
+    return media.media_sequence;
   const auto& piece = beside->window_.pieces.back();
   const auto& last = piece.at(piece.count - 1);
   const auto number = beside->window_.media_sequence + beside->window_.size() - 1;
@@ -163,7 +179,8 @@
   const auto& media = *fresh.media;
   if (window_.pieces.empty()) {
     news_at_ = now;
-    if (media.segments.empty()) return {Course::Step::stood, Span(0)};
+    if (media.segments.empty())
+      return {Course::Step::stood, Span(0)};
     window_.media_sequence = first_number(media, beside);
     window_.discontinuity_sequence = media.discontinuity_sequence;
     append(fresh, 0, false);
@@ -173,7 +190,8 @@
   const bool same_rung = window_.pieces.back().rung == fresh.rung;
   if (const auto at = find_last(fresh)) {
     const bool more = *at + 1 < media.segments.size();
-    if (same_rung) re_anchor(fresh, *at);
+    if (same_rung)
+      re_anchor(fresh, *at);
     if (!more) {
       window_.ended = window_.ended || media.ended;
       return stood();
@@ -184,7 +202,8 @@
     const bool hole = next.own_wall && last.wall != no_wall && !next.discontinuity &&
                       !near(next.wall, last.wall + last.duration.count(), last.duration);
     append(fresh, *at + 1, (!same_rung || hole) && !next.discontinuity);
-    if (media.type != "EVENT") trim(media.segments.size());
+    if (media.type != "EVENT")
+      trim(media.segments.size());
     return {hole ? Course::Step::skipped : Course::Step::went_on, Span(0)};
   }
   switch (lies(fresh)) {
@@ -197,14 +216,16 @@
       while (from < media.segments.size() && last.wall != no_wall && media.segments[from].wall != no_wall &&
              media.segments[from].wall < last.wall + half(last.duration))
         ++from;
-      if (from == media.segments.size()) return stood();
+      if (from == media.segments.size())
+        return stood();
       news_at_ = now;
       const auto& next = media.segments[from];
       // A box that lacks only what was shown last follows it without a hole.
       const bool follows = same_rung && last.wall != no_wall && next.wall != no_wall &&
                            near(next.wall, last.wall + last.duration.count(), last.duration);
       append(fresh, from, !follows && !next.discontinuity);
-      if (media.type != "EVENT") trim(media.segments.size());
+      if (media.type != "EVENT")
+        trim(media.segments.size());
       return {follows ? Course::Step::went_on : Course::Step::skipped, Span(0)};
     }
     case Lies::unknown:
@@ -214,12 +235,14 @@
   const auto count = static_cast<std::uint32_t>(media.segments.size());
   const auto from = count > begun_anew_with ? count - begun_anew_with : 0;
   append(fresh, from, !media.segments[from].discontinuity);
-  if (media.type != "EVENT") trim(std::max<std::size_t>(media.segments.size(), begun_anew_with));
+  if (media.type != "EVENT")
+    trim(std::max<std::size_t>(media.segments.size(), begun_anew_with));
   return {Course::Step::began_anew, Span(0)};
 }
 
 std::uint64_t Continuity::at_box(std::uint64_t shown) const {
-  if (window_.pieces.empty()) return shown;
+  if (window_.pieces.empty())
+    return shown;
   const auto& last = window_.pieces.back();
   const auto shown_end = window_.media_sequence + window_.size();
   const auto box_end = last.sequence(0) + last.count;
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -27,11 +27,14 @@
  public:
   Lines(const std::string& text, const Limits& limits) : text_(text), limits_(limits) {}
   bool next(Line& line) {
-    if (at_ >= text_.size()) return false;
+    if (at_ >= text_.size())
+      return false;
     auto end = text_.find('\n', at_);
     const auto whole_end = end == std::string::npos ? text_.size() : end + 1;
-    if (end == std::string::npos) end = text_.size();
-    if (end > at_ && text_[end - 1] == '\r') --end;
+    if (end == std::string::npos)
+      end = text_.size();
+    if (end > at_ && text_[end - 1] == '\r')
+      --end;
     line.whole = {static_cast<std::uint32_t>(at_), static_cast<std::uint32_t>(whole_end)};
     line.text = std::string_view(text_).substr(at_, end - at_);
     line.from = static_cast<std::uint32_t>(at_);
@@ -39,7 +42,8 @@
       throw Met{at_, "a line of more than " + std::to_string(limits_.line) + " bytes"};
     // Guards against bytes that break the text of whatever it is put into (RFC 8216, 4.1).
     for (const char c : line.text) {
-      if (static_cast<unsigned char>(c) < 0x20 && c != '\t') throw Met{at_, "a control character"};
+      if (static_cast<unsigned char>(c) < 0x20 && c != '\t')
+        throw Met{at_, "a control character"};
     }
     at_ = whole_end;
     return true;
@@ -60,15 +64,18 @@
 };
 
 Read tag_of(const Line& line) {
-  if (!line.text.starts_with("#EXT")) return {};
+  if (!line.text.starts_with("#EXT"))
+    return {};
   const auto rest = line.text.substr(4);
   const auto colon = rest.find(':');
   const auto* rule = rule_of(rest.substr(0, colon));
-  if (!rule) return {};
+  if (!rule)
+    return {};
   Read read{rule, colon == std::string_view::npos ? std::string_view() : rest.substr(colon + 1)};
   if (rule->takes == Takes::nothing) {
     // A tag that takes nothing and has something is another's tag of a like name.
-    if (colon != std::string_view::npos) return {};
+    if (colon != std::string_view::npos)
+      return {};
   } else if (colon == std::string_view::npos) {
     throw Met{line.from, "#EXT" + std::string(rule->name) + " lacks its value"};
   }
@@ -85,10 +92,12 @@
         throw Met{line.from, name + ": " + *cause};
       return;
     case Takes::whole:
-      if (!read_whole(read.value)) throw Met{line.from, name + " takes a whole number"};
+      if (!read_whole(read.value))
+        throw Met{line.from, name + " takes a whole number"};
       return;
     case Takes::date:
-      if (!read_date(read.value)) throw Met{line.from, name + " takes a date and time by ISO 8601"};
+      if (!read_date(read.value))
+        throw Met{line.from, name + " takes a date and time by ISO 8601"};
       return;
     default:
       return;
@@ -103,8 +112,10 @@
       : variables_(variables), given_(given), limits_(limits) {}
   void take(const Line& line, const Attributes& attributes) {
     const auto add = [&](std::string_view name, std::string value) {
-      if (name.empty()) throw Met{line.from, "#EXT-X-DEFINE: an empty name"};
-      if (variables_.size() >= limits_.variables) throw Met{line.from, "too many variables"};
+      if (name.empty())
+        throw Met{line.from, "#EXT-X-DEFINE: an empty name"};
+      if (variables_.size() >= limits_.variables)
+        throw Met{line.from, "too many variables"};
       if (!variables_.emplace(std::string(name), std::move(value)).second)
         throw Met{line.from, "#EXT-X-DEFINE: " + std::string(name) + " twice"};
     };
@@ -116,7 +127,8 @@
       add(name, found->second);
     };
     if (attributes.find("NAME")) {
-      if (!attributes.find("VALUE")) throw Met{line.from, "#EXT-X-DEFINE: NAME without VALUE"};
+      if (!attributes.find("VALUE"))
+        throw Met{line.from, "#EXT-X-DEFINE: NAME without VALUE"};
       add(attributes.text("NAME"), std::string(attributes.text("VALUE")));
     } else if (attributes.find("IMPORT")) {
       from_outside("IMPORT");
@@ -153,8 +165,10 @@
   constexpr std::size_t block = 4096;
   const auto most = std::min(a.size(), b.size());
   std::size_t at = 0;
-  while (at + block <= most && std::memcmp(a.data() + at, b.data() + at, block) == 0) at += block;
-  while (at < most && a[at] == b[at]) ++at;
+  while (at + block <= most && std::memcmp(a.data() + at, b.data() + at, block) == 0)
+    at += block;
+  while (at < most && a[at] == b[at])
+    ++at;
   return static_cast<std::uint32_t>(at);
 }
 
@@ -175,28 +189,35 @@
     Line line;
     while (lines_.next(line)) {
       take(line);
-      if (before_ && media_.segments.size() == 1 && !tried_) take_over();
+      if (before_ && media_.segments.size() == 1 && !tried_)
+        take_over();
     }
     if (!saw_[static_cast<std::size_t>(Tag::target_duration)])
       throw Met{0, "#EXT-X-TARGETDURATION is missing"};
-    if (has_duration_) throw Met{media_.text.size(), "#EXTINF without the URI of its segment"};
+    if (has_duration_)
+      throw Met{media_.text.size(), "#EXTINF without the URI of its segment"};
     const auto end = static_cast<std::uint32_t>(media_.text.size());
-    if (media_.segments.empty()) media_.head.to = in_span_ ? span_from_ : end;
+    if (media_.segments.empty())
+      media_.head.to = in_span_ ? span_from_ : end;
     media_.tail = {media_.segments.empty() ? media_.head.to : media_.segments.back().lines.to, end};
   }
 
  private:
   void take(const Line& line) {
-    if (line.text.empty()) return;
-    if (line.text[0] != '#') return take_uri(line);
+    if (line.text.empty())
+      return;
+    if (line.text[0] != '#')
+      return take_uri(line);
     const auto read = tag_of(line);
-    if (!read.rule) return;
+    if (!read.rule)
+      return;
     check_value(line, read, attributes_);
     const auto& rule = *read.rule;
     if (rule.stands == Stands::in_multivariant)
       throw Met{line.from, "#EXT" + std::string(rule.name) + " in a media playlist"};
     auto& saw = saw_[static_cast<std::size_t>(rule.tag)];
-    if (rule.once && saw) throw Met{line.from, "#EXT" + std::string(rule.name) + " twice"};
+    if (rule.once && saw)
+      throw Met{line.from, "#EXT" + std::string(rule.name) + " twice"};
     saw = true;
     if (rule.stands == Stands::at_segment) {
       begin_span(line);
@@ -208,10 +229,12 @@
   }
 
   void begin_span(const Line& line) {
-    if (in_span_) return;
+    if (in_span_)
+      return;
     in_span_ = true;
     span_from_ = media_.segments.empty() ? line.whole.from : media_.segments.back().lines.to;
-    if (media_.segments.empty()) media_.head = {0, span_from_};
+    if (media_.segments.empty())
+      media_.head = {0, span_from_};
     now_.before = now_.state = static_cast<std::uint32_t>(state_);
   }
 
@@ -268,7 +291,8 @@
       case Tag::skip:
         throw Met{line.from, "a delta update that nobody asked for"};
       case Tag::inf: {
-        if (has_duration_) throw Met{line.from, "two #EXTINF for one segment"};
+        if (has_duration_)
+          throw Met{line.from, "two #EXTINF for one segment"};
         const auto comma = read.value.find(',');
         const auto number = read_number(read.value.substr(0, comma));
         if (!number || *number < 0 || *number > 86'400)
@@ -282,7 +306,8 @@
         const auto length = read_whole(read.value.substr(0, at));
         const auto offset = at == std::string_view::npos ? std::optional<std::uint64_t>(no_offset)
                                                          : read_whole(read.value.substr(at + 1));
-        if (!length || !offset) throw Met{line.from, "#EXT-X-BYTERANGE takes length[@offset]"};
+        if (!length || !offset)
+          throw Met{line.from, "#EXT-X-BYTERANGE takes length[@offset]"};
         now_.range_length = *length;
         now_.range_offset = *offset;
         ranged_ = true;
@@ -314,10 +339,12 @@
 
   void note_uri(const Line& line, Tag tag) {
     const auto* uri = attributes_.find("URI");
-    if (!uri || tag == Tag::bitrate) return;
+    if (!uri || tag == Tag::bitrate)
+      return;
     const UriAt at{range_in(line, uri->value), tag};
     media_.attribute_uris.push_back(at);
-    if (!plain_name(uri->value)) media_.uris.push_back(at);
+    if (!plain_name(uri->value))
+      media_.uris.push_back(at);
   }
 
   void change_state(const Line& line, const Read& read) {
@@ -338,7 +365,8 @@
       if (method == "NONE") {
         next.keys.clear();
       } else {
-        if (!attributes_.find("URI")) throw Met{line.from, "#EXT-X-KEY lacks its URI"};
+        if (!attributes_.find("URI"))
+          throw Met{line.from, "#EXT-X-KEY lacks its URI"};
         const auto own = format(line.text);
         std::erase_if(next.keys, [&](const auto& key) { return format(key) == own; });
         next.keys.emplace_back(line.text);
@@ -355,11 +383,13 @@
   }
 
   void take_uri(const Line& line) {
-    if (!has_duration_) throw Met{line.from, "a URI without #EXTINF"};
+    if (!has_duration_)
+      throw Met{line.from, "a URI without #EXTINF"};
     if (media_.segments.size() >= limits_.segments)
       throw Met{line.from, "more than " + std::to_string(limits_.segments) + " segments"};
     auto text = line.text;
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+      text.remove_suffix(1);
     now_.lines = {span_from_, line.whole.to};
     now_.uri = range_in(line, text);
     const Segment* last = media_.segments.empty() ? nullptr : &media_.segments.back();
@@ -371,7 +401,8 @@
         throw Met{line.from, "#EXT-X-BYTERANGE without an offset follows no range of the same resource"};
       now_.range_offset = last->range_offset + last->range_length;
     }
-    if (!plain_name(text)) media_.uris.push_back({now_.uri, Tag::inf});
+    if (!plain_name(text))
+      media_.uris.push_back({now_.uri, Tag::inf});
     media_.segments.push_back(now_);
     now_ = Segment{};
     in_span_ = has_duration_ = ranged_ = false;
@@ -382,9 +413,11 @@
     tried_ = true;
     const auto& old = *before_;
     const auto& first = media_.segments[0];
-    if (media_.media_sequence < old.media_sequence) return;
+    if (media_.media_sequence < old.media_sequence)
+      return;
     const auto skipped = media_.media_sequence - old.media_sequence;
-    if (skipped >= old.segments.size() || !(media_.variables == old.variables)) return;
+    if (skipped >= old.segments.size() || !(media_.variables == old.variables))
+      return;
     const auto& same = old.segments[skipped];
     if (same.uri.of(old.text) != first.uri.of(media_.text) || same.wall != first.wall ||
         same.range_offset != first.range_offset || same.range_length != first.range_length ||
@@ -400,12 +433,16 @@
     };
     const auto upto = same.lines.to + common;
     auto last = skipped + 1;
-    while (last < old.segments.size() && old.segments[last].lines.to <= upto) ++last;
-    if (last == skipped + 1) return;
+    while (last < old.segments.size() && old.segments[last].lines.to <= upto)
+      ++last;
+    if (last == skipped + 1)
+      return;
     // A playlist's tag among segments is read anew, as it may hold for the whole.
-    if (!old.strays.empty()) return;
+    if (!old.strays.empty())
+      return;
     // Guards against states gathering for ever where keys change with every segment.
-    if (old.states.size() > 2 * old.segments.size() + 16) return;
+    if (old.states.size() > 2 * old.segments.size() + 16)
+      return;
     const Range of_old{same.lines.to, old.segments[last - 1].lines.to};
     media_.states = old.states;
     media_.segments[0].state = same.state;
@@ -450,7 +487,8 @@
 
 Span Media::length() const {
   Span sum{0};
-  for (const auto& segment : segments) sum += segment.duration;
+  for (const auto& segment : segments)
+    sum += segment.duration;
   return sum;
 }
 
@@ -486,11 +524,14 @@
     std::array<bool, static_cast<std::size_t>(Tag::unknown)> saw{};
     Line line;
     while (lines.next(line)) {
-      if (line.text.empty()) continue;
+      if (line.text.empty())
+        continue;
       if (line.text[0] != '#') {
-        if (!waits) throw Met{line.from, "a URI without #EXT-X-STREAM-INF"};
+        if (!waits)
+          throw Met{line.from, "a URI without #EXT-X-STREAM-INF"};
         auto uri = line.text;
-        while (!uri.empty() && (uri.back() == ' ' || uri.back() == '\t')) uri.remove_suffix(1);
+        while (!uri.empty() && (uri.back() == ' ' || uri.back() == '\t'))
+          uri.remove_suffix(1);
         waits->uri = range_in(line, uri);
         waits->lines.to = line.whole.to;
         made.variants.push_back(std::move(*waits));
@@ -498,16 +539,19 @@
         continue;
       }
       const auto read = tag_of(line);
-      if (!read.rule) continue;
+      if (!read.rule)
+        continue;
       check_value(line, read, attributes);
       const auto& rule = *read.rule;
       const auto name = "#EXT" + std::string(rule.name);
       if (rule.stands == Stands::in_media || rule.stands == Stands::at_segment)
         throw Met{line.from, name + " in a multivariant playlist"};
       auto& seen = saw[static_cast<std::size_t>(rule.tag)];
-      if (rule.once && seen) throw Met{line.from, name + " twice"};
+      if (rule.once && seen)
+        throw Met{line.from, name + " twice"};
       seen = true;
-      if (waits) throw Met{line.from, "#EXT-X-STREAM-INF without its URI behind it"};
+      if (waits)
+        throw Met{line.from, "#EXT-X-STREAM-INF without its URI behind it"};
       const auto text_of = [&](const char* attribute) { return std::string(attributes.text(attribute)); };
       const auto uri_of = [&]() {
         const auto* uri = attributes.find("URI");
@@ -522,7 +566,8 @@
           defines.take(line, attributes);
           break;
         case Tag::stream_inf: {
-          if (made.variants.size() >= limits.variants) throw Met{line.from, "too many variants"};
+          if (made.variants.size() >= limits.variants)
+            throw Met{line.from, "too many variants"};
           Variant variant;
           variant.lines = whole_line;
           variant.bandwidth = *attributes.whole("BANDWIDTH");
@@ -539,12 +584,14 @@
           break;
         }
         case Tag::i_frame_stream_inf:
-          if (made.i_frames.size() >= limits.variants) throw Met{line.from, "too many variants"};
+          if (made.i_frames.size() >= limits.variants)
+            throw Met{line.from, "too many variants"};
           made.i_frames.push_back({whole_line, uri_of(), *attributes.whole("BANDWIDTH"), text_of("VIDEO"),
                                    text_of("PATHWAY-ID")});
           break;
         case Tag::media:
-          if (made.renditions.size() >= limits.variants) throw Met{line.from, "too many renditions"};
+          if (made.renditions.size() >= limits.variants)
+            throw Met{line.from, "too many renditions"};
           made.renditions.push_back({whole_line, uri_of(), text_of("TYPE"), text_of("GROUP-ID"),
                                      text_of("NAME"), text_of("LANGUAGE")});
           if (attributes.text("TYPE") == "SUBTITLES" && !attributes.find("URI"))
@@ -552,7 +599,8 @@
           break;
         case Tag::session_data:
         case Tag::session_key:
-          if (attributes.find("URI")) made.others.push_back({uri_of(), rule.tag});
+          if (attributes.find("URI"))
+            made.others.push_back({uri_of(), rule.tag});
           break;
         case Tag::content_steering:
           made.steering = whole_line;
@@ -564,8 +612,10 @@
       if (rule.stands == Stands::anywhere && made.variants.empty())
         made.definitions_end = {line.whole.to, line.whole.to};
     }
-    if (waits) throw Met{made.text.size(), "#EXT-X-STREAM-INF without its URI behind it"};
-    if (made.variants.empty()) throw Met{0, "a multivariant playlist without variants"};
+    if (waits)
+      throw Met{made.text.size(), "#EXT-X-STREAM-INF without its URI behind it"};
+    if (made.variants.empty())
+      throw Met{0, "a multivariant playlist without variants"};
     for (const auto& variant : made.variants) {
       const auto lacks = [&](const std::string& group, const char* type) {
         return !group.empty() && std::none_of(made.renditions.begin(), made.renditions.end(),
--- a/src/hls/showing/showing.cpp
+++ b/src/hls/showing/showing.cpp
@@ -29,15 +29,18 @@
     else if (now - std::max(rose_at_, fell_at_) > 4 * steady())
       patience_ = 1;
     left_at_.resize(std::max<std::size_t>(left_at_.size(), static_cast<std::size_t>(shown_) + 1), Span(0));
-    for (int rung = word_ + 1; rung <= shown_; ++rung) left_at_[static_cast<std::size_t>(rung)] = now;
+    for (int rung = word_ + 1; rung <= shown_; ++rung)
+      left_at_[static_cast<std::size_t>(rung)] = now;
     shown_ = word_;
     fell_at_ = now;
     higher_since_ = now;
     lowest_since_ = word_;
   } else if (word_ > shown_) {
-    if (now - higher_since_ < steady()) return;
+    if (now - higher_since_ < steady())
+      return;
     // The lowest word of all that while, so that one peak at its end counts for nothing.
-    if (lowest_since_ <= shown_) return;
+    if (lowest_since_ <= shown_)
+      return;
     shown_ = lowest_since_;
     rose_at_ = now;
     higher_since_ = now;
@@ -80,7 +83,8 @@
   }
   const auto& segment = std::get<SegmentAsked>(event);
   buffer_ = segment.buffer;
-  if (segment.rung <= shown_) return Deliver{};
+  if (segment.rung <= shown_)
+    return Deliver{};
   const auto rung = static_cast<std::size_t>(segment.rung);
   if (rung < left_at_.size() && left_at_[rung] > Span(0) &&
       now - left_at_[rung] <= times(target_, terms_.grace_targets))
@@ -102,7 +106,8 @@
 
 std::optional<Departures::Departed> Departures::find(Span now, const std::string& key) const {
   const auto found = known_.find(key);
-  if (found == known_.end() || now - found->second.first.at > kept_) return std::nullopt;
+  if (found == known_.end() || now - found->second.first.at > kept_)
+    return std::nullopt;
   return found->second.first;
 }
 
@@ -112,12 +117,16 @@
 OrphanVerdict judge(Span now, const Orphan& orphan) {
   if (orphan.departed && orphan.departed->how == Ending::refused && orphan.departed->come_back_at > now)
     return ComeBack{orphan.departed->come_back_at - now};
-  if (orphan.expired) return Over{"this address has expired"};
-  if (orphan.asks == Orphan::Asks::steering) return Over{"this playback is over"};
+  if (orphan.expired)
+    return Over{"this address has expired"};
+  if (orphan.asks == Orphan::Asks::steering)
+    return Over{"this playback is over"};
   // Nothing is known of it here: another process served it, whose box goes on. Seats are the exception: who
   // else took one meanwhile is for the module to count.
-  if (!orphan.departed && orphan.box_ready && !orphan.counted_seats) return CarryOver{};
-  if (orphan.paid_at_setup) return Over{"this playback is over, and its plan pays for each set-up"};
+  if (!orphan.departed && orphan.box_ready && !orphan.counted_seats)
+    return CarryOver{};
+  if (orphan.paid_at_setup)
+    return Over{"this playback is over, and its plan pays for each set-up"};
   return BeginAnew{};
 }
 
--- a/src/hls/tags.cpp
+++ b/src/hls/tags.cpp
@@ -227,9 +227,11 @@
 const TagRule* rule_of(std::string_view name) {
   // A playlist is mostly EXTINF lines: they are not searched for.
   const auto& rules = tag_rules();
-  if (name == "INF") return &rules[static_cast<std::size_t>(Tag::inf)];
+  if (name == "INF")
+    return &rules[static_cast<std::size_t>(Tag::inf)];
   for (const auto& rule : rules) {
-    if (rule.name == name) return &rule;
+    if (rule.name == name)
+      return &rule;
   }
   return nullptr;
 }
@@ -254,10 +256,12 @@
 
 std::optional<std::int64_t> read_date(std::string_view text) {
   const auto digits = [&](std::size_t at, std::size_t count) -> std::optional<int> {
-    if (at + count > text.size()) return std::nullopt;
+    if (at + count > text.size())
+      return std::nullopt;
     int value = 0;
     for (std::size_t i = at; i < at + count; ++i) {
-      if (!is_digit(text[i])) return std::nullopt;
+      if (!is_digit(text[i]))
+        return std::nullopt;
       value = value * 10 + (text[i] - '0');
     }
     return value;
@@ -270,12 +274,14 @@
   const std::chrono::year_month_day date{std::chrono::year(*year),
                                          std::chrono::month(static_cast<unsigned>(*month)),
                                          std::chrono::day(static_cast<unsigned>(*day))};
-  if (!date.ok() || *hour > 23 || *minute > 59 || *second > 60) return std::nullopt;
+  if (!date.ok() || *hour > 23 || *minute > 59 || *second > 60)
+    return std::nullopt;
   std::size_t at = 19;
   std::int64_t micros = 0;
   if (at < text.size() && text[at] == '.') {
     std::int64_t unit = 100'000;
-    for (++at; at < text.size() && is_digit(text[at]); ++at, unit /= 10) micros += (text[at] - '0') * unit;
+    for (++at; at < text.size() && is_digit(text[at]); ++at, unit /= 10)
+      micros += (text[at] - '0') * unit;
   }
   std::int64_t zone_minutes = 0;
   if (at < text.size() && (text[at] == 'Z' || text[at] == 'z')) {
@@ -284,18 +290,21 @@
     const int sign = text[at] == '-' ? -1 : 1;
     const bool colon = at + 3 < text.size() && text[at + 3] == ':';
     const auto hours = digits(at + 1, 2), minutes = digits(at + (colon ? 4 : 3), 2);
-    if (!hours) return std::nullopt;
+    if (!hours)
+      return std::nullopt;
     zone_minutes = sign * (*hours * 60 + minutes.value_or(0));
     at += minutes ? (colon ? 6 : 5) : 3;
   }
-  if (at != text.size()) return std::nullopt;
+  if (at != text.size())
+    return std::nullopt;
   const std::int64_t days = std::chrono::sys_days(date).time_since_epoch().count();
   return (((days * 24 + *hour) * 60 + *minute - zone_minutes) * 60 + *second) * 1'000'000 + micros;
 }
 
 const Attribute* Attributes::find(std::string_view name) const {
   for (const auto& attribute : all) {
-    if (attribute.name == name) return &attribute;
+    if (attribute.name == name)
+      return &attribute;
   }
   return nullptr;
 }
@@ -314,9 +323,11 @@
 std::optional<std::pair<std::uint32_t, std::uint32_t>> Attributes::resolution(std::string_view name) const {
   const auto* found = find(name);
   const auto x = found ? found->value.find('x') : std::string_view::npos;
-  if (x == std::string_view::npos) return std::nullopt;
+  if (x == std::string_view::npos)
+    return std::nullopt;
   const auto width = read_whole(found->value.substr(0, x)), height = read_whole(found->value.substr(x + 1));
-  if (!width || !height || *width > 1'000'000 || *height > 1'000'000) return std::nullopt;
+  if (!width || !height || *width > 1'000'000 || *height > 1'000'000)
+    return std::nullopt;
   return std::pair(static_cast<std::uint32_t>(*width), static_cast<std::uint32_t>(*height));
 }
 
@@ -325,34 +336,43 @@
   std::size_t at = 0;
   while (at < text.size()) {
     // Some packagers put a space behind the comma; it is kept in the line and overlooked here.
-    while (at < text.size() && text[at] == ' ') ++at;
+    while (at < text.size() && text[at] == ' ')
+      ++at;
     const auto name_from = at;
-    while (at < text.size() && is_name(text[at])) ++at;
+    while (at < text.size() && is_name(text[at]))
+      ++at;
     if (at == name_from || at >= text.size() || text[at] != '=')
       return "an attribute without a name or a value at column " + std::to_string(name_from + 1);
     Attribute one;
     one.name = text.substr(name_from, at - name_from);
-    if (into.find(one.name)) return "the attribute " + std::string(one.name) + " twice";
+    if (into.find(one.name))
+      return "the attribute " + std::string(one.name) + " twice";
     ++at;
     if (at < text.size() && text[at] == '"') {
       const auto end = text.find('"', at + 1);
-      if (end == std::string_view::npos) return "the value of " + std::string(one.name) + " is not closed";
+      if (end == std::string_view::npos)
+        return "the value of " + std::string(one.name) + " is not closed";
       one.value = text.substr(at + 1, end - at - 1);
       one.quoted = true;
       at = end + 1;
     } else {
       const auto from = at;
       while (at < text.size() && text[at] != ',') {
-        if (text[at] == '"') return "a quote within the value of " + std::string(one.name);
+        if (text[at] == '"')
+          return "a quote within the value of " + std::string(one.name);
         ++at;
       }
       one.value = text.substr(from, at - from);
-      while (!one.value.empty() && one.value.back() == ' ') one.value.remove_suffix(1);
-      if (one.value.empty()) return "the attribute " + std::string(one.name) + " has no value";
+      while (!one.value.empty() && one.value.back() == ' ')
+        one.value.remove_suffix(1);
+      if (one.value.empty())
+        return "the attribute " + std::string(one.name) + " has no value";
     }
     into.all.push_back(one);
-    if (at == text.size()) return std::nullopt;
-    if (text[at] != ',') return "expected a comma behind " + std::string(one.name);
+    if (at == text.size())
+      return std::nullopt;
+    if (text[at] != ',')
+      return "expected a comma behind " + std::string(one.name);
     ++at;
   }
   return std::nullopt;
@@ -362,7 +382,8 @@
   for (const auto& known : rule.attributes) {
     const auto* found = attributes.find(known.name);
     if (!found) {
-      if (known.required) return "the attribute " + std::string(known.name) + " is missing";
+      if (known.required)
+        return "the attribute " + std::string(known.name) + " is missing";
     } else if (!of_kind(known.kind, *found)) {
       return "the attribute " + std::string(known.name) + " is not of its type";
     }
--- a/src/hls/writing.cpp
+++ b/src/hls/writing.cpp
@@ -19,11 +19,13 @@
     auto at = range.from;
     // Moved: every URI of the stretch; else those that are no plain names.
     const auto put = [&](const UriAt& uri) {
-      if (uri.at.from < at || uri.at.to > range.to) return;
+      if (uri.at.from < at || uri.at.to > range.to)
+        return;
       const auto text = uri.at.of(media.text);
       auto address = terms_.address ? terms_.address(piece, text, uri.of) : Address{};
       if (auto* none = std::get_if<NoAddress>(&address)) {
-        if (!fault) fault = fault_at(media.text, uri.at.from, none->cause);
+        if (!fault)
+          fault = fault_at(media.text, uri.at.from, none->cause);
         return;
       }
       into_.append(media.text, at, uri.at.from - at);
@@ -65,7 +67,8 @@
       const auto tag = text.starts_with("#EXT-X-MAP") ? Tag::map : Tag::key;
       const auto address = terms_.address(piece, uri->value, tag);
       if (const auto* none = std::get_if<NoAddress>(&address)) {
-        if (!fault) fault = Fault{0, none->cause};
+        if (!fault)
+          fault = Fault{0, none->cause};
       } else if (const auto* other = std::get_if<std::string>(&address)) {
         const auto from = static_cast<std::size_t>(uri->value.data() - text.data());
         into_.append(text.substr(0, from)).append(*other).append(text.substr(from + uri->value.size()));
@@ -89,7 +92,8 @@
 };
 
 std::string_view tag_name(std::string_view line) {
-  while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) line.remove_suffix(1);
+  while (!line.empty() && (line.back() == '\n' || line.back() == '\r'))
+    line.remove_suffix(1);
   return line.substr(0, line.find(':'));
 }
 
@@ -132,15 +136,19 @@
       const bool moved = terms_.moved && terms_.moved(piece);
       const bool renumbered = piece.sequence(0) != sequence;
       for (std::uint32_t i = 0; i < piece.count; ++i, ++sequence, ++at) {
-        if (at < skipped) continue;
+        if (at < skipped)
+          continue;
         const auto& segment = piece.at(i);
         const auto& before = piece.from->states[segment.before];
         const auto& with = piece.from->states[segment.state];
         const bool own_keys = renumbered && with.implicit_iv;
         // Behind a skip the viewer still has what was in force there.
-        if (skipped > 0 && at == skipped) state = &before;
-        if (i == 0 && piece.breaks && !segment.discontinuity) made_ += "#EXT-X-DISCONTINUITY\n";
-        if (i == 0 && (!state || !(*state == before))) repeat(piece, state, before, moved);
+        if (skipped > 0 && at == skipped)
+          state = &before;
+        if (i == 0 && piece.breaks && !segment.discontinuity)
+          made_ += "#EXT-X-DISCONTINUITY\n";
+        if (i == 0 && (!state || !(*state == before)))
+          repeat(piece, state, before, moved);
         if (own_keys)
           numbered(piece, i, with, moved);
         else
@@ -152,7 +160,8 @@
       tail(last);
     else if (window_.ended)
       made_ += "#EXT-X-ENDLIST\n";
-    if (copier_.fault) return *copier_.fault;
+    if (copier_.fault)
+      return *copier_.fault;
     return std::move(made_);
   }
 
@@ -160,14 +169,16 @@
   // What is further from the end than the skip boundary (draft, 4.4.5.2), if that is worth a line.
   std::size_t may_skip() const {
     const auto& newest = *window_.pieces.back().from;
-    if (!newest.skip_until || newest.ended) return 0;
+    if (!newest.skip_until || newest.ended)
+      return 0;
     Span behind{0};
     std::size_t kept = 0;
     for (auto piece = window_.pieces.rbegin(); piece != window_.pieces.rend(); ++piece) {
       for (auto i = piece->count; i > 0; --i) {
         behind += piece->at(i - 1).duration;
         ++kept;
-        if (behind >= *newest.skip_until) return window_.size() - kept;
+        if (behind >= *newest.skip_until)
+          return window_.size() - kept;
       }
     }
     return 0;
@@ -179,7 +190,8 @@
     const auto each = [&](Range range) {
       const auto line = range.of(media.text);
       const auto name = tag_name(line);
-      if (name == "#EXT-X-ENDLIST") return;
+      if (name == "#EXT-X-ENDLIST")
+        return;
       if (name == "#EXT-X-MEDIA-SEQUENCE") {
         made_ += "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(window_.media_sequence) + "\n";
         wrote_sequence = true;
@@ -191,38 +203,47 @@
         wrote_version = true;
       } else {
         copier_.copy(last, range, terms_.moved && terms_.moved(last));
-        if (!line.ends_with('\n')) made_ += '\n';
+        if (!line.ends_with('\n'))
+          made_ += '\n';
       }
     };
     each_line(media.text, media.head, each);
-    for (const auto& stray : media.strays) each(stray);
+    for (const auto& stray : media.strays)
+      each(stray);
     if (!wrote_sequence && window_.media_sequence > 0)
       made_ += "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(window_.media_sequence) + "\n";
     if (!wrote_breaks && window_.discontinuity_sequence > 0)
       made_ += "#EXT-X-DISCONTINUITY-SEQUENCE:" + std::to_string(window_.discontinuity_sequence) + "\n";
     if (skipped > 0) {
-      if (!wrote_version) made_ += "#EXT-X-VERSION:" + std::to_string(delta_version) + "\n";
+      if (!wrote_version)
+        made_ += "#EXT-X-VERSION:" + std::to_string(delta_version) + "\n";
       made_ += "#EXT-X-SKIP:SKIPPED-SEGMENTS=" + std::to_string(skipped) + "\n";
     }
   }
 
   // A piece begins: what was in force before its first segment holds from here on.
   void repeat(const Piece& piece, const InForce* had, const InForce& wanted, bool moved) {
-    if (had && !had->keys.empty() && wanted.keys.empty()) made_ += "#EXT-X-KEY:METHOD=NONE\n";
+    if (had && !had->keys.empty() && wanted.keys.empty())
+      made_ += "#EXT-X-KEY:METHOD=NONE\n";
     if (!had || had->keys != wanted.keys) {
-      for (const auto& key : wanted.keys) copier_.line(piece, key, moved);
+      for (const auto& key : wanted.keys)
+        copier_.line(piece, key, moved);
     }
-    if (!wanted.map.empty()) copier_.line(piece, wanted.map, moved);
-    if (!wanted.bitrate.empty()) made_ += wanted.bitrate + "\n";
+    if (!wanted.map.empty())
+      copier_.line(piece, wanted.map, moved);
+    if (!wanted.bitrate.empty())
+      made_ += wanted.bitrate + "\n";
   }
 
   // Where the viewer counts otherwise than the box, a key's implied vector is told.
   void numbered(const Piece& piece, std::uint32_t i, const InForce& with, bool moved) {
-    for (const auto& key : with.keys) copier_.line(piece, key_with_vector(key, piece.sequence(i)), moved);
+    for (const auto& key : with.keys)
+      copier_.line(piece, key_with_vector(key, piece.sequence(i)), moved);
     const auto& segment = piece.at(i);
     each_line(piece.from->text, segment.lines, [&](Range range) {
       const auto line = range.of(piece.from->text);
-      if (tag_name(line) != "#EXT-X-KEY" && !stray(piece, range)) copy(piece, range, moved);
+      if (tag_name(line) != "#EXT-X-KEY" && !stray(piece, range))
+        copy(piece, range, moved);
     });
   }
 
@@ -231,9 +252,11 @@
     const bool has_strays = std::any_of(strays.begin(), strays.end(), [&](Range stray) {
       return stray.from >= segment.lines.from && stray.to <= segment.lines.to;
     });
-    if (!has_strays) return copy(piece, segment.lines, moved);
+    if (!has_strays)
+      return copy(piece, segment.lines, moved);
     each_line(piece.from->text, segment.lines, [&](Range range) {
-      if (!stray(piece, range)) copy(piece, range, moved);
+      if (!stray(piece, range))
+        copy(piece, range, moved);
     });
   }
   bool stray(const Piece& piece, Range range) const {
@@ -242,7 +265,8 @@
   }
   void copy(const Piece& piece, Range range, bool moved) {
     copier_.copy(piece, range, moved);
-    if (!range.of(piece.from->text).ends_with('\n')) made_ += '\n';
+    if (!range.of(piece.from->text).ends_with('\n'))
+      made_ += '\n';
   }
 
   void tail(const Piece& last) {
@@ -253,11 +277,13 @@
     each_line(media.text, media.tail, [&](Range range) {
       const auto name = tag_name(range.of(media.text));
       // Its numbers are those of the box, where another count is in force here.
-      if (name == "#EXT-X-RENDITION-REPORT" && (renumbered || window_.pieces.size() > 1)) return;
+      if (name == "#EXT-X-RENDITION-REPORT" && (renumbered || window_.pieces.size() > 1))
+        return;
       ended = ended || name == "#EXT-X-ENDLIST";
       copy(last, range, moved);
     });
-    if ((media.ended || window_.ended) && !ended) made_ += "#EXT-X-ENDLIST\n";
+    if ((media.ended || window_.ended) && !ended)
+      made_ += "#EXT-X-ENDLIST\n";
   }
 
   const Window& window_;
@@ -270,12 +296,14 @@
 
 std::size_t Window::size() const {
   std::size_t sum = 0;
-  for (const auto& piece : pieces) sum += piece.count;
+  for (const auto& piece : pieces)
+    sum += piece.count;
   return sum;
 }
 
 bool as_it_is(const Window& window) {
-  if (window.pieces.size() != 1) return false;
+  if (window.pieces.size() != 1)
+    return false;
   const auto& piece = window.pieces[0];
   return (!window.ended || piece.from->ended) && !piece.breaks && piece.first == 0 &&
          piece.count == piece.from->segments.size() && window.media_sequence == piece.from->media_sequence &&
@@ -285,14 +313,17 @@
 std::variant<std::string, Fault> write_window(const Window& window, const WriteTerms& terms) {
   const auto& piece = window.pieces.back();
   const auto& media = *piece.from;
-  if (!as_it_is(window) || (terms.delta && media.skip_until)) return WindowWriter(window, terms).write();
+  if (!as_it_is(window) || (terms.delta && media.skip_until))
+    return WindowWriter(window, terms).write();
   const bool moved = terms.moved && terms.moved(piece);
-  if (!moved && media.uris.empty()) return media.text;
+  if (!moved && media.uris.empty())
+    return media.text;
   std::string made;
   made.reserve(media.text.size() + 256);
   Copier copier(made, terms);
   copier.copy(piece, {0, static_cast<std::uint32_t>(media.text.size())}, moved);
-  if (copier.fault) return *copier.fault;
+  if (copier.fault)
+    return *copier.fault;
   return made;
 }
 
@@ -307,10 +338,12 @@
   std::optional<Fault> fault;
   const auto leave_out = [&](Range lines) { edits.push_back({lines, ""}); };
   const auto give = [&](Range uri, Tag of, std::size_t index) {
-    if (uri.from == uri.to) return;
+    if (uri.from == uri.to)
+      return;
     const auto other = address(uri.of(from.text), of, index);
     if (const auto* none = std::get_if<NoAddress>(&other)) {
-      if (!fault) fault = fault_at(from.text, uri.from, none->cause);
+      if (!fault)
+        fault = fault_at(from.text, uri.from, none->cause);
     } else if (const auto* text = std::get_if<std::string>(&other)) {
       edits.push_back({uri, *text});
     }
@@ -339,11 +372,15 @@
     else
       give(rendition.uri, Tag::media, i);
   }
-  for (std::size_t i = 0; i < from.others.size(); ++i) give(from.others[i].at, from.others[i].of, i);
+  for (std::size_t i = 0; i < from.others.size(); ++i)
+    give(from.others[i].at, from.others[i].of, i);
   // Steering of the origin's would lead viewers past the box they were placed on.
-  if (from.steering) leave_out(*from.steering);
-  if (!own_lines.empty()) edits.push_back({from.definitions_end, std::string(own_lines)});
-  if (fault) return *fault;
+  if (from.steering)
+    leave_out(*from.steering);
+  if (!own_lines.empty())
+    edits.push_back({from.definitions_end, std::string(own_lines)});
+  if (fault)
+    return *fault;
   std::stable_sort(edits.begin(), edits.end(), [](auto& a, auto& b) {
     return std::pair(a.at.from, a.at.to) <
            std::pair(b.at.from, b.at.to);  // what goes in, before what goes out
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -16,9 +16,12 @@
 
 Fault fault_of(const Error& met) {
   using beast::http::error;
-  if (met == error::header_limit) return {431, "the head is longer than allowed"};
-  if (met == error::body_limit) return {413, "the body is longer than allowed"};
-  if (met == error::bad_version) return {505, "the version is not HTTP/1.0 or HTTP/1.1"};
+  if (met == error::header_limit)
+    return {431, "the head is longer than allowed"};
+  if (met == error::body_limit)
+    return {413, "the body is longer than allowed"};
+  if (met == error::bad_version)
+    return {505, "the version is not HTTP/1.0 or HTTP/1.1"};
   return {400, met.message()};
 }
 
@@ -50,11 +53,13 @@
     method = text_of(verb);
     target = text_of(path);
     version = how;
-    if (target.size() > limits_.target) refuse(414, "the target is longer than allowed", error);
+    if (target.size() > limits_.target)
+      refuse(414, "the target is longer than allowed", error);
   }
   void on_response_impl(int code, View, int how, Error&) override { status = code, version = how; }
   void on_field_impl(beast::http::field, View name, View value, Error& error) override {
-    if (fields.size() >= limits_.fields) return refuse(431, "more header fields than allowed", error);
+    if (fields.size() >= limits_.fields)
+      return refuse(431, "more header fields than allowed", error);
     fields.emplace_back(text_of(name), text_of(value));
   }
   void on_header_impl(Error&) override {}
@@ -86,12 +91,14 @@
     Error error;
     const auto taken = parser.put(boost::asio::buffer(kept.data() + used, kept.size() - used), error);
     used += taken;
-    if (error == beast::http::error::need_more) break;
+    if (error == beast::http::error::need_more)
+      break;
     if (error) {
       fault = parser.own_fault ? *parser.own_fault : fault_of(error);
       break;
     }
-    if (taken == 0) break;
+    if (taken == 0)
+      break;
   }
   kept.erase(0, used);
   return fault;
@@ -105,7 +112,8 @@
 
 const std::string* find(const Fields& fields, std::string_view name) {
   for (const auto& [field, value] : fields) {
-    if (same_name(field, name)) return &value;
+    if (same_name(field, name))
+      return &value;
   }
   return nullptr;
 }
@@ -113,7 +121,8 @@
 std::string joined(const Fields& fields, std::string_view name) {
   std::string all;
   for (const auto& [field, value] : fields) {
-    if (same_name(field, name)) all += (all.empty() ? "" : ", ") + value;
+    if (same_name(field, name))
+      all += (all.empty() ? "" : ", ") + value;
   }
   return all;
 }
@@ -128,12 +137,15 @@
 RequestReader& RequestReader::operator=(RequestReader&&) noexcept = default;
 
 void RequestReader::push(std::string_view bytes) {
-  if (!fault_) kept_.append(bytes);
+  if (!fault_)
+    kept_.append(bytes);
 }
 
 std::optional<Request> RequestReader::next() {
-  if (fault_ || (kept_.empty() && !parser_)) return std::nullopt;
-  if (!parser_) parser_ = std::make_unique<Parser>(limits_);
+  if (fault_ || (kept_.empty() && !parser_))
+    return std::nullopt;
+  if (!parser_)
+    parser_ = std::make_unique<Parser>(limits_);
   fault_ = feed(*parser_, kept_);
   if (!fault_ && !parser_->is_done()) {
     // Beast counts a head's bytes only when a line is whole: an endless line must not be kept.
@@ -144,7 +156,8 @@
     kept_.clear();
     return std::nullopt;
   }
-  if (!parser_->is_done()) return std::nullopt;
+  if (!parser_->is_done())
+    return std::nullopt;
   Request request{std::move(parser_->method), std::move(parser_->target), parser_->version,
                   parser_->keep_alive(),      std::move(parser_->fields), std::move(parser_->body)};
   parser_.reset();
@@ -169,19 +182,23 @@
 }
 
 ResponseReader::Part ResponseReader::push(std::string_view bytes) {
-  if (!parser_) return {{}, {}, false, Fault{502, "bytes that no request asked for"}};
+  if (!parser_)
+    return {{}, {}, false, Fault{502, "bytes that no request asked for"}};
   kept_.append(bytes);
   const auto fault = feed(*parser_, kept_);
-  if (fault) return {{}, {}, false, fault};
+  if (fault)
+    return {{}, {}, false, fault};
   if (!parser_->is_header_done() && kept_.size() > limits_.header_bytes)
     return {{}, {}, false, Fault{502, "the head is longer than allowed"}};
   auto part = collect();
-  if (part.done && !kept_.empty()) part.fault = Fault{502, "bytes after the response that was asked for"};
+  if (part.done && !kept_.empty())
+    part.fault = Fault{502, "bytes after the response that was asked for"};
   return part;
 }
 
 ResponseReader::Part ResponseReader::close() {
-  if (!parser_) return {};
+  if (!parser_)
+    return {};
   Error error;
   parser_->put_eof(error);
   if (error || !parser_->is_done())
@@ -198,20 +215,23 @@
     head.version = parser_->version;
     head.keep_alive = parser_->keep_alive();
     head.chunked = parser_->chunked();
-    if (const auto length = parser_->content_length()) head.length = *length;
+    if (const auto length = parser_->content_length())
+      head.length = *length;
     head.fields = std::move(parser_->fields);
     part.head = std::move(head);
   }
   part.body.swap(parser_->body);
   part.done = parser_->is_done();
-  if (part.done) parser_.reset();
+  if (part.done)
+    parser_.reset();
   return part;
 }
 
 std::string request_text(std::string_view method, std::string_view target, const Fields& fields) {
   std::string text;
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  for (const auto& [name, value] : fields) text.append(name).append(": ").append(value).append("\r\n");
+  for (const auto& [name, value] : fields)
+    text.append(name).append(": ").append(value).append("\r\n");
   return text += "\r\n";
 }
 
@@ -224,7 +244,8 @@
                       bool chunked) {
   std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
   text.append(reason(status)).append("\r\n");
-  for (const auto& [name, value] : fields) text.append(name).append(": ").append(value).append("\r\n");
+  for (const auto& [name, value] : fields)
+    text.append(name).append(": ").append(value).append("\r\n");
   if (length)
     text += "Content-Length: " + std::to_string(*length) + "\r\n";
   else if (chunked)
@@ -252,7 +273,8 @@
       plain += text[i];
       continue;
     }
-    if (i + 2 >= text.size() || digit(text[i + 1]) < 0 || digit(text[i + 2]) < 0) return std::nullopt;
+    if (i + 2 >= text.size() || digit(text[i + 1]) < 0 || digit(text[i + 2]) < 0)
+      return std::nullopt;
     plain += static_cast<char>(digit(text[i + 1]) * 16 + digit(text[i + 2]));
     i += 2;
   }
--- a/src/manager/catalogue_door.cpp
+++ b/src/manager/catalogue_door.cpp
@@ -53,7 +53,8 @@
         control.wait = arm(wait.wait, Ring::feed_wait, link);
       }
     }
-    if (!controls_.contains(link)) return;
+    if (!controls_.contains(link))
+      return;
   }
 }
 
@@ -65,14 +66,16 @@
   actions_->push_back(Send{
       link,
       http::head_text(reply.status, reply.fields, reply.body.size(), !control.close_after) + reply.body});
-  if (!control.close_after) return;
+  if (!control.close_after)
+    return;
   actions_->push_back(Close{link, true});
   controls_.erase(link);
 }
 
 void Manager::control_gone(Link link) {
   const auto found = controls_.find(link);
-  if (found == controls_.end()) return;
+  if (found == controls_.end())
+    return;
   bells_.disarm(found->second->wait);
   actions_->push_back(Close{link, false});
   controls_.erase(found);
@@ -121,7 +124,8 @@
 }
 
 void Manager::on(const KeepDone& what) {
-  if (what.ticket >= seat_tickets) return seats_kept(what);
+  if (what.ticket >= seat_tickets)
+    return seats_kept(what);
   if (!what.failed.empty())
     say("catalogue_not_kept", {{"revision", static_cast<std::int64_t>(what.ticket)}, {"cause", what.failed}});
   keeper_did(keeper_.handle(
@@ -131,11 +135,13 @@
 void Manager::wake_feeds() {
   std::vector<Link> waiting;
   for (const auto& [link, control] : controls_) {
-    if (control->feed_after) waiting.push_back(link);
+    if (control->feed_after)
+      waiting.push_back(link);
   }
   for (const auto link : waiting) {
     const auto found = controls_.find(link);
-    if (found == controls_.end()) continue;
+    if (found == controls_.end())
+      continue;
     if (const auto reply = cataloguewire::feed_reply(keeper_, *found->second->feed_after))
       control_reply(*found->second, *reply);
   }
@@ -156,7 +162,8 @@
     }
   }
   for (const auto id : concerned) {
-    if (const auto found = playbacks_.find(id); found != playbacks_.end()) hold_anew(*found->second);
+    if (const auto found = playbacks_.find(id); found != playbacks_.end())
+      hold_anew(*found->second);
   }
 }
 
@@ -172,7 +179,8 @@
 // What is written to the socket may run: it is waited for. What is not is taken back and placed anew.
 void Manager::take_back(Playback& playback) {
   const auto found = boxes_.find(playback.try_link);
-  if (found == boxes_.end() || found->second->connected) return;
+  if (found == boxes_.end() || found->second->connected)
+    return;
   const auto server = found->second->server;
   if (const auto viewer = viewers_.find(found->second->viewer); viewer != viewers_.end())
     viewer->second->box = 0;
@@ -185,7 +193,8 @@
 // ---- the feed ----
 
 void Manager::poll_feed() {
-  if (feed_out_ || stopping_) return;
+  if (feed_out_ || stopping_)
+    return;
   feed_out_ = true;
   const auto after = std::to_string(keeper_.present()->revision);
   const auto wait = std::to_string(terms_.feed_wait.count() / 1000);
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -34,7 +34,8 @@
     if (one.empty() || one.starts_with("CMCD=") || one.starts_with("_HLS_") ||
         one.starts_with("access_token=") || one.starts_with("CTA-Common-Access-Token="))
       continue;
-    if (!kept.empty()) kept += '&';
+    if (!kept.empty())
+      kept += '&';
     kept += one;
   }
   return kept;
@@ -69,7 +70,8 @@
 
 std::string more(std::string_view target, const std::string& query) {
   std::string made(target);
-  if (!query.empty()) made.append(target.find('?') == std::string_view::npos ? "?" : "&").append(query);
+  if (!query.empty())
+    made.append(target.find('?') == std::string_view::npos ? "?" : "&").append(query);
   return made;
 }
 
@@ -81,9 +83,11 @@
   const std::string_view target = viewer.request.target;
   const auto path = target.substr(0, target.find('?'));
   const auto query = path.size() < target.size() ? target.substr(path.size() + 1) : std::string_view();
-  if (path.starts_with(pass_path)) return read_pass(viewer, path.substr(pass_path.size()), query);
+  if (path.starts_with(pass_path))
+    return read_pass(viewer, path.substr(pass_path.size()), query);
   // `/PLAN/TITLE/NAME.m3u8`: where a playback begins.
-  if (!path.ends_with(".m3u8") || std::count(path.begin(), path.end(), '/') != 3) return Read::other;
+  if (!path.ends_with(".m3u8") || std::count(path.begin(), path.end(), '/') != 3)
+    return Read::other;
   const auto slash = path.rfind('/');
   // Read as an object's path would be, the rung left out.
   auto read = read_path(terms_, std::string(path.substr(0, slash)) + "/r0" + std::string(path.substr(slash)));
@@ -112,7 +116,8 @@
     return Read::answered;
   };
   const auto slash = path.find('/');
-  if (slash == std::string_view::npos) return refused(404, "no address of this front");
+  if (slash == std::string_view::npos)
+    return refused(404, "no address of this front");
   auto read = keys_.read(wall(), path.substr(0, slash));
   viewer.pass_expired = false;
   if (auto* no = std::get_if<passes::Refused>(&read)) {
@@ -157,7 +162,8 @@
     viewer.delta = argument(query, "_HLS_skip").has_value();
     if (const auto number = argument(query, "_HLS_msn")) {
       const auto asked = hls::read_whole(*number);
-      if (!asked) return refused(400, "_HLS_msn takes a media sequence number");
+      if (!asked)
+        return refused(400, "_HLS_msn takes a media sequence number");
       viewer.blocks = true;
       auto there = *asked;
       // The player counts as this front does; the box as it does itself.
@@ -178,7 +184,8 @@
     return Read::taken;
   }
   // Something in the rendition's directory; a name that leads out of it has another's address, or none.
-  if (pass.flat) return refused(403, "this address is not of that segment");
+  if (pass.flat)
+    return refused(403, "this address is not of that segment");
   const auto directory = hls::directory_of(pass.place);
   const auto resolved = hls::resolve(directory, tail);
   const auto* place = std::get_if<hls::Target>(&resolved);
@@ -194,7 +201,8 @@
 bool Manager::adopt(ViewerLink& viewer) {
   const auto& pass = viewer.pass;
   const auto key = key_of(pass.plan, pass.title, "s" + pass.sid);
-  if (by_key_.contains(key)) return true;
+  if (by_key_.contains(key))
+    return true;
   const auto& plan = terms_.site.plans[pass.plan];
   hls::Orphan orphan;
   using Asks = hls::Orphan::Asks;
@@ -218,7 +226,8 @@
     answer(viewer, 503, "rejected: no box has room\n", {{"Retry-After", std::to_string(whole)}});
     return false;
   }
-  if (std::holds_alternative<hls::BeginAnew>(verdict)) return true;
+  if (std::holds_alternative<hls::BeginAnew>(verdict))
+    return true;
   auto& playback = admit(viewer);
   playback.asked_at = now_;
   hls_side(playback);
@@ -247,7 +256,8 @@
 // ---- what players go on from ----
 
 void Manager::hls_side(Playback& playback) {
-  if (playback.hls) return;
+  if (playback.hls)
+    return;
   if (const auto kept = parted_.find(playback.key); kept != parted_.end()) {
     playback.hls = std::move(kept->second);
     parted_.erase(kept);
@@ -256,14 +266,17 @@
     playback.hls = std::make_unique<HlsSide>(terms_.hls.show, terms_.site.plans[playback.plan].floor);
   }
   // Before it plays the module's word is still to come.
-  if (playback.playing) playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
+  if (playback.playing)
+    playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
 }
 
 // The playback is over here, but its player may not know: its numbers and its address are remembered.
 void Manager::part(Playback& playback, hls::Ending how, Span come_back) {
-  if (!playback.hls) return;
+  if (!playback.hls)
+    return;
   departures_.note(now_, playback.key, how, come_back);
-  if (!playback.token.empty()) playback.hls->token = playback.token;
+  if (!playback.token.empty())
+    playback.hls->token = playback.token;
   while (parted_order_.size() >= terms_.hls.parted_kept) {
     parted_.erase(parted_order_.front());
     parted_order_.pop_front();
@@ -322,7 +335,8 @@
     }
     return true;
   }
-  if (viewer.wants == Wants::lists) return true;
+  if (viewer.wants == Wants::lists)
+    return true;
   if (!readers.contains(viewer.pass.reader) &&
       readers.size() >= 2 * static_cast<std::size_t>(terms_.hls.most_readers)) {
     readers.erase(std::min_element(readers.begin(), readers.end(),
@@ -341,10 +355,12 @@
            {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}});
     return false;
   }
-  if (viewer.wants != Wants::segment || viewer.pass.steady) return true;
+  if (viewer.wants != Wants::segment || viewer.pass.steady)
+    return true;
   const auto verdict = side.showing.handle(now_, hls::SegmentAsked{viewer.pass.rung, buffer});
   const auto* high = std::get_if<hls::TooHigh>(&verdict);
-  if (!high) return true;
+  if (!high)
+    return true;
   say("segment_too_high", {{"playback", said_id(playback.id)},
                            {"rung", std::int64_t{viewer.pass.rung}},
                            {"shown", std::int64_t{high->rung}}});
@@ -361,24 +377,28 @@
 // ---- a box's playlist ----
 
 void Manager::collect(BoxLink& link, http::ResponseReader::Part& part) {
-  if (part.head) link.coding = http::joined(part.head->fields, "Content-Encoding");
+  if (part.head)
+    link.coding = http::joined(part.head->fields, "Content-Encoding");
   link.body += part.body;
   // Guards against a box that never ends its playlist.
   if (link.body.size() > terms_.hls.playlists.bytes) {
     link.keep_alive = false;
     return list_unusable(link, "more than " + std::to_string(terms_.hls.playlists.bytes) + " bytes");
   }
-  if (part.done) list_whole(link);
+  if (part.done)
+    list_whole(link);
 }
 
 void Manager::list_unusable(BoxLink& link, const std::string& cause) {
   say("playlist_malformed",
       {{"box", list_.box(link.server).name}, {"target", link.target}, {"cause", cause}});
   const bool whole = link.keep_alive;
-  if (link.use != Use::set_up) return box_failed(link, Outcome::error);
+  if (link.use != Use::set_up)
+    return box_failed(link, Outcome::error);
   const Link id = link.link;
   try_failed(link, Outcome::error, {{"cause", cause}});
-  if (boxes_.contains(id) && whole) release(link, true);
+  if (boxes_.contains(id) && whole)
+    release(link, true);
 }
 
 void Manager::list_whole(BoxLink& link) {
@@ -388,11 +408,13 @@
     auto plain = link.coding == "gzip" || link.coding == "x-gzip"
                      ? gzip::unpacked(text, terms_.hls.playlists.bytes)
                      : std::nullopt;
-    if (!plain) return list_unusable(link, "a body that is no " + link.coding + " within the limits");
+    if (!plain)
+      return list_unusable(link, "a body that is no " + link.coding + " within the limits");
     text = std::move(*plain);
   }
   const auto found = playbacks_.find(*link.playback);
-  if (found == playbacks_.end()) return hang_box(link.link);
+  if (found == playbacks_.end())
+    return hang_box(link.link);
   auto& playback = *found->second;
   // The viewer it was asked for; if it left meanwhile, the playlist proves the set-up all the same.
   const auto first = viewers_.find(link.viewer);
@@ -404,9 +426,12 @@
     made = lists_text(*viewer, playback, link.target, std::move(text));
   else
     made = media_text(*viewer, playback, link.server, link.target, std::move(text));
-  if (const auto* fault = std::get_if<hls::Fault>(&made)) return list_unusable(link, fault->text());
-  if (link.use == Use::set_up) try_ran(link, nullptr);
-  if (playback.objects_out > 0) --playback.objects_out;
+  if (const auto* fault = std::get_if<hls::Fault>(&made))
+    return list_unusable(link, fault->text());
+  if (link.use == Use::set_up)
+    try_ran(link, nullptr);
+  if (playback.objects_out > 0)
+    --playback.objects_out;
   rest(playback);
   const Link waiting = link.viewer;
   release(link, true);
@@ -426,7 +451,8 @@
                       {"CMSD-Dynamic", hints::cmsd_entry(own)}};
   const bool pack =
       text.size() >= worth_packing && gzip::accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
-  if (pack) fields.emplace_back("Content-Encoding", "gzip");
+  if (pack)
+    fields.emplace_back("Content-Encoding", "gzip");
   if (viewer.wants == ViewerLink::Wants::lists) {
     // Read again there, it is known to be the same player; CMSD's mb tells when that is worth it.
     auto pass = viewer.pass;
@@ -453,7 +479,8 @@
   for (int rung = 0; rung < static_cast<int>(terms_.site.rung_kb.size()); ++rung) {
     const double bits = rate_kb(playback, rung) * 1000 * kbit_per_kb;
     const double off = std::fabs(std::log(std::max(1.0, static_cast<double>(bandwidth)) / bits));
-    if (rung == 0 || off < least) best = rung, least = off;
+    if (rung == 0 || off < least)
+      best = rung, least = off;
   }
   return best;
 }
@@ -468,7 +495,8 @@
   pass.rung = rung;
   pass.title = playback.title;
   pass.sid = playback.sid;
-  if (pass.box.empty()) pass.box = list_.box(playback.server).name;
+  if (pass.box.empty())
+    pass.box = list_.box(playback.server).name;
   pass.place = place;
   return address(std::move(pass));
 }
@@ -477,7 +505,8 @@
                                                           const std::string& target, std::string text) {
   auto& side = *playback.hls;
   auto read = hls::read_multivariant(std::move(text), terms_.hls.playlists, with_query({}, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read)) return *fault;
+  if (const auto* fault = std::get_if<hls::Fault>(&read))
+    return *fault;
   const auto& lists = std::get<hls::Multivariant>(read);
   // Where each playlist lies; those whose directory holds another's give no right to all that is in it.
   struct Placed {
@@ -486,31 +515,40 @@
   };
   std::map<std::string, Placed, std::less<>> places;  // by URI as written
   const auto place_of = [&](std::string_view uri) -> std::optional<hls::Fault> {
-    if (places.contains(uri)) return std::nullopt;
+    if (places.contains(uri))
+      return std::nullopt;
     const auto plain = hls::substituted(uri, lists.variables);
     const auto resolved = plain ? hls::resolve(target, *plain) : hls::Unreadable{};
     const auto* at = std::get_if<hls::Target>(&resolved);
-    if (!at) return hls::Fault{0, "a rendition that is not at this box: " + std::string(uri)};
+    if (!at)
+      return hls::Fault{0, "a rendition that is not at this box: " + std::string(uri)};
     places[std::string(uri)] = {at->text, false};
     return std::nullopt;
   };
   for (const auto& variant : lists.variants) {
-    if (auto fault = place_of(variant.uri.of(lists.text))) return *fault;
+    if (auto fault = place_of(variant.uri.of(lists.text)))
+      return *fault;
   }
   for (const auto& rendition : lists.renditions) {
-    if (rendition.uri.from == rendition.uri.to) continue;
-    if (auto fault = place_of(rendition.uri.of(lists.text))) return *fault;
+    if (rendition.uri.from == rendition.uri.to)
+      continue;
+    if (auto fault = place_of(rendition.uri.of(lists.text)))
+      return *fault;
   }
   for (const auto& frames : lists.i_frames) {
-    if (auto fault = place_of(frames.uri.of(lists.text))) return *fault;
+    if (auto fault = place_of(frames.uri.of(lists.text)))
+      return *fault;
   }
   std::vector<std::pair<std::string, Placed*>> directories;
-  for (auto& [uri, placed] : places) directories.emplace_back(hls::directory_of(placed.place), &placed);
+  for (auto& [uri, placed] : places)
+    directories.emplace_back(hls::directory_of(placed.place), &placed);
   std::sort(directories.begin(), directories.end());
   for (std::size_t i = 0; i + 1 < directories.size(); ++i) {
-    if (!directories[i + 1].first.starts_with(directories[i].first)) continue;
+    if (!directories[i + 1].first.starts_with(directories[i].first))
+      continue;
     directories[i].second->flat = true;
-    if (directories[i + 1].first == directories[i].first) directories[i + 1].second->flat = true;
+    if (directories[i + 1].first == directories[i].first)
+      directories[i + 1].second->flat = true;
   }
   const auto verdict = side.showing.handle(now_, hls::ListsAsked{});
   const auto range = std::get<hls::ListRungs>(verdict);
@@ -521,11 +559,14 @@
   for (const auto& variant : lists.variants) {
     const int rung = rung_of(playback, variant.average ? variant.average : variant.bandwidth);
     rungs.push_back(rung);
-    if (variant.pathway != pathway) continue;
+    if (variant.pathway != pathway)
+      continue;
     some = some || (rung >= range.low && rung <= range.high);
-    if (rung >= range.low && (above < 0 || rung < above)) above = rung;
+    if (rung >= range.low && (above < 0 || rung < above))
+      above = rung;
   }
-  if (!some && above < 0) return hls::Fault{0, "no variant that the plan may play"};
+  if (!some && above < 0)
+    return hls::Fault{0, "no variant that the plan may play"};
   const int low = range.low, high = some ? range.high : above;
   hls::Shown shown;
   std::uint64_t widest = 0;
@@ -536,8 +577,10 @@
     const auto& placed = places.find(variant.uri.of(lists.text))->second;
     const bool show = rungs[i] >= low && rungs[i] <= high && variant.pathway == pathway;
     shown.variants.push_back(show);
-    if (show) widest = std::max(widest, variant.bandwidth);
-    if (variant.pathway != pathway || rungs[i] < low) continue;
+    if (show)
+      widest = std::max(widest, variant.bandwidth);
+    if (variant.pathway != pathway || rungs[i] < low)
+      continue;
     side.lists.emplace(rungs[i], placed.place);
     side.flat.emplace(rungs[i], placed.flat);
   }
@@ -581,7 +624,8 @@
   const std::pair at(server, target);
   auto& kept = lists_read_[at];
   const auto used = [&] {
-    if (kept.used) lists_used_.erase(kept.used);
+    if (kept.used)
+      lists_used_.erase(kept.used);
     kept.used = ++list_uses_;
     lists_used_[kept.used] = at;
   };
@@ -591,13 +635,15 @@
   }
   auto read = hls::read_media(std::move(text), terms_.hls.playlists, variables, kept.media.get());
   if (auto* fault = std::get_if<hls::Fault>(&read)) {
-    if (!kept.media) lists_read_.erase(at);
+    if (!kept.media)
+      lists_read_.erase(at);
     return *fault;
   }
   const auto weight = [](const hls::Media& media) {
     return media.text.size() + media.segments.size() * sizeof(hls::Segment);
   };
-  if (kept.media) lists_bytes_ -= weight(*kept.media);
+  if (kept.media)
+    lists_bytes_ -= weight(*kept.media);
   kept.media = std::make_shared<const hls::Media>(std::get<hls::Media>(std::move(read)));
   lists_bytes_ += weight(*kept.media);
   auto media = kept.media;
@@ -617,11 +663,14 @@
                                std::string_view uri, hls::Tag of) const {
   const auto& box = list_.box(server);
   const auto plain = hls::substituted(uri, variables);
-  if (!plain) return hls::NoAddress{"a variable without a value"};
+  if (!plain)
+    return hls::NoAddress{"a variable without a value"};
   const auto resolved = hls::resolve(base, *plain);
-  if (const auto* target = std::get_if<hls::Target>(&resolved)) return target->text;
+  if (const auto* target = std::get_if<hls::Target>(&resolved))
+    return target->text;
   const auto* other = std::get_if<hls::Elsewhere>(&resolved);
-  if (!other) return hls::NoAddress{"an address that can't be read"};
+  if (!other)
+    return hls::NoAddress{"an address that can't be read"};
   // Keys and data of other services are theirs to give; media that lead away from the box are not.
   if (other->scheme == "http" && other->authority == box.address + ":" + std::to_string(box.port))
     return other->target;
@@ -636,9 +685,11 @@
                                  std::string_view uri, hls::Tag of) {
   const auto& box = list_.box(server);
   auto placed = place_at(variables, server, base, uri, of);
-  if (!std::holds_alternative<std::string>(placed)) return placed;
+  if (!std::holds_alternative<std::string>(placed))
+    return placed;
   const auto place = std::get<std::string>(std::move(placed));
-  if (terms_.hls.direct) return "http://" + box.address + ":" + std::to_string(box.port) + place;
+  if (terms_.hls.direct)
+    return "http://" + box.address + ":" + std::to_string(box.port) + place;
   const bool own_rung = viewer.wants == ViewerLink::Wants::media_list && rung == viewer.pass.rung;
   const auto directory = hls::directory_of(base);
   if (own_rung && !viewer.pass.flat && place.starts_with(directory) && place.size() > directory.size())
@@ -668,7 +719,8 @@
                                                           std::string text) {
   auto& side = *playback.hls;
   auto read = read_list(server, target, std::move(text), with_query(side.variables, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read)) return *fault;
+  if (const auto* fault = std::get_if<hls::Fault>(&read))
+    return *fault;
   const auto media = std::get<std::shared_ptr<const hls::Media>>(read);
   side.target = media->target;
   const int rung = viewer.fill_rung;
@@ -707,11 +759,13 @@
                              {"cause", std::string(went.step == hls::Course::Step::skipped
                                                        ? "segments that no box shows lie between"
                                                        : "nothing says how it follows")}});
-    if (window->pieces.empty()) return media->text;
+    if (window->pieces.empty())
+      return media->text;
   }
   const auto base_of = [&](const hls::Piece& piece) -> const std::string& {
     if (piece.rung != viewer.pass.rung && !viewer.pass.steady) {
-      if (const auto found = side.lists.find(piece.rung); found != side.lists.end()) return found->second;
+      if (const auto found = side.lists.find(piece.rung); found != side.lists.end())
+        return found->second;
     }
     return viewer.pass.place;
   };
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -32,14 +32,18 @@
 bool ends_here(std::string_view name, std::string_view connection) {
   for (const auto own : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
                          "Upgrade", "Content-Length", "CMSD-Dynamic", "Via"}) {
-    if (http::same_name(name, own)) return true;
+    if (http::same_name(name, own))
+      return true;
   }
   for (std::size_t from = 0; from < connection.size();) {
     const auto end = std::min(connection.find(',', from), connection.size());
     auto option = connection.substr(from, end - from);
-    while (!option.empty() && option.front() == ' ') option.remove_prefix(1);
-    while (!option.empty() && option.back() == ' ') option.remove_suffix(1);
-    if (http::same_name(name, option)) return true;
+    while (!option.empty() && option.front() == ' ')
+      option.remove_prefix(1);
+    while (!option.empty() && option.back() == ' ')
+      option.remove_suffix(1);
+    if (http::same_name(name, option))
+      return true;
     from = end + 1;
   }
   return false;
@@ -84,7 +88,8 @@
   }
   now_ = std::max(now_, now);
   actions_ = &actions;
-  if (!began_) first_moment();
+  if (!began_)
+    first_moment();
   if (const auto still = std::exchange(say_stood_still_, Span(0)); still > Span(0))
     say("stood_still", {{"ms", still.count() / 1000}});
   std::visit([this](const auto& happened) { on(happened); }, what);
@@ -104,23 +109,29 @@
 
 void Manager::first_moment() {
   began_ = true;
-  if (!cached_list_.empty()) take_list(list_.take_cached(now_, cached_list_), "kept");
+  if (!cached_list_.empty())
+    take_list(list_.take_cached(now_, cached_list_), "kept");
   // One that knows no box asks at once; others of a hall that starts together ask apart.
   arm(cached_list_.empty() ? Span(0) : terms_.list_every * static_cast<int>(chance_() % 100) / 100,
       Ring::list, 0);
-  if (terms_.catalogued && terms_.feed_port != 0) arm(Span(0), Ring::feed, 0);
+  if (terms_.catalogued && terms_.feed_port != 0)
+    arm(Span(0), Ring::feed, 0);
   arm(terms_.object_length, Ring::weigh, 0);
-  if (!terms_.peers.all.empty()) peers_ = std::make_unique<peers::Peers>(terms_.peers, peer_links);
+  if (!terms_.peers.all.empty())
+    peers_ = std::make_unique<peers::Peers>(terms_.peers, peer_links);
   if (terms_.entitlement.on) {
     auto own = terms_.entitlement.ledger;
     own.peers.clear();
-    for (const auto& peer : terms_.peers.all) own.peers.push_back(peer.name);
-    if (own.peers.empty()) own.peers.push_back(terms_.name);
+    for (const auto& peer : terms_.peers.all)
+      own.peers.push_back(peer.name);
+    if (own.peers.empty())
+      own.peers.push_back(terms_.name);
     own.own = terms_.peers.own;
     ledger_ = std::make_unique<entitlement::Ledger>(std::move(own), terms_.entitlement.restart, wall(),
                                                     terms_.entitlement.kept);
   }
-  if (peers_ || ledger_) arm(Span(0), Ring::seats, 0);
+  if (peers_ || ledger_)
+    arm(Span(0), Ring::seats, 0);
 }
 
 void Manager::ring(const Bell& bell) {
@@ -142,12 +153,14 @@
       return heed(weighing_.handle(now_, hints::TimePassed{}), 0);
     case Ring::try_limit:
     case Ring::box_limit:
-      if (const auto found = boxes_.find(bell.of); found != boxes_.end()) box_time_up(*found->second);
+      if (const auto found = boxes_.find(bell.of); found != boxes_.end())
+        box_time_up(*found->second);
       return;
     case Ring::abandon: {
       // Guards against a request that nothing answers, whatever the cause: its viewer's time is nearly up.
       const auto found = playbacks_.find(bell.of);
-      if (found == playbacks_.end() || found->second->playing) return;
+      if (found == playbacks_.end() || found->second->playing)
+        return;
       auto& playback = *found->second;
       say("answered_by_guard", {{"playback", said_id(playback.id)}});
       tell(Withdrawn{playback.id});
@@ -159,7 +172,8 @@
     }
     case Ring::silence: {
       const auto found = playbacks_.find(bell.of);
-      if (found == playbacks_.end() || found->second->objects_out > 0) return;
+      if (found == playbacks_.end() || found->second->objects_out > 0)
+        return;
       say("playback_over", {{"playback", said_id(bell.of)}, {"cause", std::string("silence")}});
       tell(TryEnded{bell.of, found->second->server, Outcome::served, true, {}});
       part(*found->second, hls::Ending::silent);
@@ -179,7 +193,8 @@
 // ---- viewers ----
 
 void Manager::on(const Accepted& what) {
-  if (peers_ && what.door == terms_.peer_door) return peers_->accepted(now_, what.link, *actions_);
+  if (peers_ && what.door == terms_.peer_door)
+    return peers_->accepted(now_, what.link, *actions_);
   if (what.door != 0) {
     auto control = std::make_unique<Control>();
     control->link = what.link;
@@ -204,14 +219,16 @@
 }
 
 void Manager::on(const Received& what) {
-  if (peer_link(what.link)) return peers_said(peers_->received(what.link, what.bytes, *actions_));
+  if (peer_link(what.link))
+    return peers_said(peers_->received(what.link, what.bytes, *actions_));
   if (what.link >= first_accepted) {
     if (const auto control = controls_.find(what.link); control != controls_.end()) {
       control->second->reader.push(what.bytes);
       return control_requests(*control->second);
     }
     const auto found = viewers_.find(what.link);
-    if (found == viewers_.end()) return;  // hung up on already
+    if (found == viewers_.end())
+      return;  // hung up on already
     auto& viewer = *found->second;
     viewer.reader.push(what.bytes);
     if (viewer.busy && viewer.reader.unread() > most_pipelined && !viewer.reading_held) {
@@ -221,7 +238,8 @@
     return take_requests(viewer);
   }
   const auto found = boxes_.find(what.link);
-  if (found == boxes_.end()) return;  // an answer after its cancel
+  if (found == boxes_.end())
+    return;  // an answer after its cancel
   auto& link = *found->second;
   from_box(link, link.reader.push(what.bytes));
 }
@@ -231,7 +249,8 @@
   while (!viewer.busy) {
     if (auto request = viewer.reader.next()) {
       serve(viewer, std::move(*request));
-      if (!viewers_.contains(link)) return;
+      if (!viewers_.contains(link))
+        return;
       continue;
     }
     if (const auto& fault = viewer.reader.fault()) {
@@ -239,7 +258,8 @@
       say("request_malformed", {{"status", std::int64_t{fault->status}}, {"cause", fault->cause}});
       return answer(viewer, fault->status, fault->cause + "\n");
     }
-    if (viewer.half_closed || stopping_) drop_viewer(link, false);
+    if (viewer.half_closed || stopping_)
+      drop_viewer(link, false);
     return;
   }
 }
@@ -261,10 +281,12 @@
     viewer.hints.hints.session_id =
         "t" + std::to_string(XXH3_64bits(viewer.token.data(), viewer.token.size()));
   const auto read = terms_.hls.on() ? read_hls(viewer) : Read::other;
-  if (read == Read::answered) return;
+  if (read == Read::answered)
+    return;
   if (read == Read::other) {
     auto path = read_path(terms_, viewer.request.target);
-    if (const auto* fault = std::get_if<PathFault>(&path)) return answer(viewer, 404, fault->cause + "\n");
+    if (const auto* fault = std::get_if<PathFault>(&path))
+      return answer(viewer, 404, fault->cause + "\n");
     viewer.path = std::move(std::get<MediaPath>(path));
   }
   const auto* trace = http::find(viewer.request.fields, "traceparent");
@@ -280,31 +302,38 @@
 
 // Which playback a request belongs to, and what it wants of it.
 void Manager::serve_media(ViewerLink& viewer) {
-  if (stopping_) return answer(viewer, 503, "this front is stopping\n", come_back_soon());
+  if (stopping_)
+    return answer(viewer, 503, "this front is stopping\n", come_back_soon());
   const bool by_address =
       viewer.wants > ViewerLink::Wants::lists || viewer.pass.names == passes::Pass::Names::lists;
-  if (viewer.wants != ViewerLink::Wants::object && by_address && !adopt(viewer)) return;
+  if (viewer.wants != ViewerLink::Wants::object && by_address && !adopt(viewer))
+    return;
   auto& playback = admit(viewer);
   viewer.playback = playback.id;
-  if (viewer.wants != ViewerLink::Wants::object) hls_side(playback);
+  if (viewer.wants != ViewerLink::Wants::object)
+    hls_side(playback);
   if (!playback.playing) {
     // Guards against one session id gathering requests without end behind a slow set-up.
     if (playback.askers.size() >= most_askers) {
       viewer.playback.reset();
-      if (out_and_paid(playback)) return answer(viewer, 502, "too many requests wait for this set-up\n");
+      if (out_and_paid(playback))
+        return answer(viewer, 502, "too many requests wait for this set-up\n");
       return answer(viewer, 503, "too many requests wait for this set-up\n", come_back_soon());
     }
     viewer.waits = true;
     playback.askers.push_back(viewer.link);
-    if (playback.askers.size() == 1 && playback.tries == 0 && playback.asked_at == Span(-1)) ask(playback);
+    if (playback.askers.size() == 1 && playback.tries == 0 && playback.asked_at == Span(-1))
+      ask(playback);
     return;
   }
-  if (ledger_) renew(playback, viewer);
+  if (ledger_)
+    renew(playback, viewer);
   const auto id = playback.id;
   heed(weighing_.handle(now_, hints::ViewerSaid{id, playback.server, viewer.hints.hints,
                                                 rate_kb(playback, playback.rung)}),
        playback.server);
-  if (viewer.wants != ViewerLink::Wants::object && !steer(viewer, playback)) return;
+  if (viewer.wants != ViewerLink::Wants::object && !steer(viewer, playback))
+    return;
   fetch(viewer, playback);
 }
 
@@ -329,7 +358,8 @@
   const auto& sid = viewer.hints.hints.session_id;
   auto key =
       key_of(viewer.path.plan, viewer.path.title, sid ? "s" + *sid : "l" + std::to_string(viewer.link));
-  if (const auto found = by_key_.find(key); found != by_key_.end()) return *playbacks_.at(found->second);
+  if (const auto found = by_key_.find(key); found != by_key_.end())
+    return *playbacks_.at(found->second);
   auto fresh = std::make_unique<Playback>();
   auto& playback = *fresh;
   playback.id = next_playback_++;
@@ -341,7 +371,8 @@
   playback.asked_at = Span(-1);
   auto [title, unknown] = titles_.try_emplace(playback.title, 0);
   if (unknown) {
-    if (free_titles_.empty()) free_titles_.push_back(static_cast<TitleId>(titles_.size() - 1));
+    if (free_titles_.empty())
+      free_titles_.push_back(static_cast<TitleId>(titles_.size() - 1));
     title->second = free_titles_.back();
     free_titles_.pop_back();
   }
@@ -396,7 +427,8 @@
   playback.asked_at = now_;
   const auto& viewer = *viewers_.at(playback.askers.front());
   const auto request = request_for(playback, viewer);
-  if (!request) return;
+  if (!request)
+    return;
   const Span abandon = terms_.plans[playback.plan].abandon - (now_ - viewer.asked_at);
   playback.abandon = arm(part_of(abandon, guard_part), Ring::abandon, playback.id);
   say("playback_asked", {{"playback", said_id(playback.id)},
@@ -405,13 +437,15 @@
                          {"sid", playback.sid},
                          {"top", std::int64_t{request->top}}});
   playback.request = *request;
-  if (ledger_) return entitle(playback);
+  if (ledger_)
+    return entitle(playback);
   tell(*request);
 }
 
 void Manager::answer(ViewerLink& viewer, int status, const std::string& text, const http::Fields& more) {
   http::Fields fields{{"Via", "1.1 " + terms_.name}};
-  if (!http::find(more, "Content-Type")) fields.emplace_back("Content-Type", "text/plain");
+  if (!http::find(more, "Content-Type"))
+    fields.emplace_back("Content-Type", "text/plain");
   fields.insert(fields.end(), more.begin(), more.end());
   const bool head_only = viewer.request.method == "HEAD";  // whose answer has no body (RFC 9110, 9.3.2)
   send_to_viewer(viewer,
@@ -424,7 +458,8 @@
   viewer.busy = viewer.waits = viewer.head_sent = viewer.chunked = false;
   viewer.playback.reset();
   viewer.box = 0;
-  if (viewer.close_after) return drop_viewer(viewer.link, false);
+  if (viewer.close_after)
+    return drop_viewer(viewer.link, false);
   if (viewer.reading_held) {
     viewer.reading_held = false;
     actions_->push_back(Resume{viewer.link});
@@ -437,13 +472,15 @@
 
 void Manager::drop_viewer(Link link, bool reset) {
   const auto found = viewers_.find(link);
-  if (found == viewers_.end()) return;
+  if (found == viewers_.end())
+    return;
   const auto viewer = std::move(found->second);
   viewers_.erase(found);
   bells_.disarm(viewer->stuck);
   actions_->push_back(Close{link, !reset});
   viewer_gone(*viewer);
-  if (stopping_ && viewers_.empty()) actions_->push_back(Leave{});
+  if (stopping_ && viewers_.empty())
+    actions_->push_back(Leave{});
 }
 
 // The viewer's connection is no more; what it waited for is withdrawn, what it was sent is let go.
@@ -462,22 +499,27 @@
     id = *viewer.playback;
   } else {
     const auto tied = by_link_.find(viewer.link);
-    if (tied == by_link_.end()) return;
+    if (tied == by_link_.end())
+      return;
     id = tied->second;
   }
   by_link_.erase(viewer.link);
   const auto found = playbacks_.find(id);
-  if (found == playbacks_.end()) return;
+  if (found == playbacks_.end())
+    return;
   auto& playback = *found->second;
   if (playback.playing) {
-    if (viewer.busy && playback.objects_out > 0) --playback.objects_out;
-    if (!playback.tied_to_link) return rest(playback);
+    if (viewer.busy && playback.objects_out > 0)
+      --playback.objects_out;
+    if (!playback.tied_to_link)
+      return rest(playback);
     say("playback_over", {{"playback", said_id(id)}, {"cause", std::string("its connection ended")}});
     tell(TryEnded{id, playback.server, Outcome::served, true, {}});
     return forget(id);
   }
   std::erase(playback.askers, viewer.link);
-  if (!playback.askers.empty()) return;
+  if (!playback.askers.empty())
+    return;
   say("playback_withdrawn", {{"playback", said_id(id)}});
   tell(Withdrawn{id});
   if (playback.try_link) {
@@ -492,23 +534,29 @@
     actions_->push_back(Close{what.link, false});
     return peers_->ended(now_, what.link);
   }
-  if (what.link < first_accepted) return on(Ended{what.link, Ending::finished});
-  if (controls_.contains(what.link)) return control_gone(what.link);
+  if (what.link < first_accepted)
+    return on(Ended{what.link, Ending::finished});
+  if (controls_.contains(what.link))
+    return control_gone(what.link);
   const auto found = viewers_.find(what.link);
-  if (found == viewers_.end()) return;
+  if (found == viewers_.end())
+    return;
   // A peer that closed and one that only writes no more look alike: what it asked is answered still.
   found->second->half_closed = true;
-  if (!found->second->busy) take_requests(*found->second);
+  if (!found->second->busy)
+    take_requests(*found->second);
 }
 
 void Manager::on(const Flushed& what) {
   const auto found = viewers_.find(what.link);
-  if (found == viewers_.end()) return;
+  if (found == viewers_.end())
+    return;
   auto& viewer = *found->second;
   viewer.unsent = 0;
   bells_.disarm(viewer.stuck);
   const auto box = boxes_.find(viewer.box);
-  if (box == boxes_.end() || !box->second->held) return;
+  if (box == boxes_.end() || !box->second->held)
+    return;
   box->second->held = false;
   actions_->push_back(Resume{viewer.box});
 }
@@ -516,10 +564,12 @@
 void Manager::send_to_viewer(ViewerLink& viewer, std::string bytes) {
   viewer.unsent += bytes.size();
   actions_->push_back(Send{viewer.link, std::move(bytes)});
-  if (viewer.unsent <= terms_.most_unsent) return;
+  if (viewer.unsent <= terms_.most_unsent)
+    return;
   // Backpressure: the box is read no further until its viewer has read.
   const auto found = boxes_.find(viewer.box);
-  if (found == boxes_.end() || found->second->held) return;
+  if (found == boxes_.end() || found->second->held)
+    return;
   auto& box = *found->second;
   box.held = box.held_since_measure = true;
   actions_->push_back(Hold{box.link});
@@ -531,7 +581,8 @@
   const auto* connection = http::find(head.fields, "Connection");
   http::Fields fields;
   for (const auto& [name, value] : head.fields) {
-    if (!ends_here(name, connection ? *connection : "")) fields.emplace_back(name, value);
+    if (!ends_here(name, connection ? *connection : ""))
+      fields.emplace_back(name, value);
   }
   fields.emplace_back("Via", listed(http::joined(head.fields, "Via"), "1.1 " + terms_.name));
   hints::CmsdDynamic own;
@@ -546,7 +597,8 @@
   }
   fields.emplace_back("CMSD-Dynamic", hints::after_entries(box.cmsd, own));
   viewer.chunked = !head.length && viewer.request.version >= 11;
-  if (!head.length && !viewer.chunked) viewer.close_after = true;
+  if (!head.length && !viewer.chunked)
+    viewer.close_after = true;
   viewer.head_sent = true;
   send_to_viewer(viewer,
                  http::head_text(head.status, fields, head.length, !viewer.close_after, viewer.chunked));
@@ -559,10 +611,13 @@
   const int floor = terms_.site.plans[playback.plan].floor;
   const int rung = std::max(floor, std::min(playback.rung, asked));
   const auto* entry = entry_of(playback);
-  if (!entry) return rung;
-  if (const auto lower = entry->rung_within(floor, rung)) return *lower;
+  if (!entry)
+    return rung;
+  if (const auto lower = entry->rung_within(floor, rung))
+    return *lower;
   for (int above = rung + 1; above < static_cast<int>(terms_.site.rung_kb.size()); ++above) {
-    if (entry->rung_within(above, above)) return above;
+    if (entry->rung_within(above, above))
+      return above;
   }
   return rung;
 }
@@ -582,11 +637,13 @@
                          {"tries", std::int64_t{playback.tries}}});
   const auto askers = std::move(playback.askers);
   playback.askers.clear();
-  if (playback.try_link) hang_box(playback.try_link);
+  if (playback.try_link)
+    hang_box(playback.try_link);
   forget(playback.id);
   for (const auto link : askers) {
     const auto found = viewers_.find(link);
-    if (found == viewers_.end()) continue;
+    if (found == viewers_.end())
+      continue;
     found->second->playback.reset();
     found->second->box = 0;
     answer(*found->second, status, text, more);
@@ -595,7 +652,8 @@
 
 void Manager::forget(PlaybackId id) {
   const auto found = playbacks_.find(id);
-  if (found == playbacks_.end()) return;
+  if (found == playbacks_.end())
+    return;
   auto& playback = *found->second;
   bells_.disarm(playback.abandon);
   bells_.disarm(playback.silence);
@@ -604,7 +662,8 @@
   if (playback.recording) {
     if (auto asking = asking_.find(*playback.recording); asking != asking_.end()) {
       asking->second.erase(id);
-      if (asking->second.empty()) asking_.erase(asking);
+      if (asking->second.empty())
+        asking_.erase(asking);
     }
   }
   by_key_.erase(playback.key);
@@ -633,7 +692,8 @@
 // Nothing of it is under way: over after a silence that its buffer can't explain.
 void Manager::rest(Playback& playback) {
   bells_.disarm(playback.silence);
-  if (playback.objects_out > 0) return;
+  if (playback.objects_out > 0)
+    return;
   const Span silence = playback.hls ? playback.hls->showing.silence()
                                     : std::max(terms_.silence, playback.buffered + 2 * terms_.object_length);
   playback.silence = arm(silence, Ring::silence, playback.id);
@@ -647,9 +707,11 @@
     hints::Cmcd passed = viewer ? viewer->hints.hints : hints::Cmcd{};
     passed.session_id = playback->sid;
     passed.startup = set_up;  // tells the box a set-up from a later object
-    for (auto& field : hints::cmcd_headers(passed)) fields.push_back(std::move(field));
+    for (auto& field : hints::cmcd_headers(passed))
+      fields.push_back(std::move(field));
   }
-  if (viewer && !viewer->trace.empty()) fields.emplace_back("traceparent", viewer->trace);
+  if (viewer && !viewer->trace.empty())
+    fields.emplace_back("traceparent", viewer->trace);
   if (viewer) {
     const bool list =
         viewer->wants == ViewerLink::Wants::lists || viewer->wants == ViewerLink::Wants::media_list;
@@ -664,8 +726,10 @@
 
 // A kept connection, or a new one; none where the box has all that it may have.
 Manager::BoxLink* Manager::box_link(ServerId server, Use use, bool anew) {
-  if (server >= list_.size()) return nullptr;
-  if (idle_.size() <= server) idle_.resize(server + 1), links_of_.resize(server + 1, 0);
+  if (server >= list_.size())
+    return nullptr;
+  if (idle_.size() <= server)
+    idle_.resize(server + 1), links_of_.resize(server + 1, 0);
   auto& idle = idle_[server];
   if (!anew && !idle.empty()) {
     auto& kept = *boxes_.at(idle.back());
@@ -674,7 +738,8 @@
     kept.kept = true;
     return &kept;
   }
-  if (links_of_[server] >= terms_.links_per_box) return nullptr;
+  if (links_of_[server] >= terms_.links_per_box)
+    return nullptr;
   const auto& box = list_.box(server);
   auto fresh = std::make_unique<BoxLink>();
   auto& link = *fresh;
@@ -703,7 +768,8 @@
 
 void Manager::on(const Connected& what) {
   const auto found = boxes_.find(what.link);
-  if (found == boxes_.end()) return;
+  if (found == boxes_.end())
+    return;
   auto& link = *found->second;
   link.connected = true;
   bells_.disarm(link.connect);
@@ -725,7 +791,8 @@
   // is paid at set-up gets a connection of its own, whose failure to open proves that nothing ran.
   const bool anew = terms_.site.plans[playback.plan].pay_at_setup;
   auto* link = box_link(order.server, Use::set_up, anew);
-  if (!link) return tell(TryEnded{playback.id, order.server, Outcome::not_sent, false, {}});
+  if (!link)
+    return tell(TryEnded{playback.id, order.server, Outcome::not_sent, false, {}});
   link->playback = playback.id;
   link->viewer = viewer.link;
   const auto target = box_target(viewer, playback, *link);
@@ -742,7 +809,8 @@
 
 void Manager::start_probe(ServerId server) {
   auto* link = box_link(server, Use::probe, false);
-  if (!link) return tell(ProbeEnded{server, false, {}});
+  if (!link)
+    return tell(ProbeEnded{server, false, {}});
   link->limit = arm(terms_.probe_limit, Ring::box_limit, link->link);
   link->reader.expect(true);
   send_request(*link, http::request_text("HEAD", "/", box_fields(nullptr, nullptr, false)));
@@ -758,7 +826,8 @@
   if (!link) {
     --playback.objects_out;
     rest(playback);
-    if (out_and_paid(playback)) return answer(viewer, 502, "the box has all the connections it may have\n");
+    if (out_and_paid(playback))
+      return answer(viewer, 502, "the box has all the connections it may have\n");
     return answer(viewer, 503, "the box has all the connections it may have\n", come_back_soon());
   }
   viewer.box = link->link;
@@ -768,7 +837,8 @@
   // A box that is silent for as long as a set-up should take leaves time to ask another. One that was asked
   // to wait for a segment to come waits for that too.
   Span limit = terms_.site.plans[playback.plan].startup_target;
-  if (viewer.blocks && playback.hls) limit += 3 * playback.hls->target;
+  if (viewer.blocks && playback.hls)
+    limit += 3 * playback.hls->target;
   link->limit = arm(limit, Ring::box_limit, link->link);
   link->reader.expect(false);
   send_request(*link, http::request_text("GET", target, box_fields(&viewer, &playback, false)));
@@ -782,12 +852,15 @@
                                   : link.use == Use::keys ? std::string("issuer")
                                                           : list_.box(link.server).name},
                           {"cause", part.fault->cause}});
-    if (link.use == Use::idle) return hang_box(id);
+    if (link.use == Use::idle)
+      return hang_box(id);
     return box_failed(link, link.head_seen ? Outcome::reset : Outcome::error);
   }
-  if (link.use == Use::idle) return hang_box(id);
+  if (link.use == Use::idle)
+    return hang_box(id);
   // Bytes behind a response that nobody asked for make the connection worth nothing.
-  if (part.fault) link.keep_alive = false;
+  if (part.fault)
+    link.keep_alive = false;
   if (part.head) {
     link.head_seen = true;
     link.head_at = link.measured_at = now_;
@@ -797,21 +870,27 @@
   switch (link.use) {
     case Use::list:
       link.body += part.body;
-      if (link.body.size() > most_list) return list_answered(link, false);
+      if (link.body.size() > most_list)
+        return list_answered(link, false);
       if (part.head) {
         const auto* etag = http::find(part.head->fields, "ETag");
-        if (etag && link.status == 200) list_etag_ = *etag;
+        if (etag && link.status == 200)
+          list_etag_ = *etag;
       }
-      if (part.done) list_answered(link, true);
+      if (part.done)
+        list_answered(link, true);
       return;
     case Use::feed:
       link.body += part.body;
-      if (part.done) feed_answered(link, true);
+      if (part.done)
+        feed_answered(link, true);
       return;
     case Use::keys:
       link.body += part.body;
-      if (link.body.size() > most_list) return keys_answered(link, false);
-      if (part.done) keys_answered(link, true);
+      if (link.body.size() > most_list)
+        return keys_answered(link, false);
+      if (part.done)
+        keys_answered(link, true);
       return;
     case Use::probe:
       if (part.head) {
@@ -822,7 +901,8 @@
                      .report.value_or(LoadReport{});
         tell(ProbeEnded{link.server, link.status < 500, load});
       }
-      if (part.done) release(link, true);
+      if (part.done)
+        release(link, true);
       return;
     case Use::set_up:
       if (part.head && link.collects && part.head->status == 200) {
@@ -830,12 +910,14 @@
           return hang_box(id);
         hear_box(link, *part.head, 0);
       }
-      if (link.collects && link.status == 200) return collect(link, part);
+      if (link.collects && link.status == 200)
+        return collect(link, part);
       if (part.head) {
         try_head(link, *part.head);
         const auto still = boxes_.find(id);
         if (still == boxes_.end() || still->second->use != Use::object) {
-          if (still != boxes_.end() && part.done) release(link, true);
+          if (still != boxes_.end() && part.done)
+            release(link, true);
           return;
         }
       }
@@ -845,7 +927,8 @@
         const auto viewer = viewers_.find(link.viewer);
         hear_box(link, *part.head, 0);
         // The box is well and knows nothing of the playback: it was restarted or has let it go.
-        if (part.head->status == 421) return box_failed(link, Outcome::error);
+        if (part.head->status == 421)
+          return box_failed(link, Outcome::error);
         // Nor does a box have what the catalogue has taken from it since the playback began.
         if (part.head->status == 404 || part.head->status == 410) {
           const auto playback = playbacks_.find(*link.playback);
@@ -854,9 +937,11 @@
             return box_failed(link, Outcome::error);
         }
         link.collects = link.collects && part.head->status == 200;
-        if (viewer != viewers_.end() && !link.collects) head_to_viewer(*viewer->second, link, *part.head);
+        if (viewer != viewers_.end() && !link.collects)
+          head_to_viewer(*viewer->second, link, *part.head);
       }
-      if (link.collects) return collect(link, part);
+      if (link.collects)
+        return collect(link, part);
       return object_part(link, part);
     case Use::idle:
       return;
@@ -867,9 +952,11 @@
 void Manager::try_head(BoxLink& link, const http::ResponseHead& head) {
   bells_.disarm(link.limit);
   const auto found = playbacks_.find(*link.playback);
-  if (found == playbacks_.end()) return hang_box(link.link);
+  if (found == playbacks_.end())
+    return hang_box(link.link);
   hear_box(link, head, rate_kb(*found->second, link.rung));
-  if (head.status == 200 || head.status == 206) return try_ran(link, &head);
+  if (head.status == 200 || head.status == 206)
+    return try_ran(link, &head);
   // 503 is the box's word that it took nothing on (RFC 9110, 15.6.4); the rest may have run.
   try_failed(link, head.status == 503 ? Outcome::full : Outcome::error,
              {{"status", std::int64_t{head.status}}});
@@ -899,15 +986,18 @@
   playback.askers.clear();
   const auto first = viewers_.find(link.viewer);
   if (first != viewers_.end()) {
-    if (playback.tied_to_link) by_link_[link.viewer] = playback.id;
+    if (playback.tied_to_link)
+      by_link_[link.viewer] = playback.id;
     first->second->waits = false;
-    if (head) head_to_viewer(*first->second, link, *head);
+    if (head)
+      head_to_viewer(*first->second, link, *head);
   } else {
     link.viewer = 0;
   }
   for (const auto asker : askers) {
     const auto other = viewers_.find(asker);
-    if (other == viewers_.end() || asker == link.viewer) continue;
+    if (other == viewers_.end() || asker == link.viewer)
+      continue;
     other->second->waits = false;
     if (other->second->wants == ViewerLink::Wants::object || steer(*other->second, playback))
       fetch(*other->second, playback);
@@ -920,7 +1010,8 @@
   std::vector<Field> fields{{"playback", said_id(playback.id)}, {"box", list_.box(link.server).name}};
   fields.insert(fields.end(), more.begin(), more.end());
   say("try_ended", std::move(fields));
-  if (const auto viewer = viewers_.find(link.viewer); viewer != viewers_.end()) viewer->second->box = 0;
+  if (const auto viewer = viewers_.find(link.viewer); viewer != viewers_.end())
+    viewer->second->box = 0;
   link.playback.reset();
   link.viewer = 0;
   link.collects = false;
@@ -934,7 +1025,8 @@
 void Manager::hear_box(BoxLink& link, const http::ResponseHead& head, double rate) {
   link.cmsd = http::joined(head.fields, "CMSD-Dynamic");
   const auto said = hints::read_cmsd(http::joined(head.fields, "CMSD-Static"), link.cmsd);
-  if (!said.dynamic_whole) link.cmsd.clear();
+  if (!said.dynamic_whole)
+    link.cmsd.clear();
   if (!said.faults.empty())
     say("box_hints_left_out", {{"box", list_.box(link.server).name}, {"cause", said.faults.front()}});
   double length = seconds(terms_.object_length);
@@ -942,7 +1034,8 @@
     length = static_cast<double>(*said.fixed->object_duration) / 1000;
   const auto playback = playbacks_.find(link.playback.value_or(~PlaybackId{0}));
   double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, link.rung);
-  if (link.collects || link.off_ladder) rung_rate = 0;
+  if (link.collects || link.off_ladder)
+    rung_rate = 0;
   link.object_rate = link.collects ? 0
                      : head.length ? static_cast<double>(*head.length) / length
                                    : rung_rate * 1000;
@@ -958,32 +1051,38 @@
     auto& viewer = *found->second;
     if (!part.body.empty())
       send_to_viewer(viewer, viewer.chunked ? http::chunk(part.body) : std::move(part.body));
-    if (part.done && viewer.chunked) send_to_viewer(viewer, std::string(http::last_chunk));
+    if (part.done && viewer.chunked)
+      send_to_viewer(viewer, std::string(http::last_chunk));
   }
   if (!part.done) {
-    if (part.body.empty()) return;
+    if (part.body.empty())
+      return;
     bells_.disarm(link.limit);
     const auto playback = playbacks_.find(*link.playback);
     const int plan = playback == playbacks_.end() ? 0 : playback->second->plan;
     link.limit = arm(terms_.plans[plan].abandon, Ring::box_limit, id);
-    if (now_ - link.measured_at >= measure_every) measure(link, false);
+    if (now_ - link.measured_at >= measure_every)
+      measure(link, false);
     return;
   }
   measure(link, true);
   if (const auto playback = playbacks_.find(*link.playback); playback != playbacks_.end()) {
-    if (playback->second->objects_out > 0) --playback->second->objects_out;
+    if (playback->second->objects_out > 0)
+      --playback->second->objects_out;
     rest(*playback->second);
   }
   const Link viewer = link.viewer;
   release(link, true);
-  if (const auto still = viewers_.find(viewer); still != viewers_.end()) done_with(*still->second);
+  if (const auto still = viewers_.find(viewer); still != viewers_.end())
+    done_with(*still->second);
 }
 
 // Tells the weighing how the box kept up since the last measure.
 void Manager::measure(BoxLink& link, bool whole) {
   const Span took = now_ - link.measured_at;
   const auto bytes = static_cast<double>(link.bytes - link.measured_bytes);
-  if (link.object_rate <= 0 || (whole && bytes == 0) || link.status >= 300) return;
+  if (link.object_rate <= 0 || (whole && bytes == 0) || link.status >= 300)
+    return;
   const double share =
       took < least_measured ? 1.0 : std::min(1.0, bytes / (link.object_rate * seconds(took)));
   heed(weighing_.handle(now_, hints::Delivered{*link.playback, link.server, share, link.held_since_measure}),
@@ -994,22 +1093,28 @@
 }
 
 void Manager::on(const Ended& what) {
-  if (peer_link(what.link)) return peers_->ended(now_, what.link);
+  if (peer_link(what.link))
+    return peers_->ended(now_, what.link);
   if (what.link >= first_accepted) {
-    if (controls_.contains(what.link)) return control_gone(what.link);
+    if (controls_.contains(what.link))
+      return control_gone(what.link);
     const auto found = viewers_.find(what.link);
-    if (found == viewers_.end()) return;
+    if (found == viewers_.end())
+      return;
     const auto viewer = std::move(found->second);
     viewers_.erase(found);
     bells_.disarm(viewer->stuck);
     viewer_gone(*viewer);
-    if (stopping_ && viewers_.empty()) actions_->push_back(Leave{});
+    if (stopping_ && viewers_.empty())
+      actions_->push_back(Leave{});
     return;
   }
   const auto found = boxes_.find(what.link);
-  if (found == boxes_.end()) return;
+  if (found == boxes_.end())
+    return;
   auto& link = *found->second;
-  if (link.use == Use::idle) return hang_box(what.link);
+  if (link.use == Use::idle)
+    return hang_box(what.link);
   if (what.how == Ending::finished && link.connected) {
     auto rest = link.reader.close();  // a body without a length ends so
     if (!rest.fault && (rest.done || rest.head)) {
@@ -1027,7 +1132,8 @@
     link.limit = bells_.arm(still_until_, {Ring::box_limit, link.link});
     return;
   }
-  if (!link.connected) return box_failed(link, Outcome::no_connection);
+  if (!link.connected)
+    return box_failed(link, Outcome::no_connection);
   // Guards against blaming a box for what its viewer does not read.
   if (link.use == Use::object && link.held) {
     link.limit = arm(terms_.connect_limit, Ring::box_limit, link.link);
@@ -1043,19 +1149,25 @@
   const bool head_seen = link.head_seen, kept = link.kept;
   const auto id = link.playback;
   const auto viewer_link = link.viewer;
-  if (use == Use::list) return list_answered(link, false);
-  if (use == Use::feed) return feed_answered(link, false);
-  if (use == Use::keys) return keys_answered(link, false);
+  if (use == Use::list)
+    return list_answered(link, false);
+  if (use == Use::feed)
+    return feed_answered(link, false);
+  if (use == Use::keys)
+    return keys_answered(link, false);
   hang_box(link.link);
   if (use == Use::probe) {
-    if (!head_seen) tell(ProbeEnded{server, false, {}, outcome != Outcome::not_sent});
+    if (!head_seen)
+      tell(ProbeEnded{server, false, {}, outcome != Outcome::not_sent});
     return;
   }
   const auto found = playbacks_.find(id.value_or(~PlaybackId{0}));
   const auto viewer = viewers_.find(viewer_link);
-  if (viewer != viewers_.end()) viewer->second->box = 0;
+  if (viewer != viewers_.end())
+    viewer->second->box = 0;
   if (use == Use::set_up) {
-    if (found == playbacks_.end()) return;
+    if (found == playbacks_.end())
+      return;
     found->second->try_link = 0;
     found->second->last_late = outcome == Outcome::late;
     say("try_ended", {{"playback", said_id(*id)},
@@ -1063,7 +1175,8 @@
                       {"outcome", std::int64_t{static_cast<int>(outcome)}}});
     return tell(TryEnded{*id, server, outcome, false, {}});
   }
-  if (found != playbacks_.end() && found->second->objects_out > 0) --found->second->objects_out;
+  if (found != playbacks_.end() && found->second->objects_out > 0)
+    --found->second->objects_out;
   // A kept connection that the box closed meanwhile proves nothing against it: once more on a new one.
   if (kept && !head_seen && outcome == Outcome::reset && viewer != viewers_.end() &&
       found != playbacks_.end() && !viewer->second->retried) {
@@ -1077,13 +1190,16 @@
       viewer->second->token = found->second->token;
     lost(*found->second, outcome);
   }
-  if (viewer == viewers_.end()) return;
+  if (viewer == viewers_.end())
+    return;
   auto& waiting = *viewer->second;
   waiting.playback.reset();
-  if (waiting.head_sent) return drop_viewer(viewer_link, true);  // a body cut short must look cut short
+  if (waiting.head_sent)
+    return drop_viewer(viewer_link, true);  // a body cut short must look cut short
   // The object was not begun: its viewer asks anew here, as it would after a break. A plan paid at set-up
   // is not set up again on the front's own account.
-  if (pay_at_setup) return answer(waiting, 502, "the box of this playback is lost\n");
+  if (pay_at_setup)
+    return answer(waiting, 502, "the box of this playback is lost\n");
   if (now_ - waiting.asked_at >= part_of(terms_.plans[waiting.path.plan].abandon, answer_part))
     return answer(waiting, 504, "the box of this playback is lost, and the time is up\n");
   serve_media(waiting);
@@ -1098,7 +1214,8 @@
   const bool wanted = reusable && link.keep_alive && !stopping_ &&
                       list_.box(link.server).standing != Standing::gone &&
                       idle_[link.server].size() < terms_.idle_links_per_box;
-  if (!wanted) return hang_box(link.link);
+  if (!wanted)
+    return hang_box(link.link);
   link.use = Use::idle;
   if (link.held) {
     link.held = false;
@@ -1109,7 +1226,8 @@
 
 void Manager::hang_box(Link id) {
   const auto found = boxes_.find(id);
-  if (found == boxes_.end()) return;
+  if (found == boxes_.end())
+    return;
   auto& link = *found->second;
   bells_.disarm(link.limit);
   bells_.disarm(link.connect);
@@ -1125,7 +1243,8 @@
 
 void Manager::poll_list() {
   arm(spread(terms_.list_every), Ring::list, 0);
-  if (list_out_ || terms_.list_port == 0) return;
+  if (list_out_ || terms_.list_port == 0)
+    return;
   list_out_ = true;
   service_link(Use::list, terms_.list_address, terms_.list_port, "/boxes", list_etag_, 2 * terms_.list_every);
 }
@@ -1143,7 +1262,8 @@
   link.limit = arm(limit, Ring::box_limit, link.link);
   link.reader.expect(false);
   http::Fields fields{{"Host", address}, {"Via", "1.1 " + terms_.name}, {"Connection", "close"}};
-  if (!etag.empty()) fields.emplace_back("If-None-Match", etag);
+  if (!etag.empty())
+    fields.emplace_back("If-None-Match", etag);
   send_request(link, http::request_text("GET", target, fields));
   return link;
 }
@@ -1153,7 +1273,8 @@
   const auto body = std::move(link.body);
   const int status = link.head_seen ? link.status : 0;
   hang_box(link.link);
-  if (whole && status == 304) return;
+  if (whole && status == 304)
+    return;
   if (!whole || status != 200) {
     list_etag_.clear();
     say("list_failed", {{"status", std::int64_t{status}}});
@@ -1161,8 +1282,10 @@
   }
   auto news = list_.take(now_, body);
   // Only a list that is taken whole is one to begin with after a restart.
-  if (news.list && news.remark.empty()) actions_->push_back(Store{"boxes.json", body});
-  if (!news.remark.empty()) list_etag_.clear();  // the next answer must come whole to be weighed again
+  if (news.list && news.remark.empty())
+    actions_->push_back(Store{"boxes.json", body});
+  if (!news.remark.empty())
+    list_etag_.clear();  // the next answer must come whole to be weighed again
   take_list(std::move(news), "service");
 }
 
@@ -1175,13 +1298,16 @@
   }
   if (!news.remark.empty())
     say("list_passed_over", {{"source", std::string(source)}, {"cause", news.remark}});
-  if (idle_.size() < list_.size()) idle_.resize(list_.size()), links_of_.resize(list_.size(), 0);
+  if (idle_.size() < list_.size())
+    idle_.resize(list_.size()), links_of_.resize(list_.size(), 0);
   // Connections to a process that is no more, or is elsewhere now, lead nowhere.
   for (const auto server : news.moved) {
     const auto idle = idle_[server];
-    for (const auto link : idle) hang_box(link);
+    for (const auto link : idle)
+      hang_box(link);
   }
-  if (!news.list) return;
+  if (!news.list)
+    return;
   say("list_taken", {{"source", std::string(source)},
                      {"revision", list_.revision()},
                      {"boxes", static_cast<std::int64_t>(news.list->entries.size())}});
@@ -1190,12 +1316,15 @@
   // opens: what is not written to a socket yet is taken back.
   std::vector<PlaybackId> unsent;
   for (const auto& [id, link] : boxes_) {
-    if (link->use != Use::set_up || link->connected || !link->playback) continue;
+    if (link->use != Use::set_up || link->connected || !link->playback)
+      continue;
     const bool moved = std::find(news.moved.begin(), news.moved.end(), link->server) != news.moved.end();
-    if (moved || list_.box(link->server).standing != Standing::ready) unsent.push_back(*link->playback);
+    if (moved || list_.box(link->server).standing != Standing::ready)
+      unsent.push_back(*link->playback);
   }
   std::sort(unsent.begin(), unsent.end());
-  for (const auto id : unsent) take_back(*playbacks_.at(id));
+  for (const auto id : unsent)
+    take_back(*playbacks_.at(id));
 }
 
 // ---- the module ----
@@ -1203,12 +1332,17 @@
 void Manager::tell(const Event& event) { events_.push_back(event); }
 
 void Manager::heed(hints::Weighed weighed, ServerId server) {
-  if (weighed.last_mile) say("viewer_line_short", {{"playback", said_id(*weighed.last_mile)}});
-  for (const auto& note : weighed.notes) tell(note);
-  if (!weighed.report) return;
+  if (weighed.last_mile)
+    say("viewer_line_short", {{"playback", said_id(*weighed.last_mile)}});
+  for (const auto& note : weighed.notes)
+    tell(note);
+  if (!weighed.report)
+    return;
   const auto& report = *weighed.report;
-  if (report.link_fill) tell(Note{~PlaybackId{0}, server, Note::About::link_fill, *report.link_fill});
-  if (report.uplink_fill) tell(Note{~PlaybackId{0}, server, Note::About::uplink_fill, *report.uplink_fill});
+  if (report.link_fill)
+    tell(Note{~PlaybackId{0}, server, Note::About::link_fill, *report.link_fill});
+  if (report.uplink_fill)
+    tell(Note{~PlaybackId{0}, server, Note::About::uplink_fill, *report.uplink_fill});
 }
 
 // Everything waits in line, so that no order is carried out in the middle of another matter.
@@ -1217,12 +1351,15 @@
     while (!events_.empty()) {
       const auto event = std::move(events_.front());
       events_.pop_front();
-      for (const auto& order : decider_->decide(now_, event)) carry_out(order);
+      for (const auto& order : decider_->decide(now_, event))
+        carry_out(order);
     }
-    if (reread_.empty()) return;
+    if (reread_.empty())
+      return;
     const auto link = *reread_.begin();
     reread_.erase(reread_.begin());
-    if (const auto found = viewers_.find(link); found != viewers_.end()) take_requests(*found->second);
+    if (const auto found = viewers_.find(link); found != viewers_.end())
+      take_requests(*found->second);
   }
 }
 
@@ -1231,29 +1368,35 @@
                  [this](const SetUp& o) { start_try(o); },
                  [this](const SetRung& o) {
                    const auto found = playbacks_.find(o.playback);
-                   if (found == playbacks_.end()) return;
+                   if (found == playbacks_.end())
+                     return;
                    auto& playback = *found->second;
                    if (playback.playing)
                      say("rung_set", {{"playback", said_id(o.playback)},
                                       {"from", std::int64_t{playback.rung}},
                                       {"to", std::int64_t{o.rung}}});
                    playback.rung = o.rung;
-                   if (playback.hls) playback.hls->showing.handle(now_, hls::RungIs{o.rung});
+                   if (playback.hls)
+                     playback.hls->showing.handle(now_, hls::RungIs{o.rung});
                  },
                  [this](const Reject& o) {
                    const auto found = playbacks_.find(o.playback);
-                   if (found == playbacks_.end()) return;
+                   if (found == playbacks_.end())
+                     return;
                    http::Fields more;
                    // Those turned away together are not told to come back together.
                    const auto whole = (spread(o.come_back).count() + 999'999) / 1'000'000;
-                   if (whole > 0) more.emplace_back("Retry-After", std::to_string(whole));
+                   if (whole > 0)
+                     more.emplace_back("Retry-After", std::to_string(whole));
                    part(*found->second, hls::Ending::refused, o.come_back);
-                   if (found->second->recording) demand_.turned_away(now_, *found->second->recording);
+                   if (found->second->recording)
+                     demand_.turned_away(now_, *found->second->recording);
                    settle(*found->second, 503, "rejected: no box has room\n", more);
                  },
                  [this](const Abort& o) {
                    const auto found = playbacks_.find(o.playback);
-                   if (found == playbacks_.end()) return;
+                   if (found == playbacks_.end())
+                     return;
                    const int status = found->second->last_late ? 504 : 502;
                    settle(*found->second, status, "aborted: the set-up failed\n", {});
                  },
@@ -1270,7 +1413,8 @@
 void Manager::answer_all() {
   std::vector<PlaybackId> waiting;
   for (const auto& [id, playback] : playbacks_) {
-    if (!playback->playing && !playback->askers.empty()) waiting.push_back(id);
+    if (!playback->playing && !playback->askers.empty())
+      waiting.push_back(id);
   }
   std::sort(waiting.begin(), waiting.end());
   for (const auto id : waiting) {
@@ -1284,7 +1428,8 @@
 
 // Everybody is answered: what waits for a set-up by the module, what plays gets its object to the end.
 void Manager::on(const StopAsked&) {
-  if (stopping_) return;
+  if (stopping_)
+    return;
   stopping_ = true;
   say("stopping", {{"playbacks", static_cast<std::int64_t>(playbacks_.size())}});
   actions_->push_back(Shut{0});
@@ -1297,8 +1442,10 @@
       viewer->close_after = true;
   }
   std::sort(idle.begin(), idle.end());
-  for (const auto link : idle) drop_viewer(link, false);
-  if (viewers_.empty()) actions_->push_back(Leave{});
+  for (const auto link : idle)
+    drop_viewer(link, false);
+  if (viewers_.empty())
+    actions_->push_back(Leave{});
 }
 
 }  // namespace violettide::manager
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -19,7 +19,8 @@
     const auto end = std::min(list.find(between, from), list.size());
     auto one = list.substr(from, end - from);
     from = end + 1;
-    while (!one.empty() && one.front() == ' ') one.remove_prefix(1);
+    while (!one.empty() && one.front() == ' ')
+      one.remove_prefix(1);
     if (one.size() > name.size() && one.starts_with(name) && one[name.size()] == '=')
       return one.substr(name.size() + 1);
   }
@@ -32,15 +33,19 @@
 // that CTA-5007 gives to common access tokens.
 std::string Manager::token_of(const http::Request& request) {
   if (const auto* field = http::find(request.fields, "Authorization")) {
-    if (field->size() > 7 && http::same_name(field->substr(0, 7), "Bearer ")) return field->substr(7);
+    if (field->size() > 7 && http::same_name(field->substr(0, 7), "Bearer "))
+      return field->substr(7);
   }
-  if (const auto* field = http::find(request.fields, cat_name)) return *field;
+  if (const auto* field = http::find(request.fields, cat_name))
+    return *field;
   if (const auto* cookies = http::find(request.fields, "Cookie")) {
-    if (const auto cookie = cut(*cookies, ';', cat_name); !cookie.empty()) return std::string(cookie);
+    if (const auto cookie = cut(*cookies, ';', cat_name); !cookie.empty())
+      return std::string(cookie);
   }
   const std::string_view target = request.target;
   const auto query = target.substr(std::min(target.size(), target.find('?')));
-  if (query.empty()) return "";
+  if (query.empty())
+    return "";
   for (const auto name : {cat_name, query_name}) {
     if (const auto argument = cut(query.substr(1), '&', name); !argument.empty())
       return std::string(argument);
@@ -50,13 +55,15 @@
 
 void Manager::entitle(Playback& playback) {
   auto& viewer = *viewers_.at(playback.askers.front());
-  if (viewer.token.empty() && playback.hls) viewer.token = playback.hls->token;
+  if (viewer.token.empty() && playback.hls)
+    viewer.token = playback.hls->token;
   const auto refuse = [&](int status, const std::string& cause, const std::string& error) {
     say("token_refused", {{"playback", said_id(playback.id)}, {"cause", cause}});
     settle(playback, status, "token: " + cause + "\n",
            {{"WWW-Authenticate", "Bearer error=\"" + error + "\""}});
   };
-  if (viewer.token.empty()) return refuse(401, "none was shown", "invalid_request");
+  if (viewer.token.empty())
+    return refuse(401, "none was shown", "invalid_request");
   const auto judged =
       gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
   if (std::holds_alternative<entitlement::WaitsForKeys>(judged)) {
@@ -82,10 +89,12 @@
 
 // A newer token on a request of what plays already: nothing of that is touched, whatever comes of it.
 void Manager::renew(Playback& playback, const ViewerLink& viewer) {
-  if (viewer.token.empty() || viewer.token == playback.token || !playback.seat) return;
+  if (viewer.token.empty() || viewer.token == playback.token || !playback.seat)
+    return;
   const auto judged =
       gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
-  if (std::holds_alternative<entitlement::WaitsForKeys>(judged)) return fetch_keys();
+  if (std::holds_alternative<entitlement::WaitsForKeys>(judged))
+    return fetch_keys();
   const auto* good = std::get_if<entitlement::Good>(&judged);
   if (!good || entitlement::SeatKey{good->team, good->who} != *playback.seat) {
     const auto* bad = std::get_if<entitlement::Bad>(&judged);
@@ -106,13 +115,16 @@
   for (const auto& act : actions) {
     if (const auto* record = std::get_if<entitlement::KeepRecord>(&act)) {
       const auto one = entitlement::bytes_of(record->record);
-      for (int shift = 24; shift >= 0; shift -= 8) bytes += static_cast<char>(one.size() >> shift & 0xff);
+      for (int shift = 24; shift >= 0; shift -= 8)
+        bytes += static_cast<char>(one.size() >> shift & 0xff);
       bytes += one;
       last = record->ticket;
     }
   }
-  if (last != 0) actions_->push_back(Keep{seat_tickets + last, std::move(bytes), false});
-  for (const auto& act : actions) do_seat(act);
+  if (last != 0)
+    actions_->push_back(Keep{seat_tickets + last, std::move(bytes), false});
+  for (const auto& act : actions)
+    do_seat(act);
 }
 
 void Manager::do_seat(const entitlement::LedgerAct& act) {
@@ -123,13 +135,15 @@
   };
   if (const auto* admit = std::get_if<entitlement::Admit>(&act)) {
     auto* playback = of(admit->key);
-    if (!playback || !playback->request || playback->playing) return;
+    if (!playback || !playback->request || playback->playing)
+      return;
     say("seat_given",
         {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.who}});
     tell(*std::exchange(playback->request, std::nullopt));
   } else if (const auto* away = std::get_if<entitlement::TurnAway>(&act)) {
     auto* playback = of(away->key);
-    if (!playback || playback->playing) return;
+    if (!playback || playback->playing)
+      return;
     using Why = entitlement::TurnAway::Why;
     const Span longest = terms_.entitlement.longest_come_back;
     const Span come_back = std::clamp(away->come_back, Span(1'000'000), std::max(Span(1'000'000), longest));
@@ -144,7 +158,8 @@
            {{"Retry-After", std::to_string((come_back.count() + 999'999) / 1'000'000)}});
   } else if (const auto* end = std::get_if<entitlement::EndPlayback>(&act)) {
     auto* playback = of(end->key);
-    if (!playback) return;
+    if (!playback)
+      return;
     const bool lapsed = end->why == entitlement::EndPlayback::Why::lapsed;
     const auto id = playback->id;
     say("seat_ended", {{"playback", said_id(id)},
@@ -169,9 +184,11 @@
 }
 
 void Manager::peers_said(std::vector<peers::Heard> heard) {
-  for (const auto& remark : peers_->take_remarks()) say("peer_refused", {{"cause", remark}});
+  for (const auto& remark : peers_->take_remarks())
+    say("peer_refused", {{"cause", remark}});
   for (const auto& one : heard) {
-    if (one.kind != seat_words || !ledger_) continue;
+    if (one.kind != seat_words || !ledger_)
+      continue;
     const auto message = entitlement::read_message(one.payload);
     if (message)
       seats_did(entitlement::Heard{one.from, *message});
@@ -183,10 +200,12 @@
 void Manager::seats_kept(const KeepDone& what) {
   if (!what.failed.empty()) {
     // No later record stands for one that was not kept: from here on no seat is given.
-    if (!std::exchange(seats_disk_failed_, true)) say("seats_not_kept", {{"cause", what.failed}});
+    if (!std::exchange(seats_disk_failed_, true))
+      say("seats_not_kept", {{"cause", what.failed}});
     return;
   }
-  if (!seats_disk_failed_) seats_did(entitlement::Kept{what.ticket - seat_tickets});
+  if (!seats_disk_failed_)
+    seats_did(entitlement::Kept{what.ticket - seat_tickets});
 }
 
 void Manager::seats_time() {
@@ -195,14 +214,16 @@
     peers_->time_passed(now_, *actions_);
     peers_said({});  // what it remarked meanwhile
   }
-  if (!ledger_) return;
+  if (!ledger_)
+    return;
   fetch_keys();
   seats_did(entitlement::Ticked{});
 }
 
 void Manager::fetch_keys() {
   const auto& terms = terms_.entitlement;
-  if (terms.keys_port == 0 || !gate_.wants_fetch(wall())) return;
+  if (terms.keys_port == 0 || !gate_.wants_fetch(wall()))
+    return;
   service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Span(2'000'000));
 }
 
@@ -213,7 +234,8 @@
   if (whole && status == 200) {
     std::vector<std::string> left_out;
     gate_.keys_came(wall(), body, left_out);
-    for (const auto& what : left_out) say("key_left_out", {{"cause", what}});
+    for (const auto& what : left_out)
+      say("key_left_out", {{"cause", what}});
   } else {
     gate_.keys_failed();
     say("keys_failed", {{"status", std::int64_t{status}}});
@@ -222,10 +244,12 @@
   const auto waiting = std::exchange(wait_for_keys_, {});
   for (const auto id : waiting) {
     const auto found = playbacks_.find(id);
-    if (found == playbacks_.end() || found->second->askers.empty()) continue;
+    if (found == playbacks_.end() || found->second->askers.empty())
+      continue;
     if (gate_.keys() > 0) {
       entitle(*found->second);
-      if (!wait_for_keys_.contains(id)) continue;
+      if (!wait_for_keys_.contains(id))
+        continue;
       wait_for_keys_.erase(id);
     }
     settle(*found->second, 503, "rejected: the issuer's keys can't be had now\n", come_back_soon());
--- a/src/passes/passes.cpp
+++ b/src/passes/passes.cpp
@@ -18,7 +18,8 @@
  public:
   void byte(int value) { text += static_cast<char>(value); }
   void four(std::uint32_t value) {
-    for (int shift = 24; shift >= 0; shift -= 8) byte(static_cast<int>(value >> shift & 0xff));
+    for (int shift = 24; shift >= 0; shift -= 8)
+      byte(static_cast<int>(value >> shift & 0xff));
   }
   void part(std::string_view value) {
     byte(static_cast<int>(value.size() >> 8 & 0xff));
@@ -40,7 +41,8 @@
   }
   std::uint32_t four() {
     std::uint32_t value = 0;
-    for (int i = 0; i < 4; ++i) value = value << 8 | static_cast<std::uint32_t>(byte());
+    for (int i = 0; i < 4; ++i)
+      value = value << 8 | static_cast<std::uint32_t>(byte());
     return value;
   }
   std::string part() {
@@ -67,9 +69,11 @@
 
 const KeyRing::Key& KeyRing::key(std::size_t secret, std::uint32_t period) {
   const std::pair at(secret, period);
-  if (const auto found = derived_.find(at); found != derived_.end()) return found->second;
+  if (const auto found = derived_.find(at); found != derived_.end())
+    return found->second;
   // Guards against old periods, or made-up ones, gathering keys without end.
-  if (derived_.size() >= most_keys) derived_.erase(derived_.begin());
+  if (derived_.size() >= most_keys)
+    derived_.erase(derived_.begin());
   Put info;
   info.part("violettide pass");
   info.four(period);
@@ -92,19 +96,23 @@
   put.byte(pass.rung);
   put.byte(pass.reader);
   put.byte(static_cast<int>(pass.names) | (pass.steady ? steady_bit : 0) | (pass.flat ? flat_bit : 0));
-  for (const auto* part : {&pass.title, &pass.sid, &pass.box, &pass.place}) put.part(*part);
+  for (const auto* part : {&pass.title, &pass.sid, &pass.box, &pass.place})
+    put.part(*part);
   put.text += signature(0, period, put.text);
   return signing::base64url(put.text);
 }
 
 std::variant<Pass, Refused> KeyRing::read(Span wall, std::string_view token) {
-  if (token.empty() || token.size() > most_token) return Refused{};
+  if (token.empty() || token.size() > most_token)
+    return Refused{};
   const auto bytes = signing::from_base64url(token);
-  if (!bytes || bytes->size() <= signature_bytes) return Refused{};
+  if (!bytes || bytes->size() <= signature_bytes)
+    return Refused{};
   const auto signed_part = std::string_view(*bytes).substr(0, bytes->size() - signature_bytes);
   const auto told = std::string_view(*bytes).substr(signed_part.size());
   Take take(signed_part);
-  if (take.byte() != form) return Refused{};
+  if (take.byte() != form)
+    return Refused{};
   const auto period = take.four();
   Pass pass;
   pass.expires = std::chrono::seconds(take.four());
@@ -115,17 +123,22 @@
   pass.names = static_cast<Pass::Names>(what & names_bits);
   pass.steady = what & steady_bit;
   pass.flat = what & flat_bit;
-  for (auto* part : {&pass.title, &pass.sid, &pass.box, &pass.place}) *part = take.part();
-  if (!take.whole || !take.at_end()) return Refused{};
+  for (auto* part : {&pass.title, &pass.sid, &pass.box, &pass.place})
+    *part = take.part();
+  if (!take.whole || !take.at_end())
+    return Refused{};
   bool known = false;
   for (std::size_t secret = 0; secret < terms_.secrets.size(); ++secret) {
     const auto own = signature(secret, period, signed_part);
     known = signing::same(own, told) || known;
   }
-  if (!known) return Refused{Refusal::forged, std::nullopt};
+  if (!known)
+    return Refused{Refusal::forged, std::nullopt};
   // One from the future was signed by a clock that is further off than is allowed.
-  if (pass.expires > wall + terms_.lifetime + terms_.skew) return Refused{Refusal::forged, std::nullopt};
-  if (wall > pass.expires + terms_.skew) return Refused{Refusal::expired, std::move(pass)};
+  if (pass.expires > wall + terms_.lifetime + terms_.skew)
+    return Refused{Refusal::forged, std::nullopt};
+  if (wall > pass.expires + terms_.skew)
+    return Refused{Refusal::expired, std::move(pass)};
   return pass;
 }
 
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -15,17 +15,21 @@
 
 std::string framed(const std::string& bytes) {
   std::string made;
-  for (int shift = 24; shift >= 0; shift -= 8) made += static_cast<char>(bytes.size() >> shift & 0xff);
+  for (int shift = 24; shift >= 0; shift -= 8)
+    made += static_cast<char>(bytes.size() >> shift & 0xff);
   return made + bytes;
 }
 
 // The next whole frame; nothing: more bytes are wanted. Too long a one is told.
 std::optional<std::string> next_frame(std::string& got, std::size_t most, bool& too_long) {
-  if (got.size() < length_bytes) return std::nullopt;
+  if (got.size() < length_bytes)
+    return std::nullopt;
   std::size_t size = 0;
-  for (std::size_t i = 0; i < length_bytes; ++i) size = size << 8 | static_cast<unsigned char>(got[i]);
+  for (std::size_t i = 0; i < length_bytes; ++i)
+    size = size << 8 | static_cast<unsigned char>(got[i]);
   too_long = size > most;
-  if (too_long || got.size() < length_bytes + size) return std::nullopt;
+  if (too_long || got.size() < length_bytes + size)
+    return std::nullopt;
   auto frame = got.substr(length_bytes, size);
   got.erase(0, length_bytes + size);
   return frame;
@@ -39,7 +43,8 @@
 
 void Peers::send(Span now, PeerIndex to, std::uint32_t kind, std::string payload,
                  std::vector<Action>& actions) {
-  if (to >= out_.size() || to == terms_.own) return;
+  if (to >= out_.size() || to == terms_.own)
+    return;
   auto& out = out_[to];
   if (out.waiting.size() >= terms_.most_waiting) {
     out.waiting.pop_front();  // the oldest: what matters still is sent again
@@ -47,7 +52,8 @@
       remarks_.push_back("messages to " + terms_.all[to].name + " are dropped: too many wait");
   }
   out.waiting.emplace_back(kind, std::move(payload));
-  if (out.link == 0 && now >= out.dial_at) dial(now, to, actions);
+  if (out.link == 0 && now >= out.dial_at)
+    dial(now, to, actions);
   flush(to, actions);
 }
 
@@ -66,7 +72,8 @@
 
 void Peers::flush(PeerIndex to, std::vector<Action>& actions) {
   auto& out = out_[to];
-  if (out.link == 0 || !out.challenged) return;
+  if (out.link == 0 || !out.challenged)
+    return;
   while (!out.waiting.empty()) {
     wire::Body body;
     body.set_version(version);
@@ -122,7 +129,8 @@
     return heard;
   }
   const auto found = came_.find(link);
-  if (found == came_.end()) return heard;
+  if (found == came_.end())
+    return heard;
   auto& in = found->second;
   in.got.append(bytes);
   while (const auto bytes_of = next_frame(in.got, terms_.most_frame, too_long)) {
@@ -134,7 +142,8 @@
     const auto own = mac(in.challenge, frame.body());
     if (!signing::same(own, frame.mac()))
       return refuse(link, "a frame that is not signed with the hall's key" + whom, actions), heard;
-    if (!body.ParseFromString(frame.body())) return refuse(link, "no body" + whom, actions), heard;
+    if (!body.ParseFromString(frame.body()))
+      return refuse(link, "no body" + whom, actions), heard;
     if (body.version() != version)
       return refuse(link, "version " + std::to_string(body.version()) + " is not spoken here" + whom,
                     actions),
@@ -144,22 +153,26 @@
     in.count = body.count();
     if (!in.from) {
       for (PeerIndex peer = 0; peer < terms_.all.size(); ++peer) {
-        if (terms_.all[peer].name == body.from() && peer != terms_.own) in.from = peer;
+        if (terms_.all[peer].name == body.from() && peer != terms_.own)
+          in.from = peer;
       }
-      if (!in.from) return refuse(link, "no manager is named '" + body.from() + "'", actions), heard;
+      if (!in.from)
+        return refuse(link, "no manager is named '" + body.from() + "'", actions), heard;
     } else if (terms_.all[*in.from].name != body.from()) {
       return refuse(link, "two names on one connection", actions), heard;
     }
     heard.push_back({*in.from, body.kind(), std::move(*body.mutable_payload())});
   }
-  if (too_long) refuse(link, "a frame of more than " + std::to_string(terms_.most_frame) + " bytes", actions);
+  if (too_long)
+    refuse(link, "a frame of more than " + std::to_string(terms_.most_frame) + " bytes", actions);
   return heard;
 }
 
 void Peers::ended(Span now, Link link) {
   came_.erase(link);
   const auto dialed = dialed_.find(link);
-  if (dialed == dialed_.end()) return;
+  if (dialed == dialed_.end())
+    return;
   auto& out = out_[dialed->second];
   out.link = 0;
   out.challenged = false;
@@ -169,7 +182,8 @@
 
 void Peers::time_passed(Span now, std::vector<Action>& actions) {
   for (PeerIndex to = 0; to < out_.size(); ++to) {
-    if (out_[to].link == 0 && !out_[to].waiting.empty() && now >= out_[to].dial_at) dial(now, to, actions);
+    if (out_[to].link == 0 && !out_[to].waiting.empty() && now >= out_[to].dial_at)
+      dial(now, to, actions);
   }
 }
 
--- a/src/platform/channel/channel.cpp
+++ b/src/platform/channel/channel.cpp
@@ -19,25 +19,33 @@
 constexpr Span silence_limit{1600ms};  // its word comes every second
 
 std::optional<Standing> standing_of(const std::string& status) {
-  if (status == "Ready") return Standing::ready;
-  if (status == "Terminating") return Standing::draining;
-  if (status == "Gone") return Standing::gone;
+  if (status == "Ready")
+    return Standing::ready;
+  if (status == "Terminating")
+    return Standing::draining;
+  if (status == "Gone")
+    return Standing::gone;
   return std::nullopt;
 }
 
 template <typename Value>
 std::optional<Value> get(const Json& json, const char* name) {
   const auto found = json.find(name);
-  if (found == json.end()) return std::nullopt;
+  if (found == json.end())
+    return std::nullopt;
   if constexpr (std::is_same_v<Value, std::string>) {
-    if (!found->is_string()) return std::nullopt;
+    if (!found->is_string())
+      return std::nullopt;
   } else if constexpr (std::is_same_v<Value, bool>) {
-    if (!found->is_boolean()) return std::nullopt;
+    if (!found->is_boolean())
+      return std::nullopt;
   } else {
-    if (!found->is_number()) return std::nullopt;
+    if (!found->is_number())
+      return std::nullopt;
     if (std::is_integral_v<Value> && !found->is_number_integer()) {
       const auto value = found->get<double>();
-      if (!std::isfinite(value) || std::abs(value) > 9e15) return std::nullopt;
+      if (!std::isfinite(value) || std::abs(value) > 9e15)
+        return std::nullopt;
       return static_cast<Value>(value);
     }
   }
@@ -45,16 +53,20 @@
 }
 
 std::optional<ListedServer> server_of(const Json& json) {
-  if (!json.is_object()) return std::nullopt;
+  if (!json.is_object())
+    return std::nullopt;
   ListedServer server;
   const auto name = get<std::string>(json, "name");
   const auto status = standing_of(get<std::string>(json, "status").value_or(""));
-  if (!name || name->empty() || !status) return std::nullopt;
+  if (!name || name->empty() || !status)
+    return std::nullopt;
   server.name = *name;
   server.standing = *status;
   const auto place = read_place(get<std::string>(json, "address").value_or(""));
-  if (!place && *status != Standing::gone) return std::nullopt;  // one that is gone needs no place
-  if (place) server.place = *place;
+  if (!place && *status != Standing::gone)
+    return std::nullopt;  // one that is gone needs no place
+  if (place)
+    server.place = *place;
   server.hall = get<std::string>(json, "zone").value_or("");
   server.kind = get<std::string>(json, "type").value_or("");
   server.cell = static_cast<int>(get<std::int64_t>(json, "group").value_or(0));
@@ -65,19 +77,25 @@
 
 // An event's number and what it brings; nothing if it is none.
 std::optional<std::pair<std::int64_t, ListNews>> event_of(const Json& json) {
-  if (!json.is_object()) return std::nullopt;
+  if (!json.is_object())
+    return std::nullopt;
   const auto number = get<std::int64_t>(json, "cursor");
-  if (!number) return std::nullopt;
+  if (!number)
+    return std::nullopt;
   ListNews news;
   const auto nodes = json.find("nodes");
-  if (nodes == json.end()) return std::pair(*number, news);
-  if (!nodes->is_object()) return std::nullopt;
+  if (nodes == json.end())
+    return std::pair(*number, news);
+  if (!nodes->is_object())
+    return std::nullopt;
   news.whole = get<bool>(*nodes, "snapshot").value_or(false);
   const auto list = nodes->find("endpoints");
-  if (list == nodes->end() || !list->is_array()) return std::nullopt;
+  if (list == nodes->end() || !list->is_array())
+    return std::nullopt;
   for (const auto& entry : *list) {
     auto server = server_of(entry);
-    if (!server) return std::nullopt;
+    if (!server)
+      return std::nullopt;
     news.servers.push_back(std::move(*server));
   }
   return std::pair(*number, std::move(news));
@@ -87,9 +105,11 @@
 
 std::optional<Place> read_place(std::string_view text) {
   const auto colon = text.rfind(':');
-  if (colon == std::string_view::npos || colon == 0) return std::nullopt;
+  if (colon == std::string_view::npos || colon == 0)
+    return std::nullopt;
   const auto port = read_number<std::uint16_t>(text.substr(colon + 1));
-  if (!port || *port == 0) return std::nullopt;
+  if (!port || *port == 0)
+    return std::nullopt;
   return Place{std::string(text.substr(0, colon)), *port};
 }
 
@@ -99,12 +119,14 @@
 std::vector<ListNews> Channel::take_known(std::string_view text) {
   std::vector<ListNews> news;
   const auto json = Json::parse(text.begin(), text.end(), nullptr, false);
-  if (!json.is_object()) return news;
+  if (!json.is_object())
+    return news;
   const auto events = json.find("cmds");
   if (events != json.end() && events->is_array()) {
     for (const auto& one : *events) {
       auto event = event_of(one);
-      if (!event || event->first <= last_) continue;
+      if (!event || event->first <= last_)
+        continue;
       last_ = event->first;
       news.push_back(std::move(event->second));
     }
@@ -113,23 +135,30 @@
 }
 
 void Channel::connect_to(std::optional<Place> place) {
-  if (place == place_) return;
+  if (place == place_)
+    return;
   place_ = std::move(place);
-  if (state_ != State::away) give_up("its address is another now");
+  if (state_ != State::away)
+    give_up("its address is another now");
   look_at_ = Span(0);
   in_vain_ = 0;
 }
 
 Channel::Wish Channel::wish(Span now) {
-  if (!place_) return look_at_ = Span::max(), Wish::none;
+  if (!place_)
+    return look_at_ = Span::max(), Wish::none;
   if (state_ == State::away) {
-    if (now < look_at_) return Wish::none;
+    if (now < look_at_)
+      return Wish::none;
     return Wish::dial;
   }
-  if (state_ == State::dialling && now - heard_at_ > dial_limit) give_up("it did not come up");
+  if (state_ == State::dialling && now - heard_at_ > dial_limit)
+    give_up("it did not come up");
   // Guards against a channel that stops while its connection stays open.
-  if (state_ == State::following && now - heard_at_ > silence_limit) give_up("it fell silent");
-  if (useless_) return Wish::hang;
+  if (state_ == State::following && now - heard_at_ > silence_limit)
+    give_up("it fell silent");
+  if (useless_)
+    return Wish::hang;
   look_at_ = heard_at_ + (state_ == State::dialling ? dial_limit : silence_limit) + 1ms;
   return Wish::none;
 }
@@ -179,7 +208,8 @@
       break;
     }
     held_ += part;
-    if (cut == std::string_view::npos) break;
+    if (cut == std::string_view::npos)
+      break;
     bytes.remove_prefix(cut + 1);
     take_line(now, held_, news);
     held_.clear();
@@ -188,20 +218,24 @@
 }
 
 void Channel::take_line(Span now, std::string_view line, std::vector<ListNews>& news) {
-  if (line.empty() || line == "\r") return;
+  if (line.empty() || line == "\r")
+    return;
   const auto json = Json::parse(line.begin(), line.end(), nullptr, false);
   if (json.is_number_integer()) {
     heard_at_ = now;
     in_vain_ = 0;
-    if (json.get<std::int64_t>() > last_) give_up("events are missing");
+    if (json.get<std::int64_t>() > last_)
+      give_up("events are missing");
     return;
   }
   auto event = event_of(json);
-  if (!event) return give_up("a line can't be read");
+  if (!event)
+    return give_up("a line can't be read");
   heard_at_ = now;
   in_vain_ = 0;
   const bool bare = !json.contains("nodes");
-  if (event->first <= last_) return;  // told twice
+  if (event->first <= last_)
+    return;  // told twice
   // Guards against an event lost on the way: asked for anew. A whole list needs none before it.
   if ((event->first != last_ + 1 && !event->second.whole) || bare) {
     if (bare && event->first == last_ + 1 && json.size() > 1) {
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -44,26 +44,33 @@
 std::int64_t ms_of(Span span) { return span.count() / 1000; }
 
 bool plain_name(const std::string& text) {
-  if (text.empty() || text.size() > name_most) return false;
+  if (text.empty() || text.size() > name_most)
+    return false;
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
 std::optional<int> whole_figure(const std::string& text, int least, int most) {
   const auto value = figure(text);
-  if (!value || *value != std::floor(*value) || *value < least || *value > most) return std::nullopt;
+  if (!value || *value != std::floor(*value) || *value < least || *value > most)
+    return std::nullopt;
   return static_cast<int>(*value);
 }
 
 Outcome outcome_before_answer(int why) {
-  if (why == cause::full) return Outcome::full;
-  if (why == cause::error) return Outcome::error;
-  if (why == cause::moot) return Outcome::not_sent;
+  if (why == cause::full)
+    return Outcome::full;
+  if (why == cause::error)
+    return Outcome::error;
+  if (why == cause::moot)
+    return Outcome::not_sent;
   return Outcome::reset;
 }
 
 Outcome outcome_after_answer(int why) {
-  if (why == cause::ended) return Outcome::served;
-  if (why == cause::cancelled) return Outcome::cancelled;
+  if (why == cause::ended)
+    return Outcome::served;
+  if (why == cause::cancelled)
+    return Outcome::cancelled;
   return Outcome::reset;
 }
 
@@ -77,7 +84,8 @@
 
 Platform::Platform(StartTerms terms, std::unique_ptr<Decider> decider)
     : terms_(std::move(terms)), decider_(std::move(decider)), channel_(~terms_.seed) {
-  if (!decider_) decider_ = module_decider(terms_.site, terms_.seed);
+  if (!decider_)
+    decider_ = module_decider(terms_.site, terms_.seed);
   next_test_ = terms_.seed * 0x9E3779B97F4A7C15u;  // far from the viewers' ids, as those are drawn as well
 }
 Platform::~Platform() = default;
@@ -89,8 +97,10 @@
 void Platform::handle(Span now, const IoEvent& what, std::vector<Action>& actions) {
   // Guards against blaming others for this process's own standstill: what came meanwhile is read before any
   // timer rings.
-  if (begun_ && now - now_ > sweep_every + stood_still) still_ = true;
-  if (std::holds_alternative<Settled>(what)) still_ = false;
+  if (begun_ && now - now_ > sweep_every + stood_still)
+    still_ = true;
+  if (std::holds_alternative<Settled>(what))
+    still_ = false;
   now_ = now;
   actions_ = &actions;
   if (!std::exchange(begun_, true)) {
@@ -123,10 +133,12 @@
     case Ring::try_limit: {
       const auto id = static_cast<PlaybackId>(bell.of);
       auto* playback = find(id);
-      if (!playback || playback->state != Playback::State::trying) return;
+      if (!playback || playback->state != Playback::State::trying)
+        return;
       // A connection that gave no sign since the try was sent may be to a machine that is no more.
       if (const auto link = links_.find(playback->link); playback->sent && link != links_.end()) {
-        if (link->second.heard_at <= playback->tried_at && !link->second.retired_at) retire(playback->link);
+        if (link->second.heard_at <= playback->tried_at && !link->second.retired_at)
+          retire(playback->link);
       }
       const auto link = links_.find(playback->link);
       const bool dialling = link != links_.end() && !link->second.up;
@@ -135,7 +147,8 @@
     }
     case Ring::dial: {
       const auto link = links_.find(static_cast<Link>(bell.of));
-      if (link == links_.end() || link->second.up) return;
+      if (link == links_.end() || link->second.up)
+        return;
       drop_server_link(link->first, Outcome::no_connection);
       actions_->push_back(Close{static_cast<Link>(bell.of), false});
       return;
@@ -145,7 +158,8 @@
         const auto test = std::find_if(link.tests.begin(), link.tests.end(), [&](const auto one) {
           return (one & ((std::uint64_t{1} << ring_shift) - 1)) == bell.of;
         });
-        if (test == link.tests.end()) continue;
+        if (test == link.tests.end())
+          continue;
         const auto server = link.server;
         link.tests.erase(test);
         return feed(ProbeEnded{server, false, {}});
@@ -181,31 +195,39 @@
     if (link.retired_at && link.tries.empty() && now_ - *link.retired_at > retired_stays)
       over.push_back(number);
   }
-  for (const auto link : over) end_server_link(link);
-  while (!released_.empty() && now_ - released_.front().at > handed_over_in) released_.pop_front();
+  for (const auto link : over)
+    end_server_link(link);
+  while (!released_.empty() && now_ - released_.front().at > handed_over_in)
+    released_.pop_front();
   // Guards against a server's idle timeout crossing a set-up on its way, which may then have run for all that
   // is known; and against connections that nobody needs, which are scarce at servers.
   if (terms_.idle_limit > Span(0)) {
     for (auto& [number, link] : links_) {
       const bool busy = !link.up || link.retired_at || !link.tries.empty() || !link.tests.empty();
-      if (!busy && now_ - link.used_at >= idle_part * terms_.idle_limit) retire(number);
+      if (!busy && now_ - link.used_at >= idle_part * terms_.idle_limit)
+        retire(number);
     }
   }
   for (ServerId id = 0; id < servers_.size(); ++id) {
-    if (!servers_[id].playing.empty() || !servers_[id].unsaid.empty()) care_for(id);
+    if (!servers_[id].playing.empty() || !servers_[id].unsaid.empty())
+      care_for(id);
   }
-  if (!stop_asked_ || now_ - *stop_asked_ < stop_quiet) return;
-  if (!playbacks_.empty() || leaving_ != Leaving::no) return;
+  if (!stop_asked_ || now_ - *stop_asked_ < stop_quiet)
+    return;
+  if (!playbacks_.empty() || leaving_ != Leaving::no)
+    return;
   leaving_ = Leaving::when_empty;
   accepted_ = false;
   settle();
 }
 
 void Platform::on(const StopAsked&) {
-  if (stop_asked_) return;
+  if (stop_asked_)
+    return;
   stop_asked_ = now_;
   Span longest{0};
-  for (const auto abandon : terms_.abandon) longest = std::max(longest, abandon);
+  for (const auto abandon : terms_.abandon)
+    longest = std::max(longest, abandon);
   arm(std::min(longest, stop_at_most) + stop_answers_in, Ring::stop);
   say("stopping", {{"playbacks", static_cast<std::int64_t>(playbacks_.size())}});
 }
@@ -218,18 +240,22 @@
     return;
   }
   // What has just been accepted is read a turn later; not without end, as newcomers may be.
-  if (std::exchange(accepted_, false) && ++leave_turns_ < most_leave_turns) return settle();
+  if (std::exchange(accepted_, false) && ++leave_turns_ < most_leave_turns)
+    return settle();
   std::vector<PlaybackId> open;
-  for (const auto& [link, viewer] : viewers_) open.insert(open.end(), viewer.open.begin(), viewer.open.end());
+  for (const auto& [link, viewer] : viewers_)
+    open.insert(open.end(), viewer.open.begin(), viewer.open.end());
   std::sort(open.begin(), open.end());
   for (const auto id : open) {
     const auto* playback = find(id);
-    if (!playback) continue;
+    if (!playback)
+      continue;
     to_viewer(playback->viewer, end_line(playback->call, cause::reset));
     withdraw(id);
   }
   std::vector<Link> all;
-  for (const auto& [link, viewer] : viewers_) all.push_back(link);
+  for (const auto& [link, viewer] : viewers_)
+    all.push_back(link);
   std::sort(all.begin(), all.end());
   for (const auto link : all) {
     viewer_gone(link);
@@ -241,20 +267,25 @@
 // Guards against a try for a viewer who has gone, or to a server said to drain, in what is not read yet:
 // nothing is sent before all that has come is.
 void Platform::settle() {
-  if (!std::exchange(settle_asked_, true)) actions_->push_back(Settle{});
+  if (!std::exchange(settle_asked_, true))
+    actions_->push_back(Settle{});
 }
 
 void Platform::on(const Settled&) {
   settle_asked_ = false;
-  if (leaving_ == Leaving::at_once) return leave();
+  if (leaving_ == Leaving::at_once)
+    return leave();
   const auto due = std::exchange(settling_, {});
   for (const auto id : due) {
     auto* playback = find(id);
-    if (!playback || playback->state != Playback::State::trying || playback->sent) continue;
+    if (!playback || playback->state != Playback::State::trying || playback->sent)
+      continue;
     const auto link = links_.find(playback->link);
-    if (link != links_.end() && link->second.up) send_try(*playback);
+    if (link != links_.end() && link->second.up)
+      send_try(*playback);
   }
-  if (leaving_ != Leaving::no) leave();
+  if (leaving_ != Leaving::no)
+    leave();
 }
 
 void Platform::on(const Reread& what) {
@@ -277,7 +308,8 @@
   accepted_ = true;
   auto& viewer = viewers_[what.link];
   viewer.since = viewer.heard_at = now_;
-  if (viewers_.size() > most_viewers()) make_place();
+  if (viewers_.size() > most_viewers())
+    make_place();
 }
 
 // Usual viewers take a third at most; the rest of the descriptors are the servers' and the channel's.
@@ -296,8 +328,10 @@
   const auto surplus =
       viewers_.size() - most_viewers() - std::min(parting_.size(), viewers_.size() - most_viewers());
   for (const auto& [link, viewer] : viewers_) {
-    if (viewer.parts_at || !viewer.open.empty() || viewer.standing > 0) continue;
-    if (now_ - viewer.heard_at >= at_rest) idle.emplace_back(viewer.spoke, viewer.heard_at, link);
+    if (viewer.parts_at || !viewer.open.empty() || viewer.standing > 0)
+      continue;
+    if (now_ - viewer.heard_at >= at_rest)
+      idle.emplace_back(viewer.spoke, viewer.heard_at, link);
   }
   std::sort(idle.begin(), idle.end());
   for (std::size_t i = 0; i < std::min(surplus, idle.size()); ++i) {
@@ -309,9 +343,11 @@
 // Guards against ending a connection with a request on it that is not read yet: after what has come by
 // then is read, it ends only if that was nothing whole.
 void Platform::choose_to_part(Link link, ViewerLink& viewer) {
-  if (viewer.parts_at) return;
+  if (viewer.parts_at)
+    return;
   viewer.parts_at = now_;
-  if (parting_.empty()) arm(reading_time, Ring::part);
+  if (parting_.empty())
+    arm(reading_time, Ring::part);
   parting_.push_back(link);
 }
 
@@ -319,10 +355,12 @@
   std::vector<Link> kept;
   for (const auto link : parting_) {
     const auto found = viewers_.find(link);
-    if (found == viewers_.end() || !found->second.parts_at) continue;
+    if (found == viewers_.end() || !found->second.parts_at)
+      continue;
     const auto waited = now_ - *found->second.parts_at;
     if (waited < reading_time || waited > stood_still) {  // what came meanwhile may be unread still
-      if (waited > stood_still) found->second.parts_at = now_;
+      if (waited > stood_still)
+        found->second.parts_at = now_;
       kept.push_back(link);
       continue;
     }
@@ -331,7 +369,8 @@
     actions_->push_back(Close{link, spoke});  // in order, as its answer may be unread
   }
   parting_ = std::move(kept);
-  if (!parting_.empty()) arm(reading_time, Ring::part);
+  if (!parting_.empty())
+    arm(reading_time, Ring::part);
 }
 
 void Platform::on(const Connected& what) {
@@ -340,26 +379,32 @@
     return;
   }
   const auto found = links_.find(what.link);
-  if (found == links_.end()) return;
+  if (found == links_.end())
+    return;
   auto& link = found->second;
   auto& server = servers_[link.server];
   link.up = true;
   link.heard_at = link.used_at = now_;
   answered_sign(link);
-  if (server.dialled == what.link) server.dialled = 0;
+  if (server.dialled == what.link)
+    server.dialled = 0;
   if (server.link && server.link != what.link) {
-    if (const auto old = links_.find(server.link); old != links_.end()) old->second.retired_at = now_;
+    if (const auto old = links_.find(server.link); old != links_.end())
+      old->second.retired_at = now_;
   }
   server.link = what.link;
-  for (auto& bytes : server.unsaid) to_server(what.link, std::move(bytes));
+  for (auto& bytes : server.unsaid)
+    to_server(what.link, std::move(bytes));
   server.unsaid.clear();
   for (const auto id : server.playing) {
     auto& playback = playbacks_.at(id);
     if (std::exchange(playback.rung_unsaid, false))
       to_server(what.link, rung_bytes(playback.call, playback.rung));
   }
-  for (const auto test : link.tests) to_server(what.link, test_bytes(test));
-  for (const auto id : link.tries) send_when_settled(id);
+  for (const auto test : link.tests)
+    to_server(what.link, test_bytes(test));
+  for (const auto id : link.tries)
+    send_when_settled(id);
 }
 
 void Platform::on(const Received& what) {
@@ -373,7 +418,8 @@
     found->second.reader.take(what.bytes, messages);
     for (auto& message : messages) {
       const auto still = viewers_.find(what.link);
-      if (still == viewers_.end()) return;
+      if (still == viewers_.end())
+        return;
       if (const auto* unreadable = std::get_if<Unreadable>(&message)) {
         turn_off(what.link, unreadable->call, unreadable->cause);
         continue;
@@ -385,16 +431,19 @@
     return;
   }
   const auto found = links_.find(what.link);
-  if (found == links_.end()) return;
+  if (found == links_.end())
+    return;
   found->second.heard_at = found->second.used_at = now_;
   answered_sign(found->second);
   std::vector<ServerMessage> messages;
   const auto unreadable = found->second.reader.take(what.bytes, messages);
   for (auto& message : messages) {
-    if (!links_.contains(what.link)) return;
+    if (!links_.contains(what.link))
+      return;
     server_says(what.link, message);
   }
-  if (!unreadable || !links_.contains(what.link)) return;
+  if (!unreadable || !links_.contains(what.link))
+    return;
   say("unreadable", {{"server", servers_[links_.at(what.link).server].name}, {"cause", *unreadable}});
   drop_server_link(what.link, Outcome::reset);
   actions_->push_back(Close{what.link, false});
@@ -410,9 +459,11 @@
     channel_link_ = 0;
     return channel_.ended(now_);
   }
-  if (viewers_.contains(what.link)) return viewer_gone(what.link);
+  if (viewers_.contains(what.link))
+    return viewer_gone(what.link);
   const auto found = links_.find(what.link);
-  if (found == links_.end()) return;
+  if (found == links_.end())
+    return;
   const auto id = found->second.server;
   const bool refused = what.how == Ending::refused && !found->second.up;
   auto& server = servers_[id];
@@ -422,20 +473,24 @@
   }
   drop_server_link(what.link, Outcome::reset);
   if (refused) {
-    if (server.refused++ == 0) server.first_refused = now_;
+    if (server.refused++ == 0)
+      server.first_refused = now_;
   }
-  if (!server.playing.empty()) care_for(id);
+  if (!server.playing.empty())
+    care_for(id);
 }
 
 void Platform::on(const Flushed& what) {
-  if (const auto found = viewers_.find(what.link); found != viewers_.end()) found->second.unsent = 0;
+  if (const auto found = viewers_.find(what.link); found != viewers_.end())
+    found->second.unsent = 0;
 }
 
 // ---- viewers ----
 
 void Platform::to_viewer(Link link, std::string line) {
   const auto found = viewers_.find(link);
-  if (found == viewers_.end()) return;
+  if (found == viewers_.end())
+    return;
   found->second.unsent += line.size();
   // Guards against a reader that reads nothing.
   if (found->second.unsent > most_unsent) {
@@ -447,7 +502,8 @@
 }
 
 void Platform::viewer_says(Link link, ViewerLink& viewer, ViewerMessage& message) {
-  for (auto& line : std::exchange(untold_, {})) actions_->push_back(Send{link, std::move(line)});
+  for (auto& line : std::exchange(untold_, {}))
+    actions_->push_back(Send{link, std::move(line)});
   switch (message.kind) {
     case ViewerMessage::Kind::offer:
       return take_offer(link, viewer, message);
@@ -471,10 +527,13 @@
     turned_off_ = 0;
     turned_off_said_ = now_;
   }
-  if (call) to_viewer(link, end_line(*call, platform::cause::unusable));
+  if (call)
+    to_viewer(link, end_line(*call, platform::cause::unusable));
   const auto viewer = viewers_.find(link);
-  if (viewer == viewers_.end()) return;
-  if (call && (!viewer->second.open.empty() || viewer->second.standing > 0)) return;
+  if (viewer == viewers_.end())
+    return;
+  if (call && (!viewer->second.open.empty() || viewer->second.standing > 0))
+    return;
   viewer_gone(link);
   actions_->push_back(Close{link, true});
 }
@@ -486,12 +545,15 @@
     return found == message.fields.end() ? std::string() : found->second;
   };
   const auto plan = std::find(terms_.plans.begin(), terms_.plans.end(), field("class"));
-  if (plan == terms_.plans.end()) return "with.class: no such plan";
+  if (plan == terms_.plans.end())
+    return "with.class: no such plan";
   request.plan = static_cast<int>(plan - terms_.plans.begin());
-  if (!plain_name(field("key"))) return "with.key: expected a title";
+  if (!plain_name(field("key")))
+    return "with.key: expected a title";
   if (message.fields.contains("hint")) {
     const auto hint = figure(field("hint"));
-    if (!hint || *hint > 1e10) return "with.hint: expected milliseconds";
+    if (!hint || *hint > 1e10)
+      return "with.hint: expected milliseconds";
     request.length = Span(static_cast<std::int64_t>(*hint * 1000));
   }
   std::map<std::string, std::string> extras;
@@ -500,25 +562,29 @@
     const auto end = std::min(text.find(';', from), text.size());
     const auto part = text.substr(from, end - from);
     const auto colon = part.find(':');
-    if (colon == std::string::npos) return "with.extras: expected name:value";
+    if (colon == std::string::npos)
+      return "with.extras: expected name:value";
     extras[part.substr(0, colon)] = part.substr(colon + 1);
     from = end + 1;
   }
   const auto home = whole_figure(extras["home"], 0, std::max(0, terms_.site.cells - 1));
   const auto copies = whole_figure(extras["copies"], 1, std::max(1, terms_.site.cells));
   const auto top = whole_figure(extras["top"], 0, static_cast<int>(terms_.site.rung_kb.size()) - 1);
-  if (!home || !copies || !top) return "with.extras: expected home, copies and top within their bounds";
+  if (!home || !copies || !top)
+    return "with.extras: expected home, copies and top within their bounds";
   request.first_cell = *home;
   request.holders = *copies;
   request.top = *top;
   at = extras["at"];
-  if (!at.empty() && !plain_name(at)) return "with.extras.at: expected a video server";
+  if (!at.empty() && !plain_name(at))
+    return "with.extras.at: expected a video server";
   // What plays already waits for nothing, whatever is left of its time. Others may say somewhat more than
   // their plan's time, as a busy viewer's line leaves late.
   const auto left = figure(field("left"));
   const auto plan_ms = static_cast<double>(terms_.abandon[request.plan].count()) / 1000;
   const auto most_ms = at.empty() ? most_left * plan_ms : 1e12;
-  if (!left || *left <= 0 || *left > most_ms) return "with.left: expected milliseconds";
+  if (!left || *left <= 0 || *left > most_ms)
+    return "with.left: expected milliseconds";
   request.abandon_at = now_ + Span(static_cast<std::int64_t>(*left * 1000));
   if (!message.description || message.description->empty() || message.description->size() > description_most)
     return "desc: expected a description";
@@ -529,7 +595,8 @@
   Request request;
   std::string at;
   const auto known = calls_.find(message.call);
-  if (const auto fault = read_offer(message, request, at)) return turn_off(link, message.call, *fault);
+  if (const auto fault = read_offer(message, request, at))
+    return turn_off(link, message.call, *fault);
   if (known != calls_.end()) {
     auto& playback = playbacks_.at(known->second);
     // Guards against whoever sends another's id being told of its end in its viewer's place.
@@ -537,8 +604,10 @@
                       servers_[playback.server].name == at;
     if (!at.empty() && playback.state == Playback::State::playing && same) {
       // told again what stands: from now on by this connection
-      if (playback.viewer == link) return;
-      if (const auto old = viewers_.find(playback.viewer); old != viewers_.end()) --old->second.standing;
+      if (playback.viewer == link)
+        return;
+      if (const auto old = viewers_.find(playback.viewer); old != viewers_.end())
+        --old->second.standing;
       playback.viewer = link;
       ++viewer.standing;
       return;
@@ -555,7 +624,8 @@
     const auto over = std::find_if(released_.begin(), released_.end(), [&](const Released& one) {
       return one.call == message.call && servers_[one.server].name == at;
     });
-    if (over != released_.end()) return to_viewer(link, end_line(message.call, over->why));
+    if (over != released_.end())
+      return to_viewer(link, end_line(message.call, over->why));
   }
   const auto id = admit(message.call, link, request, message.fields.at("key"));
   request.playback = id;
@@ -570,7 +640,8 @@
   playback.state = Playback::State::playing;
   playback.server = server;
   playback.rung = terms_.site.plans[request.plan].floor;
-  if (servers_[server].playing.empty()) servers_[server].heard_at = now_;
+  if (servers_[server].playing.empty())
+    servers_[server].heard_at = now_;
   servers_[server].playing.insert(id);
   ++viewer.standing;
   last_viewer_ = link;
@@ -581,9 +652,11 @@
 void Platform::take_end(Link link, CallId call) {
   const auto known = calls_.find(call);
   to_viewer(link, ended_line(call));
-  if (known == calls_.end()) return;
+  if (known == calls_.end())
+    return;
   const auto id = known->second;
-  if (playbacks_.at(id).state != Playback::State::playing) return withdraw(id);
+  if (playbacks_.at(id).state != Playback::State::playing)
+    return withdraw(id);
   say_to(playbacks_.at(id).server, release_bytes(call, cause::ended));
   stop_playing(id, Outcome::cancelled, {}, std::nullopt);
 }
@@ -591,25 +664,33 @@
 // The viewer waits no more: no answer is owed, and a try that is out is given up.
 void Platform::withdraw(PlaybackId id) {
   auto* playback = find(id);
-  if (!playback) return;
+  if (!playback)
+    return;
   feed(Withdrawn{id});
   playback = find(id);
-  if (!playback) return;
-  if (playback->state == Playback::State::trying) return end_try(id, Outcome::cancelled, {}, true);
+  if (!playback)
+    return;
+  if (playback->state == Playback::State::trying)
+    return end_try(id, Outcome::cancelled, {}, true);
   forget(id);
 }
 
 void Platform::viewer_gone(Link link) {
   const auto found = viewers_.find(link);
-  if (found == viewers_.end()) return;
+  if (found == viewers_.end())
+    return;
   const auto open = std::move(found->second.open);
   const bool had = found->second.standing > 0;
   viewers_.erase(found);
-  if (last_viewer_ == link) last_viewer_ = 0;
-  for (const auto id : open) withdraw(id);
-  if (!had) return;
+  if (last_viewer_ == link)
+    last_viewer_ = 0;
+  for (const auto id : open)
+    withdraw(id);
+  if (!had)
+    return;
   for (auto& [id, playback] : playbacks_) {
-    if (playback.viewer == link) playback.viewer = 0;  // plays on: no connection owns it
+    if (playback.viewer == link)
+      playback.viewer = 0;  // plays on: no connection owns it
   }
 }
 
@@ -626,8 +707,10 @@
 
 Link Platform::dial(ServerId id, bool for_try) {
   auto& server = servers_[id];
-  if (server.dialled) return server.dialled;
-  if (server.place.port == 0 || !make_place_for_dial(for_try)) return 0;
+  if (server.dialled)
+    return server.dialled;
+  if (server.place.port == 0 || !make_place_for_dial(for_try))
+    return 0;
   const auto link = next_link_++;
   auto& made = links_[link];
   made.server = id;
@@ -640,26 +723,31 @@
 
 Link Platform::link_for(ServerId id) {
   const auto found = links_.find(servers_[id].link);
-  if (found != links_.end() && found->second.tries.size() < terms_.tries_per_link) return found->first;
+  if (found != links_.end() && found->second.tries.size() < terms_.tries_per_link)
+    return found->first;
   return dial(id, true);
 }
 
 // Guards against servers' connections taking the descriptors of the channel and of viewers: beyond their
 // part the one unused for longest goes, one to a server where something plays only for a try.
 bool Platform::make_place_for_dial(bool for_try) {
-  if (links_.size() < most_server_links()) return true;
+  if (links_.size() < most_server_links())
+    return true;
   Link longest = 0;
   std::tuple<bool, Span, Link> least;
   for (const auto& [number, link] : links_) {
-    if (!link.up || !link.tries.empty() || !link.tests.empty()) continue;
+    if (!link.up || !link.tries.empty() || !link.tests.empty())
+      continue;
     const auto& server = servers_[link.server];
     const bool wanted = !server.playing.empty() || !server.unsaid.empty();
     const std::tuple rank(wanted, link.used_at, number);
-    if ((wanted && !for_try) || (longest != 0 && rank >= least)) continue;
+    if ((wanted && !for_try) || (longest != 0 && rank >= least))
+      continue;
     longest = number;
     least = rank;
   }
-  if (longest == 0) return false;
+  if (longest == 0)
+    return false;
   end_server_link(longest);
   return true;
 }
@@ -672,14 +760,17 @@
 }
 
 void Platform::to_server(Link link, std::string bytes) {
-  if (const auto found = links_.find(link); found != links_.end()) found->second.used_at = now_;
+  if (const auto found = links_.find(link); found != links_.end())
+    found->second.used_at = now_;
   actions_->push_back(Send{link, std::move(bytes)});
 }
 
 void Platform::say_to(ServerId id, std::string bytes) {
   auto& server = servers_[id];
-  if (server.link) return to_server(server.link, std::move(bytes));
-  if (server.unsaid.size() < most_unsaid) server.unsaid.push_back(std::move(bytes));
+  if (server.link)
+    return to_server(server.link, std::move(bytes));
+  if (server.unsaid.size() < most_unsaid)
+    server.unsaid.push_back(std::move(bytes));
   care_for(id);
 }
 
@@ -694,17 +785,21 @@
 void Platform::care_for(ServerId id) {
   auto& server = servers_[id];
   const bool silent = now_ - server.heard_at > sign_wanted_after;
-  if (server.link && !silent) return;
+  if (server.link && !silent)
+    return;
   const bool lost = now_ - server.heard_at > sign_limit;
   // A process that drains may refuse new connections while its playbacks play on; one that dies resets its
   // own.
   const bool refused = server.refused >= refused_is_gone &&
                        now_ - server.first_refused >= between_signs / 2 && !connected_to(id);
   const bool replaced = server.standing == Standing::gone && server.place.port != 0 && !connected_to(id);
-  if (lost || refused || replaced) return cut_all(id, lost ? "no sign" : refused ? "refused" : "gone");
-  if (server.dialled || now_ < server.next_dial) return;
+  if (lost || refused || replaced)
+    return cut_all(id, lost ? "no sign" : refused ? "refused" : "gone");
+  if (server.dialled || now_ < server.next_dial)
+    return;
   server.next_dial = now_ + between_signs;
-  if (dial(id, false) == 0 && server.place.port != 0) not_asked(id);
+  if (dial(id, false) == 0 && server.place.port != 0)
+    not_asked(id);
 }
 
 // One that takes no more set-ups still brings what its server says.
@@ -718,7 +813,8 @@
   auto& link = links_.at(number);
   link.retired_at = now_;
   auto& server = servers_[link.server];
-  if (server.link == number) server.link = 0;
+  if (server.link == number)
+    server.link = 0;
 }
 
 void Platform::end_server_link(Link number) {
@@ -736,25 +832,31 @@
   server.unsaid.clear();
   server.refused = 0;
   const auto playing = server.playing;
-  for (const auto id : playing) stop_playing(id, Outcome::reset, {}, cause::reset);
+  for (const auto id : playing)
+    stop_playing(id, Outcome::reset, {}, cause::reset);
 }
 
 void Platform::drop_server_link(Link number, Outcome of_sent, Outcome of_unsent) {
   const auto found = links_.find(number);
-  if (found == links_.end()) return;
+  if (found == links_.end())
+    return;
   auto link = std::move(found->second);
   links_.erase(found);
   auto& server = servers_[link.server];
-  if (server.link == number) server.link = 0;
-  if (server.dialled == number) server.dialled = 0;
+  if (server.link == number)
+    server.link = 0;
+  if (server.dialled == number)
+    server.dialled = 0;
   for (const auto id : link.tries) {
     auto* playback = find(id);
-    if (!playback || playback->state != Playback::State::trying || playback->link != number) continue;
+    if (!playback || playback->state != Playback::State::trying || playback->link != number)
+      continue;
     playback->link = 0;  // given up with its connection
     end_try(id, playback->sent ? of_sent : of_unsent, {}, false);
   }
   const bool left = link.up || of_unsent != Outcome::not_sent;
-  for (std::size_t i = 0; i < link.tests.size(); ++i) feed(ProbeEnded{link.server, false, {}, left});
+  for (std::size_t i = 0; i < link.tests.size(); ++i)
+    feed(ProbeEnded{link.server, false, {}, left});
 }
 
 void Platform::server_says(Link number, ServerMessage& message) {
@@ -762,19 +864,22 @@
   const auto id = link.server;
   if (message.kind == ServerMessage::Kind::tested) {
     const auto test = link.tests.find(message.call);
-    if (test == link.tests.end()) return;
+    if (test == link.tests.end())
+      return;
     link.tests.erase(test);
     return feed(ProbeEnded{id, message.cause.value_or(0) == 1,
                            message.load ? load_report(*message.load) : LoadReport{}});
   }
-  if (message.kind == ServerMessage::Kind::release) return release_heard(number, message);
+  if (message.kind == ServerMessage::Kind::release)
+    return release_heard(number, message);
   const auto known = calls_.find(message.call);
   // Guards against what a server started after its try was given up playing there for nobody.
   const bool for_nobody = known == calls_.end() || playbacks_.at(known->second).server != id ||
                           playbacks_.at(known->second).state == Playback::State::waiting;
   if (for_nobody && message.kind == ServerMessage::Kind::accept)
     return to_server(number, release_bytes(message.call, cause::ended));
-  if (for_nobody) return;
+  if (for_nobody)
+    return;
   auto& playback = playbacks_.at(known->second);
   if (message.kind == ServerMessage::Kind::note) {
     Note note;
@@ -790,12 +895,15 @@
       note.about = Note::About::uplink_fill;
     else
       return;
-    if (!message.value) return;
+    if (!message.value)
+      return;
     note.value = *message.value;
     return feed(note);
   }
-  if (message.kind != ServerMessage::Kind::accept) return;
-  if (playback.state != Playback::State::trying || playback.link != number || !playback.sent) return;
+  if (message.kind != ServerMessage::Kind::accept)
+    return;
+  if (playback.state != Playback::State::trying || playback.link != number || !playback.sent)
+    return;
   link.tries.erase(known->second);
   playback.state = Playback::State::playing;
   playback.link = 0;
@@ -817,11 +925,13 @@
   const auto known = calls_.find(message.call);
   if (known == calls_.end()) {
     released_.push_back({message.call, id, *message.cause, now_});
-    if (released_.size() > most_released) released_.pop_front();
+    if (released_.size() > most_released)
+      released_.pop_front();
     return;
   }
   auto& playback = playbacks_.at(known->second);
-  if (playback.server != id) return;
+  if (playback.server != id)
+    return;
   const auto load = message.load ? load_report(*message.load) : LoadReport{};
   const int why = *message.cause;
   if (playback.state == Playback::State::trying && playback.link == number && playback.sent) {
@@ -829,7 +939,8 @@
     playback.link = 0;
     return end_try(known->second, outcome_before_answer(why), load, false);
   }
-  if (playback.state != Playback::State::playing) return;
+  if (playback.state != Playback::State::playing)
+    return;
   const auto outcome = outcome_after_answer(why);
   stop_playing(known->second, outcome, load,
                outcome == Outcome::cancelled ? std::nullopt : std::optional<int>(why));
@@ -867,13 +978,16 @@
 
 void Platform::forget(PlaybackId id) {
   const auto found = playbacks_.find(id);
-  if (found == playbacks_.end()) return;
+  if (found == playbacks_.end())
+    return;
   auto& playback = found->second;
   if (const auto viewer = viewers_.find(playback.viewer); viewer != viewers_.end()) {
     viewer->second.open.erase(id);
-    if (playback.state == Playback::State::playing) --viewer->second.standing;
+    if (playback.state == Playback::State::playing)
+      --viewer->second.standing;
   }
-  if (playback.state == Playback::State::playing) servers_[playback.server].playing.erase(id);
+  if (playback.state == Playback::State::playing)
+    servers_[playback.server].playing.erase(id);
   if (const auto title = titles_.find(playback.title); title != titles_.end() && --title->second.uses == 0) {
     free_titles_.push_back(title->second.id);
     titles_.erase(title);
@@ -898,10 +1012,12 @@
   // With no descriptor left it waits as for a dial: ended at once, it would be tried again at once.
   const auto limit = playback->link ? order.time_limit : std::min(order.time_limit, terms_.dial_limit);
   playback->limit = arm(limit, Ring::try_limit, order.playback);
-  if (playback->link == 0) return;
+  if (playback->link == 0)
+    return;
   auto& link = links_.at(playback->link);
   link.tries.insert(order.playback);
-  if (link.up) send_when_settled(order.playback);
+  if (link.up)
+    send_when_settled(order.playback);
 }
 
 void Platform::send_when_settled(PlaybackId id) {
@@ -922,12 +1038,14 @@
   wheel_.disarm(playback.limit);
   if (const auto link = links_.find(playback.link); link != links_.end()) {
     link->second.tries.erase(id);
-    if (playback.sent) to_server(playback.link, release_bytes(playback.call, cause::ended));
+    if (playback.sent)
+      to_server(playback.link, release_bytes(playback.call, cause::ended));
   }
   playback.link = 0;
   playback.state = Playback::State::waiting;
   const auto server = playback.server;
-  if (over) forget(id);
+  if (over)
+    forget(id);
   feed(TryEnded{id, server, outcome, over, load});
 }
 
@@ -935,24 +1053,29 @@
 // open one serves, or the next that says something.
 void Platform::tell_end(const Playback& playback, int why) {
   auto to = viewers_.find(playback.viewer);
-  if (to == viewers_.end()) to = viewers_.find(last_viewer_);
+  if (to == viewers_.end())
+    to = viewers_.find(last_viewer_);
   if (to == viewers_.end()) {
     for (auto one = viewers_.begin(); one != viewers_.end(); ++one) {
       const auto rank = [](const auto& it) {
         return std::tuple(it->second.standing > 0, it->second.heard_at, it->first);
       };
-      if (one->second.spoke && (to == viewers_.end() || rank(one) > rank(to))) to = one;
+      if (one->second.spoke && (to == viewers_.end() || rank(one) > rank(to)))
+        to = one;
     }
   }
   auto line = end_line(playback.call, why);
-  if (to != viewers_.end()) return to_viewer(to->first, std::move(line));
-  if (untold_.size() < most_unsaid) untold_.push_back(std::move(line));
+  if (to != viewers_.end())
+    return to_viewer(to->first, std::move(line));
+  if (untold_.size() < most_unsaid)
+    untold_.push_back(std::move(line));
 }
 
 // A playback that plays is over; `tell`: the cause that its viewer is told, if one is owed.
 void Platform::stop_playing(PlaybackId id, Outcome outcome, const LoadReport& load, std::optional<int> tell) {
   auto& playback = playbacks_.at(id);
-  if (tell) tell_end(playback, *tell);
+  if (tell)
+    tell_end(playback, *tell);
   const auto server = playback.server;
   forget(id);
   feed(TryEnded{id, server, outcome, true, load});
@@ -960,11 +1083,13 @@
 
 void Platform::feed(Event event) {
   events_.push_back(std::move(event));
-  if (std::exchange(deciding_, true)) return;
+  if (std::exchange(deciding_, true))
+    return;
   while (!events_.empty()) {
     const auto next = std::move(events_.front());
     events_.pop_front();
-    for (const auto& order : decider_->decide(now_, next)) carry_out(order);
+    for (const auto& order : decider_->decide(now_, next))
+      carry_out(order);
   }
   deciding_ = false;
 }
@@ -972,7 +1097,8 @@
 void Platform::carry_out(const Order& order) {
   const auto final_answer = [&](PlaybackId id, int why, Span come_back) {
     auto* playback = find(id);
-    if (!playback || playback->state != Playback::State::waiting) return;
+    if (!playback || playback->state != Playback::State::waiting)
+      return;
     const auto viewer = playback->viewer;
     const auto call = playback->call;
     forget(id);
@@ -982,12 +1108,15 @@
                  [&](const SetUp& o) { start_try(o); },
                  [&](const SetRung& o) {
                    auto* playback = find(o.playback);
-                   if (!playback) return;
+                   if (!playback)
+                     return;
                    playback->rung = o.rung;
-                   if (playback->state != Playback::State::playing) return;
+                   if (playback->state != Playback::State::playing)
+                     return;
                    const auto link = servers_[playback->server].link;
                    playback->rung_unsaid = link == 0;
-                   if (link) to_server(link, rung_bytes(playback->call, o.rung));
+                   if (link)
+                     to_server(link, rung_bytes(playback->call, o.rung));
                  },
                  [&](const Reject& o) { final_answer(o.playback, cause::rejected, o.come_back); },
                  [&](const Abort& o) { final_answer(o.playback, cause::reset, Span(0)); },
@@ -999,7 +1128,8 @@
                    auto& link = links_.at(number);
                    link.tests.insert(test);
                    arm(terms_.dial_limit, Ring::probe, test & ((std::uint64_t{1} << ring_shift) - 1));
-                   if (link.up) to_server(number, test_bytes(test));
+                   if (link.up)
+                     to_server(number, test_bytes(test));
                  },
                  [&](const SetTimer& o) { arm(o.delay, Ring::module, o.token); },
                  [&](const FollowList&) {},  // the channel is followed in any case
@@ -1016,7 +1146,8 @@
                  : at_start  ? ServerList::Reach::cached
                              : ServerList::Reach::complete;
     if (news.whole) {
-      for (auto& server : servers_) server.standing = Standing::gone;
+      for (auto& server : servers_)
+        server.standing = Standing::gone;
     }
     std::vector<Link> stale;
     for (const auto& told : news.servers) {
@@ -1025,10 +1156,14 @@
       const bool anew = told.started_ms > server.started_ms && server.started_ms != 0;
       const bool moved = told.place.port != 0 && server.place.port != 0 && told.place != server.place;
       server.standing = told.standing;
-      if (told.place.port != 0) server.place = told.place;
-      if (told.started_ms != 0) server.started_ms = told.started_ms;
-      if ((anew || moved) && server.link) retire(server.link);  // to a process that is no more
-      if ((anew || moved) && server.dialled) stale.push_back(server.dialled);
+      if (told.place.port != 0)
+        server.place = told.place;
+      if (told.started_ms != 0)
+        server.started_ms = told.started_ms;
+      if ((anew || moved) && server.link)
+        retire(server.link);  // to a process that is no more
+      if ((anew || moved) && server.dialled)
+        stale.push_back(server.dialled);
       ServerEntry entry;
       entry.server = id;
       entry.standing = told.standing;
@@ -1036,9 +1171,11 @@
       entry.cell = told.cell;
       entry.hall = place_in(terms_.halls, told.hall);
       entry.weight = told.weight;
-      if (told.started_ms != 0) entry.started = Span(told.started_ms * 1000) - terms_.wall_at_zero;
+      if (told.started_ms != 0)
+        entry.started = Span(told.started_ms * 1000) - terms_.wall_at_zero;
       list.entries.push_back(entry);
-      if (anew) cut_all(id, "started anew");
+      if (anew)
+        cut_all(id, "started anew");
     }
     feed(list);
     // Guards against a dial under way to the old address coming up as if it were the new process.
@@ -1055,9 +1192,11 @@
 void Platform::take_back_unsent() {
   std::vector<PlaybackId> unsent;
   for (const auto& [number, link] : links_) {
-    if (servers_[link.server].standing == Standing::ready && !link.retired_at) continue;
+    if (servers_[link.server].standing == Standing::ready && !link.retired_at)
+      continue;
     for (const auto id : link.tries) {
-      if (!playbacks_.at(id).sent) unsent.push_back(id);
+      if (!playbacks_.at(id).sent)
+        unsent.push_back(id);
     }
   }
   std::sort(unsent.begin(), unsent.end());
--- a/src/platform/start.cpp
+++ b/src/platform/start.cpp
@@ -12,7 +12,8 @@
 using Json = nlohmann::json;
 
 std::string plain(const Json& value) {
-  if (value.is_string()) return value.get<std::string>();
+  if (value.is_string())
+    return value.get<std::string>();
   return value.is_null() ? "-" : value.dump();
 }
 
@@ -26,9 +27,12 @@
     bool objects = false;
     for (std::size_t i = 0; i < value.size(); ++i) {
       objects = objects || value[i].is_object();
-      if (value[i].is_object()) flatten(path + "." + std::to_string(i), value[i], pairs);
-      if (value[i].is_object()) continue;
-      if (i > 0) joined += ',';
+      if (value[i].is_object())
+        flatten(path + "." + std::to_string(i), value[i], pairs);
+      if (value[i].is_object())
+        continue;
+      if (i > 0)
+        joined += ',';
       joined += plain(value[i]);
     }
     objects ? pairs.put(path + ".count", std::to_string(value.size())) : pairs.put(path, joined);
@@ -46,29 +50,36 @@
 
 std::variant<StartTerms, StartFault> read_start(std::string_view text) {
   const auto json = Json::parse(text.begin(), text.end(), nullptr, false);
-  if (!json.is_object()) return StartFault{"expected a JSON object"};
+  if (!json.is_object())
+    return StartFault{"expected a JSON object"};
   StartTerms terms;
   terms.name = text_of(json, "name");
   const auto listen = read_place(text_of(json, "listen"));
-  if (!listen) return StartFault{"listen: expected address:port"};
+  if (!listen)
+    return StartFault{"listen: expected address:port"};
   terms.listen = *listen;
   const auto seed = text_of(json, "seed");
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), terms.seed, 16);
   if (error != std::errc{} || end != seed.data() + seed.size())
     return StartFault{"seed: expected hex digits"};
   if (const auto limits = json.find("limits"); limits != json.end()) {
-    if (!limits->is_object()) return StartFault{"limits: expected an object"};
+    if (!limits->is_object())
+      return StartFault{"limits: expected an object"};
     if (const auto sockets = limits->find("sockets"); sockets != limits->end()) {
       const double most = sockets->is_number() ? sockets->get<double>() : 0;
-      if (!(most > 0 && most < 1e9)) return StartFault{"limits.sockets: expected a number above 0"};
+      if (!(most > 0 && most < 1e9))
+        return StartFault{"limits.sockets: expected a number above 0"};
       terms.sockets = static_cast<std::size_t>(std::max(64.0, most));
     }
   }
   terms.channel = read_place(text_of(json, "channel"));
-  if (!terms.channel) return StartFault{"channel: expected address:port"};
-  if (const auto known = json.find("known"); known != json.end()) terms.known = known->dump();
+  if (!terms.channel)
+    return StartFault{"channel: expected address:port"};
+  if (const auto known = json.find("known"); known != json.end())
+    terms.known = known->dump();
   const auto settings = json.find("settings");
-  if (settings == json.end() || !settings->is_object()) return StartFault{"settings: expected an object"};
+  if (settings == json.end() || !settings->is_object())
+    return StartFault{"settings: expected an object"};
   Pairs pairs;
   flatten("", *settings, pairs);
   try {
@@ -77,20 +88,26 @@
       const auto path = "Classes." + std::to_string(i) + ".";
       terms.plans.push_back(pairs.text(path + "Name"));
       terms.abandon.push_back(Span(pairs.integer(path + "GiveUp", 0)));
-      if (terms.plans.back().empty()) throw SettingFault(path + "Name: expected a name");
+      if (terms.plans.back().empty())
+        throw SettingFault(path + "Name: expected a name");
       if (terms.site.plans[i].startup_target <= Span(0))
         throw SettingFault(path + "Aim: expected a time above 0");
-      if (terms.abandon.back() <= Span(0)) throw SettingFault(path + "GiveUp: expected a time above 0");
+      if (terms.abandon.back() <= Span(0))
+        throw SettingFault(path + "GiveUp: expected a time above 0");
     }
-    if (terms.plans.empty()) throw SettingFault("Classes: expected one plan at least");
-    if (terms.site.rung_kb.empty()) throw SettingFault("FamilyInfo.RatesKb: expected a ladder");
+    if (terms.plans.empty())
+      throw SettingFault("Classes: expected one plan at least");
+    if (terms.site.rung_kb.empty())
+      throw SettingFault("FamilyInfo.RatesKb: expected a ladder");
     terms.halls = pairs.texts("Zones");
     terms.kinds = pairs.texts("Models");
     const auto dial = pairs.integer("Limits.DialTimeout", 0);
-    if (dial > 0) terms.dial_limit = Span(dial);
+    if (dial > 0)
+      terms.dial_limit = Span(dial);
     terms.idle_limit = Span(std::max<std::int64_t>(0, pairs.integer("Limits.ConnIdle", 0)));
     const auto tries = pairs.integer("Limits.StreamsPerConn", 0);
-    if (tries > 0) terms.tries_per_link = static_cast<std::size_t>(tries);
+    if (tries > 0)
+      terms.tries_per_link = static_cast<std::size_t>(tries);
   } catch (const SettingFault& fault) {
     return StartFault{std::string("settings: ") + fault.what()};
   }
--- a/src/platform/wire/server.cpp
+++ b/src/platform/wire/server.cpp
@@ -44,7 +44,8 @@
   Message(Type type, CallId call) {
     put_length(bytes_, 0);
     bytes_ += static_cast<char>(type);
-    for (int shift = 56; shift >= 0; shift -= 8) bytes_ += static_cast<char>(call >> shift & 255);
+    for (int shift = 56; shift >= 0; shift -= 8)
+      bytes_ += static_cast<char>(call >> shift & 255);
   }
   Message& with(Code code, std::string_view value) {
     bytes_ += static_cast<char>(code);
@@ -87,18 +88,22 @@
 
 std::optional<std::string> read(std::string_view body, ServerMessage& message) {
   message.kind = kind_of(byte(body[0]));
-  for (std::size_t i = 1; i < head; ++i) message.call = message.call << 8 | byte(body[i]);
+  for (std::size_t i = 1; i < head; ++i)
+    message.call = message.call << 8 | byte(body[i]);
   body.remove_prefix(head);
   while (!body.empty()) {
-    if (body.size() < 3) return "a parameter breaks off";
+    if (body.size() < 3)
+      return "a parameter breaks off";
     const auto code = byte(body[0]);
     const auto length = length_at(body.substr(1));
     body.remove_prefix(3);
-    if (body.size() < length) return "a parameter is longer than its message";
+    if (body.size() < length)
+      return "a parameter is longer than its message";
     const auto value = body.substr(0, length);
     body.remove_prefix(length);
     if (code == cause_code) {
-      if (length != 1) return "a cause is not of one byte";
+      if (length != 1)
+        return "a cause is not of one byte";
       message.cause = byte(value[0]);
     } else if (code == description_code) {
       message.description = std::string(value);
@@ -106,22 +111,28 @@
       message.note = std::string(value);
     } else if (code == value_code) {
       message.value = read_number<double>(value);
-      if (!message.value) return "a figure is none";
+      if (!message.value)
+        return "a figure is none";
     } else if (code == load_code) {
-      if (!read_figures(value, ';', message.load.emplace())) return "a load report is none";
+      if (!read_figures(value, ';', message.load.emplace()))
+        return "a load report is none";
     }
   }
   using Kind = ServerMessage::Kind;
-  if (message.kind == Kind::accept && !message.description) return "an answer has no description";
-  if (message.kind == Kind::release && !message.cause) return "a release has no cause";
-  if (message.kind == Kind::other) return "a message is of no known type";
+  if (message.kind == Kind::accept && !message.description)
+    return "an answer has no description";
+  if (message.kind == Kind::release && !message.cause)
+    return "a release has no cause";
+  if (message.kind == Kind::other)
+    return "a message is of no known type";
   return std::nullopt;
 }
 
 }  // namespace
 
 std::optional<std::string> ServerReader::take(std::string_view bytes, std::vector<ServerMessage>& messages) {
-  if (lost_) return std::nullopt;
+  if (lost_)
+    return std::nullopt;
   held_ += bytes;
   std::size_t at = 0;
   const auto lost = [&](std::string why) {
@@ -132,10 +143,13 @@
   };
   while (held_.size() - at >= 2) {
     const auto length = length_at(std::string_view(held_).substr(at));
-    if (length < head || length > message_most) return lost("a message has an impossible length");
-    if (held_.size() - at < 2 + length) break;
+    if (length < head || length > message_most)
+      return lost("a message has an impossible length");
+    if (held_.size() - at < 2 + length)
+      break;
     ServerMessage message;
-    if (auto why = read(std::string_view(held_).substr(at + 2, length), message)) return lost(*why);
+    if (auto why = read(std::string_view(held_).substr(at + 2, length), message))
+      return lost(*why);
     messages.push_back(std::move(message));
     at += 2 + length;
   }
