--- a/src/platform/wire/viewer.cpp
+++ b/src/platform/wire/viewer.cpp
@@ -23,10 +23,14 @@
 }
 
 ViewerMessage::Kind kind_of(const std::string& op) {
-  if (op == "offer") return ViewerMessage::Kind::offer;
-  if (op == "end") return ViewerMessage::Kind::end;
-  if (op == "ended") return ViewerMessage::Kind::ended;
-  if (op == "test") return ViewerMessage::Kind::test;
+  if (op == "offer")
+    return ViewerMessage::Kind::offer;
+  if (op == "end")
+    return ViewerMessage::Kind::end;
+  if (op == "ended")
+    return ViewerMessage::Kind::ended;
+  if (op == "test")
+    return ViewerMessage::Kind::test;
   return ViewerMessage::Kind::other;
 }
 
@@ -35,8 +39,10 @@
  public:
   bool twice = false;
   bool operator()(Json::parse_event_t event, const Json& parsed) {
-    if (event == Json::parse_event_t::object_start) open_.emplace_back();
-    if (event == Json::parse_event_t::object_end && !open_.empty()) open_.pop_back();
+    if (event == Json::parse_event_t::object_start)
+      open_.emplace_back();
+    if (event == Json::parse_event_t::object_end && !open_.empty())
+      open_.pop_back();
     if (event == Json::parse_event_t::key && !open_.empty())
       twice = !open_.back().insert(parsed.get<std::string>()).second || twice;
     return true;
@@ -49,11 +55,13 @@
 }  // namespace
 
 std::optional<CallId> call_id(std::string_view digits) {
-  if (digits.size() != call_digits) return std::nullopt;
+  if (digits.size() != call_digits)
+    return std::nullopt;
   CallId id = 0;
   for (const char c : digits) {
     const bool decimal = c >= '0' && c <= '9';
-    if (!decimal && !(c >= 'a' && c <= 'f')) return std::nullopt;
+    if (!decimal && !(c >= 'a' && c <= 'f'))
+      return std::nullopt;
     id = id << 4 | static_cast<CallId>(decimal ? c - '0' : c - 'a' + 10);
   }
   return id;
@@ -61,7 +69,8 @@
 
 std::string call_text(CallId id) {
   std::string text(call_digits, '0');
-  for (std::size_t i = call_digits; i-- > 0; id >>= 4) text[i] = "0123456789abcdef"[id & 15];
+  for (std::size_t i = call_digits; i-- > 0; id >>= 4)
+    text[i] = "0123456789abcdef"[id & 15];
   return text;
 }
 
@@ -76,19 +85,24 @@
     return names(event, parsed);
   };
   const auto json = Json::parse(line.begin(), line.end(), see, false);
-  if (!json.is_object()) return Unreadable{"expected a JSON object a line", {}};
+  if (!json.is_object())
+    return Unreadable{"expected a JSON object a line", {}};
   ViewerMessage read;
   const auto call = json.find("call");
   const auto id =
       call != json.end() && call->is_string() ? call_id(call->get_ref<const std::string&>()) : std::nullopt;
-  if (!id) return Unreadable{"call: expected 16 hex digits", {}};
+  if (!id)
+    return Unreadable{"call: expected 16 hex digits", {}};
   read.call = *id;
-  if (names.twice) return Unreadable{"a name is said twice", id};
+  if (names.twice)
+    return Unreadable{"a name is said twice", id};
   const auto op = json.find("op");
-  if (op == json.end() || !op->is_string()) return Unreadable{"op: expected a message's type", id};
+  if (op == json.end() || !op->is_string())
+    return Unreadable{"op: expected a message's type", id};
   read.kind = kind_of(op->get_ref<const std::string&>());
   if (const auto with = json.find("with"); with != json.end()) {
-    if (!with->is_object()) return Unreadable{"with: expected an object", id};
+    if (!with->is_object())
+      return Unreadable{"with: expected an object", id};
     for (const auto& [name, value] : with->items()) {
       if (value.is_string())
         read.fields[name] = value.get<std::string>();
@@ -99,11 +113,13 @@
     }
   }
   if (const auto why = json.find("why"); why != json.end()) {
-    if (!why->is_number_integer()) return Unreadable{"why: expected a whole number", id};
+    if (!why->is_number_integer())
+      return Unreadable{"why: expected a whole number", id};
     read.why = static_cast<int>(why->get<std::int64_t>());
   }
   if (const auto text = json.find("desc"); text != json.end()) {
-    if (!text->is_string()) return Unreadable{"desc: expected a text", id};
+    if (!text->is_string())
+      return Unreadable{"desc: expected a text", id};
     read.description = text->get<std::string>();
   }
   return read;
@@ -146,7 +162,8 @@
 
 std::string end_line(CallId call, int why, std::int64_t wait_ms) {
   auto json = message("end", call);
-  if (wait_ms > 0) json["with"]["wait"] = std::to_string(wait_ms);
+  if (wait_ms > 0)
+    json["with"]["wait"] = std::to_string(wait_ms);
   json["why"] = why;
   return line_of(json);
 }
--- a/src/runtime/runtime.cpp
+++ b/src/runtime/runtime.cpp
@@ -24,7 +24,8 @@
 
 sockaddr_in place_of(const std::string& address, std::uint16_t port) {
   sockaddr_in place{};
-  if (const int code = uv_ip4_addr(address.c_str(), port, &place)) fail("address " + address, code);
+  if (const int code = uv_ip4_addr(address.c_str(), port, &place))
+    fail("address " + address, code);
   return place;
 }
 
@@ -72,7 +73,8 @@
     hangup_.data = this;
     doors_.resize(places_.size());
     try {
-      for (std::size_t i = 0; i < places_.size(); ++i) open(static_cast<int>(i));
+      for (std::size_t i = 0; i < places_.size(); ++i)
+        open(static_cast<int>(i));
     } catch (const Failed&) {
       close_all();  // the loop still knows of handles within this object
       throw;
@@ -86,7 +88,8 @@
     uv_walk(
         &loop_,
         [](uv_handle_t* handle, void*) {
-          if (!uv_is_closing(handle)) uv_close(handle, nullptr);
+          if (!uv_is_closing(handle))
+            uv_close(handle, nullptr);
         },
         nullptr);
     uv_run(&loop_, UV_RUN_DEFAULT);
@@ -143,7 +146,8 @@
   }
 
   void deliver(const IoEvent& what) {
-    if (leaving_) return;  // the core is done
+    if (leaving_)
+      return;  // the core is done
     std::vector<Action> actions;
     core_.handle(now(), what, actions);
     perform(actions);
@@ -158,7 +162,8 @@
       std::vector<Link> ready;
       ready.swap(flushed_);
       for (const auto link : ready) {
-        if (!links_.contains(link)) continue;
+        if (!links_.contains(link))
+          continue;
         actions.clear();
         core_.handle(now(), Flushed{link}, actions);
         perform(actions);
@@ -169,11 +174,13 @@
   // Asked in one turn of the loop, settled when a whole turn has read what there was: the end of a
   // connection is only seen in the turn after its last bytes. An idle handle keeps that turn from waiting.
   void settle() {
-    if (std::exchange(settle_asked_, true)) return;
+    if (std::exchange(settle_asked_, true))
+      return;
     uv_idle_start(&idle_, [](uv_idle_t*) {});
   }
   void settled() {
-    if (!std::exchange(settling_, false)) return;
+    if (!std::exchange(settling_, false))
+      return;
     settle_asked_ = false;
     uv_idle_stop(&idle_);
     deliver(Settled{});
@@ -183,7 +190,8 @@
     std::ifstream file(reread_);
     std::ostringstream text;
     text << file.rdbuf();
-    if (file) return deliver(Reread{text.str()});
+    if (file)
+      return deliver(Reread{text.str()});
     if (said_)
       said_(now(), Say{"reread_failed", {{"file", reread_}, {"cause", std::string(std::strerror(errno))}}});
   }
@@ -195,20 +203,24 @@
                      [&](Dial& a) { dial(a); },
                      [&](Send& a) {
                        auto* to = find(a.link);
-                       if (!to || to->hung) return;
+                       if (!to || to->hung)
+                         return;
                        if (to->out.empty())
                          to->out = std::move(a.bytes);
                        else
                          to->out += a.bytes;
-                       if (!std::exchange(to->touched, true)) touched.push_back(a.link);
+                       if (!std::exchange(to->touched, true))
+                         touched.push_back(a.link);
                      },
                      [&](Close& a) { hang(a); },
                      [&](Hold& a) {
                        auto* from = find(a.link);
-                       if (from && from->reading) uv_read_stop(stream(*from)), from->reading = false;
+                       if (from && from->reading)
+                         uv_read_stop(stream(*from)), from->reading = false;
                      },
                      [&](Resume& a) {
-                       if (auto* from = find(a.link)) read(*from);
+                       if (auto* from = find(a.link))
+                         read(*from);
                      },
                      [&](WakeAt& a) { wake(a.at); },
                      [&](Open& a) { open(a.door); },
@@ -216,7 +228,8 @@
                      [&](Store& a) { store(a); },
                      [&](Keep& a) { keep(std::move(a)); },
                      [&](Say& a) {
-                       if (said_) said_(now(), a);
+                       if (said_)
+                         said_(now(), a);
                      },
                      [&](Settle&) { settle(); },
                      [&](Leave& a) { leave(a.within); },
@@ -224,15 +237,18 @@
                  act);
     }
     for (const auto link : touched) {
-      if (auto* to = find(link)) flush(*to);
+      if (auto* to = find(link))
+        flush(*to);
     }
     leave_if_done();
   }
 
   // Guards against a reader who reads nothing keeping the process for good.
   void leave(Span within) {
-    if (std::exchange(leaving_, true)) return;
-    for (std::size_t door = 0; door < doors_.size(); ++door) shut(static_cast<int>(door));
+    if (std::exchange(leaving_, true))
+      return;
+    for (std::size_t door = 0; door < doors_.size(); ++door)
+      shut(static_cast<int>(door));
     uv_update_time(&loop_);
     uv_timer_start(
         &leaving_limit_, [](uv_timer_t* t) { uv_stop(t->loop); },
@@ -241,7 +257,8 @@
 
   // Guards against an end that cuts off what was sent last: connections that linger are waited for.
   void leave_if_done() {
-    if (leaving_ && lingering_ == 0) uv_stop(&loop_);
+    if (leaving_ && lingering_ == 0)
+      uv_stop(&loop_);
   }
 
   static uv_stream_t* stream(Connection& c) { return reinterpret_cast<uv_stream_t*>(&c.socket); }
@@ -269,10 +286,12 @@
       code = uv_tcp_connect(&connection->connecting, &connection->socket,
                             reinterpret_cast<const sockaddr*>(&place), [](uv_connect_t* request, int status) {
                               auto* c = static_cast<Connection*>(request->data);
-                              if (c->hung) return;
+                              if (c->hung)
+                                return;
                               c->inside->connected(*c, status);
                             });
-    if (!code) return;
+    if (!code)
+      return;
     // No descriptor, no port, no way out: libuv tells a peer's refusal by the callback in every case. Told in
     // a turn of its own, by a timer of its own: the core's may be set for later.
     failed_.push_back(what.link);
@@ -283,7 +302,8 @@
           std::vector<Link> failed;
           failed.swap(self->failed_);
           for (const auto link : failed) {
-            if (auto* c = self->find(link)) self->end(*c, Ending::unable);
+            if (auto* c = self->find(link))
+              self->end(*c, Ending::unable);
           }
         },
         0, 0);
@@ -291,7 +311,8 @@
 
   void connected(Connection& c, int status) {
     const Link link = c.link;
-    if (status < 0) return end(c, status == UV_ECONNREFUSED ? Ending::refused : Ending::reset);
+    if (status < 0)
+      return end(c, status == UV_ECONNREFUSED ? Ending::refused : Ending::reset);
     c.connected = true;
     uv_tcp_nodelay(&c.socket, 1);
     read(c);
@@ -299,7 +320,8 @@
   }
 
   void read(Connection& c) {
-    if (c.reading || c.hung || !c.connected) return;
+    if (c.reading || c.hung || !c.connected)
+      return;
     c.reading = true;
     uv_read_start(
         stream(c),
@@ -340,18 +362,22 @@
 
   void flush(Connection& c) {
     c.touched = false;
-    if (c.hung && !c.shut_after) return;
+    if (c.hung && !c.shut_after)
+      return;
     std::string bytes;
     bytes.swap(c.out);
-    if (bytes.empty()) return;
+    if (bytes.empty())
+      return;
     std::size_t sent = 0;
     if (!c.writing && c.connected) {
       uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
       const int count = uv_try_write(stream(c), &buffer, 1);
-      if (count > 0) sent = static_cast<std::size_t>(count);
+      if (count > 0)
+        sent = static_cast<std::size_t>(count);
     }
     if (sent == bytes.size()) {
-      if (!c.hung) flushed_.push_back(c.link);
+      if (!c.hung)
+        flushed_.push_back(c.link);
       return;
     }
     auto* writing = new Writing;
@@ -363,18 +389,24 @@
     const int code = uv_write(&writing->request, stream(c), &buffer, 1, [](uv_write_t* request, int status) {
       std::unique_ptr<Writing> done(static_cast<Writing*>(request->data));
       auto& c = *done->connection;
-      if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.socket))) return;
+      if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.socket)))
+        return;
       c.writing = stream(c)->write_queue_size > 0;
-      if (c.hung) return;
-      if (status < 0) return c.inside->end(c, Ending::reset);
-      if (!c.writing) c.inside->deliver(Flushed{c.link});
+      if (c.hung)
+        return;
+      if (status < 0)
+        return c.inside->end(c, Ending::reset);
+      if (!c.writing)
+        c.inside->deliver(Flushed{c.link});
     });
-    if (code) delete writing;
+    if (code)
+      delete writing;
   }
 
   void hang(const Close& what) {
     auto* c = find(what.link);
-    if (!c || c->hung) return;
+    if (!c || c->hung)
+      return;
     if (what.after_sending && c->connected) {
       flush(*c);
       c->hung = true;
@@ -389,7 +421,8 @@
       const auto shut = [](uv_shutdown_t* r, int) {
         std::unique_ptr<uv_shutdown_t> done(r);
         auto& c = *static_cast<Connection*>(r->data);
-        if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.linger))) return;
+        if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.linger)))
+          return;
         c.all_sent = true;
         c.peer_done ? c.inside->close(c) : linger(c, linger_ms);
       };
@@ -422,15 +455,19 @@
   void close(Connection& c, bool reset = false) {
     if (const auto found = links_.find(c.link); found != links_.end() && found->second == &c)
       links_.erase(found);
-    if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.socket))) return;
+    if (uv_is_closing(reinterpret_cast<uv_handle_t*>(&c.socket)))
+      return;
     const auto closed = [](uv_handle_t* handle) {
       auto* c = static_cast<Connection*>(handle->data);
-      if (--c->closing_handles == 0) delete c;
+      if (--c->closing_handles == 0)
+        delete c;
     };
     c.closing_handles = c.lingers ? 2 : 1;
-    if (c.lingers) --lingering_;
+    if (c.lingers)
+      --lingering_;
     leave_if_done();
-    if (c.lingers) uv_close(reinterpret_cast<uv_handle_t*>(&c.linger), closed);
+    if (c.lingers)
+      uv_close(reinterpret_cast<uv_handle_t*>(&c.linger), closed);
     if (!reset || uv_tcp_close_reset(&c.socket, closed) != 0)
       uv_close(reinterpret_cast<uv_handle_t*>(&c.socket), closed);
   }
@@ -451,7 +488,8 @@
 
   void open(int door) {
     auto& listener = doors_.at(door);
-    if (listener) return;
+    if (listener)
+      return;
     auto& place = places_.at(door);
     const auto said = "listening at " + place.address + ":" + std::to_string(place.port);
     listener = new Listener;
@@ -465,7 +503,8 @@
       code = uv_listen(reinterpret_cast<uv_stream_t*>(&listener->socket), backlog,
                        [](uv_stream_t* s, int status) {
                          auto* l = static_cast<Listener*>(s->data);
-                         if (status == 0) l->inside->accept(*l);
+                         if (status == 0)
+                           l->inside->accept(*l);
                        });
     if (code) {
       shut(door);
@@ -479,14 +518,16 @@
 
   void shut(int door) {
     auto*& listener = doors_.at(door);
-    if (!listener) return;
+    if (!listener)
+      return;
     uv_close(reinterpret_cast<uv_handle_t*>(&listener->socket),
              [](uv_handle_t* handle) { delete static_cast<Listener*>(handle->data); });
     listener = nullptr;
   }
 
   void accept(Listener& listener) {
-    while (next_accepted_ < first_accepted || links_.contains(next_accepted_)) ++next_accepted_;
+    while (next_accepted_ < first_accepted || links_.contains(next_accepted_))
+      ++next_accepted_;
     auto* c = make(next_accepted_++);
     if (uv_accept(reinterpret_cast<uv_stream_t*>(&listener.socket), stream(*c))) {
       c->hung = true;
@@ -496,14 +537,17 @@
     uv_tcp_nodelay(&c->socket, 1);
     const Link link = c->link;
     deliver(Accepted{link, listener.door});
-    if (auto* still = find(link)) read(*still);
+    if (auto* still = find(link))
+      read(*still);
   }
 
   // One after another, so that what is kept follows what was kept before.
   void keep(Keep&& what) {
-    if (!disk_) return unkept_.push_back(what.ticket);
+    if (!disk_)
+      return unkept_.push_back(what.ticket);
     keeps_.push_back(std::move(what));
-    if (keeps_.size() == 1) keep_next();
+    if (keeps_.size() == 1)
+      keep_next();
   }
   void keep_next() {
     keeping_.data = this;
@@ -520,21 +564,27 @@
           const auto failed =
               status == UV_ECANCELED ? std::string("stopped before it was kept") : self.keep_failed_;
           self.keeps_.pop_front();
-          if (!self.keeps_.empty()) self.keep_next();
-          if (!self.ending_) self.deliver(KeepDone{ticket, failed});
+          if (!self.keeps_.empty())
+            self.keep_next();
+          if (!self.ending_)
+            self.deliver(KeepDone{ticket, failed});
         });
-    if (code) fail("a thread for the disk", code);
+    if (code)
+      fail("a thread for the disk", code);
   }
 
   // Written beside and moved into place, so that a reader finds the old file or the new one, whole.
   void store(const Store& what) {
-    if (folder_.empty()) return;
+    if (folder_.empty())
+      return;
     const auto path = folder_ + "/" + what.name;
     const auto beside = path + ".new";
     std::FILE* file = std::fopen(beside.c_str(), "wb");
     bool whole = file && std::fwrite(what.bytes.data(), 1, what.bytes.size(), file) == what.bytes.size();
-    if (file) whole = std::fclose(file) == 0 && whole;
-    if (whole && std::rename(beside.c_str(), path.c_str()) == 0) return;
+    if (file)
+      whole = std::fclose(file) == 0 && whole;
+    if (whole && std::rename(beside.c_str(), path.c_str()) == 0)
+      return;
     if (said_)
       said_(now(), Say{"store_failed", {{"file", path}, {"cause", std::string(std::strerror(errno))}}});
   }
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -159,7 +159,8 @@
       ladder = &call;
       site.rung_kb = call.rates("rates");
       site.rung_revenue = call.numbers("revenue");
-      if (site.rung_kb.empty()) wrong(call.place_of("rates"), "a ladder has one rung at least");
+      if (site.rung_kb.empty())
+        wrong(call.place_of("rates"), "a ladder has one rung at least");
       if (site.rung_kb.size() != site.rung_revenue.size())
         wrong(call.place_of("revenue"), "the ladder has " + std::to_string(site.rung_kb.size()) +
                                             " rates and " + std::to_string(site.rung_revenue.size()) +
@@ -181,7 +182,8 @@
       if (plan.name.empty() || plan.name.find('/') != std::string::npos)
         wrong(call.place_of("name"), "a plan's name is a part of a path");
       for (const auto& other : front.plans) {
-        if (other.name == plan.name) wrong(call.place_of("name"), "two plans named '" + plan.name + "'");
+        if (other.name == plan.name)
+          wrong(call.place_of("name"), "two plans named '" + plan.name + "'");
       }
       front.plans.push_back(std::move(plan));
       site.plans.push_back(terms);
@@ -199,7 +201,8 @@
       made.link_kb = site.link_kb_per_weight = call.kb_per_s("link");
       made.uplink_kb = site.uplink_kb = call.kb_per_s("uplink");
       site.weights_told = call.flag("weights_told");
-      if (front.copies > site.cells) wrong(call.place_of("copies"), "more copies than cells");
+      if (front.copies > site.cells)
+        wrong(call.place_of("copies"), "more copies than cells");
     } else if (call.name == "rules") {
       site.cold_time = call.span("cold");
       site.cold_from = call.number("cold_from");
@@ -258,7 +261,8 @@
       auto& terms = front.hls;
       terms.passes.secrets = call.texts("secrets");
       for (const auto& secret : terms.passes.secrets) {
-        if (secret.empty()) wrong(call.place_of("secrets"), "an empty secret signs nothing");
+        if (secret.empty())
+          wrong(call.place_of("secrets"), "an empty secret signs nothing");
       }
       terms.direct = call.flag("direct");
       terms.passes.lifetime = call.span("lifetime");
@@ -300,28 +304,38 @@
       manager::Recording recording{
           call.text("title"),
           {static_cast<int>(call.whole("first_cell")), static_cast<int>(call.whole("copies")), {}}};
-      if (const auto length = call.span("length"); length > Span(0)) recording.holders.length = length;
+      if (const auto length = call.span("length"); length > Span(0))
+        recording.holders.length = length;
       front.recordings.push_back(std::move(recording));
     }
   }
   const Place whole_file = calls.empty() ? Place{} : Place{calls.front().place.file, 1, 1};
-  if (!ladder) wrong(whole_file, "the settings lack 'ladder'");
-  if (!fleet) wrong(whole_file, "the settings lack 'fleet'");
-  if (!objects) wrong(whole_file, "the settings lack 'objects'");
-  if (front.plans.empty()) wrong(whole_file, "the settings lack a 'plan'");
+  if (!ladder)
+    wrong(whole_file, "the settings lack 'ladder'");
+  if (!fleet)
+    wrong(whole_file, "the settings lack 'fleet'");
+  if (!objects)
+    wrong(whole_file, "the settings lack 'objects'");
+  if (front.plans.empty())
+    wrong(whole_file, "the settings lack a 'plan'");
   // An address names its plan in one byte.
-  if (made.hls && front.plans.size() > 256) wrong(whole_file, "more than 256 plans with 'hls'");
-  if (front.halls.empty()) wrong(whole_file, "the settings lack a 'hall'");
-  if (site.kind_streams.empty()) wrong(whole_file, "the settings lack a 'kind' of box");
+  if (made.hls && front.plans.size() > 256)
+    wrong(whole_file, "more than 256 plans with 'hls'");
+  if (front.halls.empty())
+    wrong(whole_file, "the settings lack a 'hall'");
+  if (site.kind_streams.empty())
+    wrong(whole_file, "the settings lack a 'kind' of box");
   const int last = static_cast<int>(site.rung_kb.size()) - 1;
   std::size_t plan = 0;
   for (const auto& call : calls) {
-    if (call.name != "plan" || plan >= site.plans.size()) continue;
+    if (call.name != "plan" || plan >= site.plans.size())
+      continue;
     auto& terms = site.plans[plan++];
     if (ladder && terms.floor > last)
       wrong(call.place_of("floor"), "the ladder's last rung is " + std::to_string(last));
     terms.top = std::clamp(terms.top, 0, std::max(0, last));
-    if (terms.top < terms.floor) wrong(call.place_of("top"), "the top rung lies under the floor");
+    if (terms.top < terms.floor)
+      wrong(call.place_of("top"), "the top rung lies under the floor");
   }
   if (own && !own->text("hall").empty()) {
     const auto at = std::find(front.halls.begin(), front.halls.end(), own->text("hall"));
@@ -336,14 +350,16 @@
     if (front.recordings[i].title == front.recordings[i - 1].title)
       wrong(whole_file, "two recordings titled '" + front.recordings[i].title + "'");
   }
-  if (!mistakes.empty()) return mistakes;
+  if (!mistakes.empty())
+    return mistakes;
   return made;
 }
 
 std::variant<Deployment, Mistakes> read_deployment(const std::string& path, const Files& files) {
   const auto builtins = deployment_builtins();
   auto read = read_script(path, builtins, files);
-  if (!read.mistakes.empty()) return std::move(read.mistakes);
+  if (!read.mistakes.empty())
+    return std::move(read.mistakes);
   return deployment_of(read.calls);
 }
 
--- a/src/settings/grammar.cpp
+++ b/src/settings/grammar.cpp
@@ -54,9 +54,11 @@
   x3::error_handler_result on_error(It&, const It& last, const x3::expectation_failure<It>& met,
                                     const Ctx& context) {
     auto& where = x3::get<MistakesTag>(context).get();
-    if (!where.mistakes->empty()) return x3::error_handler_result::fail;  // told where it was met first
+    if (!where.mistakes->empty())
+      return x3::error_handler_result::fail;  // told where it was met first
     auto at = met.where();
-    while (at != last && (*at == ' ' || *at == '\t')) ++at;
+    while (at != last && (*at == ' ' || *at == '\t'))
+      ++at;
     const std::string found = at == last    ? "the end of the file"
                               : *at == '\n' ? "the end of the line"
                                             : "'" + std::string(1, *at) + "'";
@@ -154,7 +156,8 @@
   for (const auto& statement : parsed.script) {
     boost::apply_visitor(
         [&](const x3::position_tagged& node) {
-          if (node.id_first < 0) return;
+          if (node.id_first < 0)
+            return;
           const auto range = positions->position_of(node);
           if (last != kept->begin() && std::find(last, range.begin(), '\n') == range.begin())
             parsed.mistakes.push_back(
@@ -164,7 +167,8 @@
         statement);
   }
   parsed.place_of = [kept, positions, context](const x3::position_tagged& node) {
-    if (node.id_first < 0) return Place{context.path, 1, 1};
+    if (node.id_first < 0)
+      return Place{context.path, 1, 1};
     return context.place(positions->position_of(node).begin());
   };
   return parsed;
--- a/src/settings/script.cpp
+++ b/src/settings/script.cpp
@@ -29,8 +29,10 @@
 }
 
 std::optional<double> as_number(const Value& value) {
-  if (const auto* whole = std::get_if<std::int64_t>(&value.held)) return static_cast<double>(*whole);
-  if (const auto* number = std::get_if<double>(&value.held)) return *number;
+  if (const auto* whole = std::get_if<std::int64_t>(&value.held))
+    return static_cast<double>(*whole);
+  if (const auto* number = std::get_if<double>(&value.held))
+    return *number;
   return std::nullopt;
 }
 double in_seconds(Span span) { return std::chrono::duration<double>(span).count(); }
@@ -72,7 +74,8 @@
     return wrong(std::string("expected ") + words_of(parameter.wants) + ", found " + kind_of(value));
   };
   const auto bounded = [&](double number) -> std::optional<Mistake> {
-    if (number >= parameter.least && number <= parameter.most) return std::nullopt;
+    if (number >= parameter.least && number <= parameter.most)
+      return std::nullopt;
     std::ostringstream cause;
     cause << number << " is out of bounds: expected ";
     if (parameter.most >= 1e18)
@@ -83,11 +86,13 @@
   };
   const auto each = [&](Wants of) -> std::optional<Mistake> {
     const auto* items = std::get_if<ListOf>(&value.held);
-    if (!items) return wanted();
+    if (!items)
+      return wanted();
     Parameter single = parameter;
     single.wants = of;
     for (const auto& item : *items) {
-      if (auto mistake = check(item, single)) return mistake;
+      if (auto mistake = check(item, single))
+        return mistake;
     }
     return std::nullopt;
   };
@@ -126,7 +131,8 @@
   std::size_t best_far = typed.size() / 2 + 1;
   for (const auto& name : known) {
     std::vector<std::size_t> row(name.size() + 1);
-    for (std::size_t j = 0; j <= name.size(); ++j) row[j] = j;
+    for (std::size_t j = 0; j <= name.size(); ++j)
+      row[j] = j;
     for (std::size_t i = 1; i <= typed.size(); ++i) {
       std::size_t corner = row[0];
       row[0] = i;
@@ -136,7 +142,8 @@
         corner = above;
       }
     }
-    if (row.back() < best_far) best_far = row.back(), best = name;
+    if (row.back() < best_far)
+      best_far = row.back(), best = name;
   }
   return best.empty() ? "" : " (did you mean '" + best + "'?)";
 }
@@ -149,11 +156,13 @@
   std::map<std::string, Value> run(const std::string& path, const Place& from) {
     if (std::find(open_.begin(), open_.end(), path) != open_.end()) {
       std::string way;
-      for (const auto& file : open_) way += file + " -> ";
+      for (const auto& file : open_)
+        way += file + " -> ";
       mistake(from, "a load that comes back to itself: " + way + path);
       return {};
     }
-    if (const auto before = done_.find(path); before != done_.end()) return before->second;
+    if (const auto before = done_.find(path); before != done_.end())
+      return before->second;
     const auto text = files_(path);
     if (!text) {
       mistake(from, "'" + path + "' can't be read");
@@ -193,14 +202,16 @@
 
   void execute(Scope& scope, const syntax::Invocation& call) {
     const auto place = scope.parsed->place_of(call);
-    if (call.function == "load") return load(scope, call, place);
+    if (call.function == "load")
+      return load(scope, call, place);
     if (span_units().contains(call.function) || rate_units().contains(call.function))
       return mistake(place, "'" + call.function + "' gives a value that nothing takes here");
     const auto builtin =
         std::find_if(builtins_.begin(), builtins_.end(), [&](auto& b) { return b.name == call.function; });
     if (builtin == builtins_.end()) {
       std::vector<std::string> known{"load"};
-      for (const auto& b : builtins_) known.push_back(b.name);
+      for (const auto& b : builtins_)
+        known.push_back(b.name);
       return mistake(place, "no builtin '" + call.function + "'" + nearest(call.function, known));
     }
     if (builtin->once &&
@@ -213,15 +224,18 @@
       const auto at = scope.parsed->place_of(argument);
       const Parameter* parameter = nullptr;
       if (argument.name.empty()) {
-        if (position < builtin->parameters.size()) parameter = &builtin->parameters[position++];
+        if (position < builtin->parameters.size())
+          parameter = &builtin->parameters[position++];
       } else {
         for (const auto& p : builtin->parameters) {
-          if (p.name == argument.name) parameter = &p;
+          if (p.name == argument.name)
+            parameter = &p;
         }
       }
       if (!parameter) {
         std::vector<std::string> known;
-        for (const auto& p : builtin->parameters) known.push_back(p.name);
+        for (const auto& p : builtin->parameters)
+          known.push_back(p.name);
         mistake(at, argument.name.empty() ? "more arguments than '" + call.function + "' takes"
                                           : "'" + call.function + "' takes no '" + argument.name + "'" +
                                                 nearest(argument.name, known));
@@ -243,7 +257,8 @@
       }
     }
     for (const auto& parameter : builtin->parameters) {
-      if (made.arguments.contains(parameter.name)) continue;
+      if (made.arguments.contains(parameter.name))
+        continue;
       if (parameter.otherwise) {
         auto value = *parameter.otherwise;
         value.place = place;
@@ -254,7 +269,8 @@
         whole = false;
       }
     }
-    if (whole) read.calls.push_back(std::move(made));
+    if (whole)
+      read.calls.push_back(std::move(made));
   }
 
   // load("file.star", "NAME", ...): the file's calls count, and the names become ours.
@@ -263,12 +279,14 @@
     for (const auto& argument : call.arguments) {
       const auto at = scope.parsed->place_of(argument);
       const auto value = evaluate(scope, argument.value, at);
-      if (!value) return;
+      if (!value)
+        return;
       if (!argument.name.empty() || !is<std::string>(*value))
         return mistake(at, "'load' takes a file and names, as texts");
       words.emplace_back(std::get<std::string>(value->held), at);
     }
-    if (words.empty()) return mistake(place, "'load' lacks a file");
+    if (words.empty())
+      return mistake(place, "'load' lacks a file");
     auto path = words.front().first;
     const auto slash = scope.path.rfind('/');
     if (path.empty() || (path[0] != '/' && slash != std::string::npos))
@@ -284,7 +302,8 @@
   }
 
   std::optional<Value> evaluate(Scope& scope, const syntax::Expression& expression, Place place) {
-    if (expression.id_first >= 0) place = scope.parsed->place_of(expression);
+    if (expression.id_first >= 0)
+      place = scope.parsed->place_of(expression);
     return boost::apply_visitor([&](const auto& node) { return value_of(scope, node, place); }, expression);
   }
   using Given = std::optional<Value>;
@@ -297,7 +316,8 @@
     const auto found = scope.names.find(node.text);
     if (found == scope.names.end()) {
       std::vector<std::string> known;
-      for (const auto& [name, value] : scope.names) known.push_back(name);
+      for (const auto& [name, value] : scope.names)
+        known.push_back(name);
       mistake(place, "no name '" + node.text + "'" + nearest(node.text, known));
       return std::nullopt;
     }
@@ -311,7 +331,8 @@
   }
   Given value_of(Scope& scope, const syntax::Negative& node, const Place& place) {
     auto value = evaluate(scope, node.of, place);
-    if (!value) return value;
+    if (!value)
+      return value;
     if (auto* whole = std::get_if<std::int64_t>(&value->held))
       *whole = -*whole;
     else if (auto* number = std::get_if<double>(&value->held))
@@ -330,7 +351,8 @@
       else
         whole = false;
     }
-    if (!whole) return std::nullopt;
+    if (!whole)
+      return std::nullopt;
     return Value{std::move(items), place};
   }
   Given value_of(Scope& scope, const syntax::Dict& node, const Place& place) {
@@ -338,9 +360,11 @@
     for (const auto& entry : node.entries) {
       const auto key = evaluate(scope, entry.key, place);
       auto value = evaluate(scope, entry.value, place);
-      if (!key || !value) return std::nullopt;
+      if (!key || !value)
+        return std::nullopt;
       const auto* text = std::get_if<std::string>(&key->held);
-      if (!text) return mistake(key->place, "a key is a text, found " + kind_of(*key)), std::nullopt;
+      if (!text)
+        return mistake(key->place, "a key is a text, found " + kind_of(*key)), std::nullopt;
       for (const auto& [before, v] : entries) {
         if (before == *text)
           return mistake(key->place, "the key '" + *text + "' is given twice"), std::nullopt;
@@ -354,22 +378,26 @@
     const auto rate = rate_units().find(call.function);
     if (span == span_units().end() && rate == rate_units().end()) {
       std::vector<std::string> known;
-      for (const auto& [name, factor] : span_units()) known.push_back(name);
-      for (const auto& [name, factor] : rate_units()) known.push_back(name);
+      for (const auto& [name, factor] : span_units())
+        known.push_back(name);
+      for (const auto& [name, factor] : rate_units())
+        known.push_back(name);
       mistake(place, "'" + call.function + "' gives no value" + nearest(call.function, known));
       return std::nullopt;
     }
     if (call.arguments.size() != 1 || !call.arguments[0].name.empty())
       return mistake(place, "'" + call.function + "' takes one number"), std::nullopt;
     const auto value = evaluate(scope, call.arguments[0].value, place);
-    if (!value) return std::nullopt;
+    if (!value)
+      return std::nullopt;
     const auto number = as_number(*value);
     if (!number)
       return mistake(value->place, "'" + call.function + "' takes a number, found " + kind_of(*value)),
              std::nullopt;
     if (std::fabs(*number) > 1e12)
       return mistake(value->place, "a number too large to mean anything"), std::nullopt;
-    if (span != span_units().end()) return Value{Span(std::llround(*number * span->second * 1e6)), place};
+    if (span != span_units().end())
+      return Value{Span(std::llround(*number * span->second * 1e6)), place};
     return Value{Rate{*number * rate->second}, place};
   }
 
@@ -382,7 +410,8 @@
 template <typename Kind, typename Item>
 std::vector<Item> items_of(const Value& value, Item (*of)(const Kind&)) {
   std::vector<Item> items;
-  for (const auto& item : std::get<ListOf>(value.held)) items.push_back(of(std::get<Kind>(item.held)));
+  for (const auto& item : std::get<ListOf>(value.held))
+    items.push_back(of(std::get<Kind>(item.held)));
   return items;
 }
 
@@ -431,7 +460,8 @@
 }
 std::vector<double> Call::numbers(const std::string& name) const {
   std::vector<double> items;
-  for (const auto& item : std::get<ListOf>(arguments.at(name).held)) items.push_back(*as_number(item));
+  for (const auto& item : std::get<ListOf>(arguments.at(name).held))
+    items.push_back(*as_number(item));
   return items;
 }
 std::vector<double> Call::rates(const std::string& name) const {
@@ -440,7 +470,8 @@
 
 std::optional<std::string> file_text(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) return std::nullopt;
+  if (!file)
+    return std::nullopt;
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
--- a/src/signing/signing.cpp
+++ b/src/signing/signing.cpp
@@ -32,7 +32,8 @@
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                       reinterpret_cast<const unsigned char*>(bytes.data()), static_cast<int>(bytes.size()));
   text.resize(static_cast<std::size_t>(size));
-  while (!text.empty() && text.back() == '=') text.pop_back();
+  while (!text.empty() && text.back() == '=')
+    text.pop_back();
   std::replace(text.begin(), text.end(), '+', '-');
   std::replace(text.begin(), text.end(), '/', '_');
   return text;
@@ -54,7 +55,8 @@
     return std::nullopt;
   bytes.resize(bytes.size() - padding);
   // Guards against two texts for the same bytes: one pass has one name.
-  if (base64url(bytes) != text) return std::nullopt;
+  if (base64url(bytes) != text)
+    return std::nullopt;
   return bytes;
 }
 
--- a/src/siteterms/siteterms.cpp
+++ b/src/siteterms/siteterms.cpp
@@ -12,7 +12,8 @@
   while (!text.empty()) {
     const auto cut = text.find(separator);
     take(text.substr(0, cut));
-    if (cut == std::string_view::npos) return;
+    if (cut == std::string_view::npos)
+      return;
     text.remove_prefix(cut + 1);
   }
 }
@@ -20,7 +21,8 @@
 template <typename Number>
 Number value_of(const std::string& path, std::string_view text) {
   const auto value = read_number<Number>(text);
-  if (!value) throw SettingFault("setting " + path + "=" + std::string(text) + ": expected a number");
+  if (!value)
+    throw SettingFault("setting " + path + "=" + std::string(text) + ": expected a number");
   return *value;
 }
 
@@ -78,8 +80,10 @@
 
 bool Pairs::flag(const std::string& path) const {
   const auto value = text(path);
-  if (value.empty() || value == "false" || value == "0") return false;
-  if (value == "true" || value == "1") return true;
+  if (value.empty() || value == "false" || value == "0")
+    return false;
+  if (value == "true" || value == "1")
+    return true;
   throw SettingFault("setting " + path + "=" + value + ": expected true or false");
 }
 
@@ -124,7 +128,8 @@
   terms.switch_cost = micros(std::llround(settings.number("FamilyInfo.SwitchCostS", 0) * 1e6));
   terms.note_lag = micros(settings.integer("FamilyInfo.SeenAfter", 0));
   terms.fronts = std::max(1, static_cast<int>(settings.integer("Balancers", 1)));
-  if (!settings.text("Me").empty()) terms.own_number = static_cast<int>(settings.integer("Me", 0));
+  if (!settings.text("Me").empty())
+    terms.own_number = static_cast<int>(settings.integer("Me", 0));
   terms.cold_time = micros(settings.integer("Rules.Cold", 0));
   terms.cold_from = settings.number("Rules.ColdFrom", 1);
   terms.overload_multiple = settings.number("Rules.OverloadFactor", 1);
@@ -147,11 +152,13 @@
   LoadReport report;
   const auto take = [&](const char* name) -> std::optional<double> {
     const auto found = values.find(name);
-    if (found == values.end()) return std::nullopt;
+    if (found == values.end())
+      return std::nullopt;
     return found->second;
   };
   report.link_fill = take("x0");
-  if (!report.link_fill) report.link_fill = take("busy");
+  if (!report.link_fill)
+    report.link_fill = take("busy");
   report.uplink_fill = take("x1");
   report.streams = take("rif");
   return report;
--- a/src/siteterms/siteterms.h
+++ b/src/siteterms/siteterms.h
@@ -21,9 +21,11 @@
 std::optional<Number> read_number(std::string_view text) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  if (error != std::errc{} || end != text.data() + text.size())
+    return std::nullopt;
   if constexpr (std::is_floating_point_v<Number>) {
-    if (!std::isfinite(value)) return std::nullopt;
+    if (!std::isfinite(value))
+      return std::nullopt;
   }
   return value;
 }
--- a/src/standins/day.cpp
+++ b/src/standins/day.cpp
@@ -103,7 +103,8 @@
 
 const char* name_of(Ill ill) {
   for (const auto& known : ill_names) {
-    if (known.ill == ill) return known.name;
+    if (known.ill == ill)
+      return known.name;
   }
   return "?";
 }
@@ -118,19 +119,23 @@
                                                                      const settings::Files& files) {
   const auto builtins = day_builtins();
   auto read = settings::read_script(path, builtins, files);
-  if (!read.mistakes.empty()) return std::move(read.mistakes);
+  if (!read.mistakes.empty())
+    return std::move(read.mistakes);
   return settings::deployment_of(read.calls);
 }
 
 std::variant<Day, settings::Mistakes> read_day(const std::string& path, const settings::Files& files) {
   const auto builtins = day_builtins();
   auto read = settings::read_script(path, builtins, files);
-  if (!read.mistakes.empty()) return std::move(read.mistakes);
+  if (!read.mistakes.empty())
+    return std::move(read.mistakes);
   auto deployment = settings::deployment_of(read.calls);
   settings::Mistakes mistakes;
-  if (auto* wrong = std::get_if<settings::Mistakes>(&deployment)) mistakes = std::move(*wrong);
+  if (auto* wrong = std::get_if<settings::Mistakes>(&deployment))
+    mistakes = std::move(*wrong);
   Day day;
-  if (mistakes.empty()) day.deployment = std::get<settings::Deployment>(std::move(deployment));
+  if (mistakes.empty())
+    day.deployment = std::get<settings::Deployment>(std::move(deployment));
   const auto wrong = [&](const settings::Place& place, std::string cause) {
     mistakes.push_back({place, std::move(cause)});
   };
@@ -138,15 +143,22 @@
   const settings::Call* said_boxes = nullptr;
   const settings::Call* said_viewers = nullptr;
   for (const auto& call : read.calls) {
-    if (call.name == "day") said_day = &call;
-    if (call.name == "boxes") said_boxes = &call;
-    if (call.name == "viewers") said_viewers = &call;
+    if (call.name == "day")
+      said_day = &call;
+    if (call.name == "boxes")
+      said_boxes = &call;
+    if (call.name == "viewers")
+      said_viewers = &call;
   }
   const settings::Place whole{path, 1, 1};
-  if (!said_day) wrong(whole, "the day lacks 'day'");
-  if (!said_boxes) wrong(whole, "the day lacks 'boxes'");
-  if (!said_viewers) wrong(whole, "the day lacks 'viewers'");
-  if (!mistakes.empty()) return mistakes;
+  if (!said_day)
+    wrong(whole, "the day lacks 'day'");
+  if (!said_boxes)
+    wrong(whole, "the day lacks 'boxes'");
+  if (!said_viewers)
+    wrong(whole, "the day lacks 'viewers'");
+  if (!mistakes.empty())
+    return mistakes;
 
   day.length = said_day->span("length");
   day.seed = static_cast<std::uint32_t>(said_day->whole("seed"));
@@ -176,7 +188,8 @@
   viewers.per_second = v.number("per_second");
   viewers.least_watch = v.span("least_watch");
   viewers.most_watch = v.span("most_watch");
-  if (viewers.most_watch < viewers.least_watch) wrong(v.place_of("most_watch"), "less than 'least_watch'");
+  if (viewers.most_watch < viewers.least_watch)
+    wrong(v.place_of("most_watch"), "less than 'least_watch'");
   viewers.titles = static_cast<int>(v.whole("titles"));
   viewers.zipf = v.number("zipf");
   viewers.plan_shares = v.numbers("plan_shares");
@@ -191,8 +204,10 @@
   viewers.rejoin = v.span("rejoin");
   viewers.crowd_title = static_cast<int>(v.whole("crowd_title"));
   for (const auto& call : read.calls) {
-    if (call.name != "issuer") continue;
-    if (!day.deployment.front.entitlement.on) wrong(call.place, "the settings lack 'entitlement'");
+    if (call.name != "issuer")
+      continue;
+    if (!day.deployment.front.entitlement.on)
+      wrong(call.place, "the settings lack 'entitlement'");
     day.issuer.rotate = call.span("rotate");
     day.issuer.token_life = call.span("token_life");
     day.issuer.teams = static_cast<int>(call.whole("teams"));
@@ -200,7 +215,8 @@
     day.issuer.bad = call.number("bad");
   }
   for (const auto& call : read.calls) {
-    if (call.name != "trouble") continue;
+    if (call.name != "trouble")
+      continue;
     Trouble trouble;
     const auto known = std::find_if(std::begin(ill_names), std::end(ill_names),
                                     [&](auto& i) { return call.text("kind") == i.name; });
@@ -223,7 +239,8 @@
       wrong(call.place, std::string("'") + known->name + "' lacks whom it befalls: '" + whom + "'");
     day.troubles.push_back(std::move(trouble));
   }
-  if (!mistakes.empty()) return mistakes;
+  if (!mistakes.empty())
+    return mistakes;
   return day;
 }
 
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -31,7 +31,8 @@
       sink_(std::move(sink)),
       boxes_(day_.boxes.size()),
       chance_(day_.seed + 2) {
-  for (auto& box : boxes_) box.started = -std::chrono::hours(1);
+  for (auto& box : boxes_)
+    box.started = -std::chrono::hours(1);
 }
 
 void Fleet::put(trace::Passed::Kind kind, int box, const Peer* peer, int status) {
@@ -50,7 +51,8 @@
     // A list of renditions and an audio track are of no rung.
     const bool of_none = peer->hls && (peer->hls->audio || peer->hls->names == HlsPath::Names::lists);
     record.set_rung(of_none ? -1 : peer->rung);
-    if (peer->hls) record.set_state("hls");
+    if (peer->hls)
+      record.set_state("hls");
   }
   sink_(record);
 }
@@ -63,7 +65,8 @@
     record_list();
     begin_catalogue();
     list_history_.front().visible_at = -std::chrono::hours(1);
-    for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) put(trace::Passed::UP, i, nullptr, 1);
+    for (int i = 0; i < static_cast<int>(boxes_.size()); ++i)
+      put(trace::Passed::UP, i, nullptr, 1);
     actions.push_back(WakeAt{now_ + step_every});
   }
   std::visit(Visit{
@@ -73,13 +76,16 @@
                  },
                  [&](const Received& r) {
                    const auto found = peers_.find(r.link);
-                   if (found == peers_.end()) return;
+                   if (found == peers_.end())
+                     return;
                    found->second.reader.push(r.bytes);
-                   if (!found->second.busy) requests(r.link, found->second, actions);
+                   if (!found->second.busy)
+                     requests(r.link, found->second, actions);
                  },
                  [&](const HalfClosed& h) {
                    const auto found = peers_.find(h.link);
-                   if (found == peers_.end()) return;
+                   if (found == peers_.end())
+                     return;
                    if (found->second.set_up)
                      put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
                    actions.push_back(Close{h.link, false});
@@ -87,7 +93,8 @@
                  },
                  [&](const Ended& e) {
                    const auto found = peers_.find(e.link);
-                   if (found == peers_.end()) return;
+                   if (found == peers_.end())
+                     return;
                    if (found->second.set_up)
                      put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
                    peers_.erase(found);
@@ -112,7 +119,8 @@
 
 const Trouble* Fleet::ill_with(int box, Ill ill) const {
   for (const auto& trouble : day_.troubles) {
-    if (trouble.ill != ill || day_now() < trouble.at || day_now() >= trouble.at + trouble.lasts) continue;
+    if (trouble.ill != ill || day_now() < trouble.at || day_now() >= trouble.at + trouble.lasts)
+      continue;
     if (trouble.whom.empty() ||
         std::find(trouble.whom.begin(), trouble.whom.end(), box) != trouble.whom.end())
       return &trouble;
@@ -129,20 +137,24 @@
       const bool ends = since >= trouble.lasts && !ended_.contains({t, box});
       if (trouble.ill == Ill::drain) {
         // `size` seconds after the notice the process goes; it comes back when the trouble ends.
-        if (begins) boxes_[box].drained = true, begun_.insert({t, box}), record_list();
+        if (begins)
+          boxes_[box].drained = true, begun_.insert({t, box}), record_list();
         if (since >= std::chrono::duration<double>(trouble.size) && begun_.contains({t, box}) &&
             boxes_[box].drained && boxes_[box].up && !ends && since < trouble.lasts)
           go_down(box, actions, false);
-        if (ends) ended_.insert({t, box}), come_up(box, actions);
+        if (ends)
+          ended_.insert({t, box}), come_up(box, actions);
       } else if (trouble.ill == Ill::crash || trouble.ill == Ill::vanish || trouble.ill == Ill::ageing) {
         const bool dies =
             trouble.ill == Ill::ageing ? since >= trouble.lasts / 2 && !boxes_[box].ageing_died : begins;
-        if (begins) begun_.insert({t, box});
+        if (begins)
+          begun_.insert({t, box});
         if (dies && !ends && boxes_[box].up) {
           boxes_[box].ageing_died = trouble.ill == Ill::ageing;
           go_down(box, actions, trouble.ill == Ill::vanish);
         }
-        if (ends) ended_.insert({t, box}), come_up(box, actions);
+        if (ends)
+          ended_.insert({t, box}), come_up(box, actions);
       }
     }
   }
@@ -154,7 +166,8 @@
       ++it;
       continue;
     }
-    if (it->second.set_up) put(trace::Passed::TRY_ENDED, number, &it->second, -1);
+    if (it->second.set_up)
+      put(trace::Passed::TRY_ENDED, number, &it->second, -1);
     actions.push_back(Close{it->first, false});
     it = peers_.erase(it);
   }
@@ -166,7 +179,8 @@
   box.sessions.clear();
   put(trace::Passed::DOWN, number, nullptr);
   record_list();
-  if (silent) return;  // a machine that vanished neither refuses nor resets
+  if (silent)
+    return;  // a machine that vanished neither refuses nor resets
   actions.push_back(Shut{number});
   break_off(number, actions);
 }
@@ -174,7 +188,8 @@
 void Fleet::come_up(int number, std::vector<Action>& actions) {
   auto& box = boxes_[number];
   box.drained = box.ageing_died = false;
-  if (box.up) return record_list();
+  if (box.up)
+    return record_list();
   break_off(number, actions);
   box.up = true;
   box.cold = true;
@@ -191,7 +206,8 @@
 
 double Fleet::slowness(int box) const {
   double slower = 1;
-  if (const auto* trouble = ill_with(box, Ill::slow)) slower = std::max(1.0, trouble->size);
+  if (const auto* trouble = ill_with(box, Ill::slow))
+    slower = std::max(1.0, trouble->size);
   if (const auto* trouble = ill_with(box, Ill::ageing)) {
     const double aged = seconds(day_now() - trouble->at) / std::max(0.1, seconds(trouble->lasts) / 2);
     slower = std::max(slower, 1 + std::min(1.0, aged) * (std::max(2.0, trouble->size) - 1));
@@ -201,9 +217,11 @@
 
 double Fleet::warmth(const Box& box) const {
   const auto& site = day_.deployment.front.site;
-  if (!box.cold || site.cold_time <= 0s) return 1;
+  if (!box.cold || site.cold_time <= 0s)
+    return 1;
   const double age = seconds(day_now() - box.started) / seconds(site.cold_time);
-  if (age >= 1) return 1;
+  if (age >= 1)
+    return 1;
   return site.cold_from + (1 - site.cold_from) * age * age;
 }
 
@@ -211,7 +229,8 @@
   double link = day_.boxes[number].link_kb * warmth(boxes_[number]) / slowness(number);
   if (const auto* trouble = ill_with(number, Ill::neighbour)) {
     const auto phase = static_cast<int>(seconds(day_now() - trouble->at) / 2.5);
-    if (phase % 2 == 0) link *= 1 - std::min(0.95, trouble->size);
+    if (phase % 2 == 0)
+      link *= 1 - std::min(0.95, trouble->size);
   }
   return link;
 }
@@ -234,7 +253,8 @@
 bool Fleet::pushed_over(int number) {
   auto& box = boxes_[number];
   const auto& site = day_.deployment.front.site;
-  if (!box.cold || day_now() - box.started >= site.cold_time) return false;
+  if (!box.cold || day_now() - box.started >= site.cold_time)
+    return false;
   const Span fall = day_.deployment.fall;
   std::erase_if(box.set_ups, [&](Span at) { return at <= day_now() - fall; });
   box.set_ups.push_back(day_now());
@@ -252,17 +272,21 @@
     const auto racks = std::max(1, day_.deployment.front.site.racks);
     double asked = 0;
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
-      if (day_.boxes[i].cell % racks == day_.boxes[number].cell % racks) asked += asked_of(i);
+      if (day_.boxes[i].cell % racks == day_.boxes[number].cell % racks)
+        asked += asked_of(i);
     }
     box.told_uplink = day_.deployment.uplink_kb > 0 ? asked / day_.deployment.uplink_kb : 0;
   }
   hints::CmsdDynamic hop;
   hop.server = day_.boxes[number].name;
   const bool late = ill_with(number, Ill::report_late);
-  if (!late) box.old_util = box.told_util, box.old_uplink = box.told_uplink;
+  if (!late)
+    box.old_util = box.told_util, box.old_uplink = box.told_uplink;
   hop.util = late ? box.old_util : box.told_util;
-  if (const auto* trouble = ill_with(number, Ill::false_cmsd)) hop.util = trouble->size;
-  if (day_.deployment.uplink_kb > 0) hop.uplink = late ? box.old_uplink : box.told_uplink;
+  if (const auto* trouble = ill_with(number, Ill::false_cmsd))
+    hop.util = trouble->size;
+  if (day_.deployment.uplink_kb > 0)
+    hop.uplink = late ? box.old_uplink : box.told_uplink;
   hop.streams = box.told_streams;
   hop.duress = *hop.util > 1;
   return hints::cmsd_entry(hop);
@@ -274,7 +298,8 @@
   while (!peer.busy) {
     auto request = peer.reader.next();
     if (!request) {
-      if (peer.reader.fault()) actions.push_back(Close{link, false});
+      if (peer.reader.fault())
+        actions.push_back(Close{link, false});
       return;
     }
     peer.close_after = !request->keep_alive;
@@ -287,16 +312,20 @@
         answer(link, peer, 503, {}, "", actions);
       else
         answer(link, peer, 200, {{"Content-Type", "application/jwk-set+json"}}, issuer_->key_set(), actions);
-      if (!peers_.contains(link)) return;
+      if (!peers_.contains(link))
+        return;
     } else if (peer.door > static_cast<int>(boxes_.size())) {
       serve_feed(link, peer, *request, actions);
-      if (!peers_.contains(link)) return;
+      if (!peers_.contains(link))
+        return;
     } else if (peer.door == static_cast<int>(boxes_.size())) {
       serve_list(link, peer, *request, actions);
-      if (!peers_.contains(link)) return;
+      if (!peers_.contains(link))
+        return;
     } else {
       serve_box(link, peer, *request, actions);
-      if (!peers_.contains(link)) return;
+      if (!peers_.contains(link))
+        return;
     }
   }
 }
@@ -304,7 +333,8 @@
 void Fleet::answer(Link link, Peer& peer, int status, http::Fields fields, const std::string& body,
                    std::vector<Action>& actions) {
   actions.push_back(Send{link, http::head_text(status, fields, body.size(), !peer.close_after) + body});
-  if (peer.close_after) actions.push_back(Close{link, true}), peers_.erase(link);
+  if (peer.close_after)
+    actions.push_back(Close{link, true}), peers_.erase(link);
 }
 
 void Fleet::serve_box(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions) {
@@ -322,7 +352,8 @@
   }
   peer.hls = day_.deployment.hls ? read_hls_path(day_, request.target) : std::nullopt;
   manager::MediaPath as_hls;
-  if (peer.hls) as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
+  if (peer.hls)
+    as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
   const auto path = manager::read_path(day_.deployment.front, request.target);
   const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
   if (!media || media->rung >= static_cast<int>(day_.deployment.front.site.rung_kb.size()))
@@ -341,7 +372,8 @@
   // Under a catalogue every box has every file: where a set-up may go is the catalogue's word, and is
   // audited.
   if (!catalogue_ && !holds(day_, day_.boxes[number], media->title)) {
-    if (std::exchange(peer.set_up, false)) put(trace::Passed::TRY_ENDED, number, &peer, 404);
+    if (std::exchange(peer.set_up, false))
+      put(trace::Passed::TRY_ENDED, number, &peer, 404);
     return answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(number)}}, "", actions);
   }
   peer.busy = true;
@@ -357,7 +389,8 @@
                         day_.deployment.front.site.kind_streams[day_.boxes[number].kind] &&
                     !box.sessions.contains(peer.sid);
   peer.status = full ? 503 : !peer.set_up && !box.sessions.contains(peer.sid) ? 421 : 200;
-  if (peer.set_up && !full) box.sessions[peer.sid] = {peer.plan, peer.rung, now_};
+  if (peer.set_up && !full)
+    box.sessions[peer.sid] = {peer.plan, peer.rung, now_};
   const double spread = 0.7 + 0.6 * static_cast<double>(chance_() % 1000) / 1000;
   const double time =
       peer.set_up ? seconds(day_.setup_time) * slowness(number) * spread / warmth(box) : 0.001;
@@ -369,11 +402,13 @@
   auto& box = boxes_[number];
   const auto& front = day_.deployment.front;
   peer.head_sent = true;
-  if (std::exchange(peer.set_up, false)) put(trace::Passed::TRY_ENDED, number, &peer, peer.status);
+  if (std::exchange(peer.set_up, false))
+    put(trace::Passed::TRY_ENDED, number, &peer, peer.status);
   if (peer.status != 200) {
     peer.busy = false;
     answer(link, peer, peer.status, {{"CMSD-Dynamic", cmsd_of(number)}, {"Retry-After", "1"}}, "", actions);
-    if (peers_.contains(link)) requests(link, peer, actions);
+    if (peers_.contains(link))
+      requests(link, peer, actions);
     return;
   }
   auto& session = box.sessions[peer.sid];
@@ -390,7 +425,8 @@
     if (live && (number > newest_segment(day_, day_now()) || (ills.gaps && lacks(number)))) {
       peer.busy = false;
       answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(peer.door)}}, "", actions);
-      if (peers_.contains(link)) requests(link, peer, actions);
+      if (peers_.contains(link))
+        requests(link, peer, actions);
       return;
     }
   }
@@ -418,9 +454,11 @@
 
 ListIlls Fleet::list_ills(int box) const {
   ListIlls ills;
-  if (const auto* trouble = ill_with(box, Ill::list_behind)) ills.behind = std::llround(trouble->size);
+  if (const auto* trouble = ill_with(box, Ill::list_behind))
+    ills.behind = std::llround(trouble->size);
   ills.gaps = ill_with(box, Ill::list_gaps);
-  if (ill_with(box, Ill::list_nonsense)) ills.nonsense = 1 + static_cast<int>(now_ / step_every);
+  if (ill_with(box, Ill::list_nonsense))
+    ills.nonsense = 1 + static_cast<int>(now_ / step_every);
   return ills;
 }
 
@@ -436,7 +474,8 @@
   }
   peer.busy = false;
   answer(link, peer, 200, std::move(fields), text, actions);
-  if (peers_.contains(link)) requests(link, peer, actions);
+  if (peers_.contains(link))
+    requests(link, peer, actions);
 }
 
 // Time goes by: answers that are due, and bytes as far as links and uplinks give them.
@@ -445,8 +484,10 @@
   stepped_ = now_;
   std::vector<Link> due;
   for (auto& [link, peer] : peers_) {
-    if (!peer.busy || peer.head_sent || peer.answer_at > now_ || mute(peer.door)) continue;
-    if (peer.set_up && ill_with(peer.door, Ill::answer_lost)) continue;  // it ran; nobody hears of it
+    if (!peer.busy || peer.head_sent || peer.answer_at > now_ || mute(peer.door))
+      continue;
+    if (peer.set_up && ill_with(peer.door, Ill::answer_lost))
+      continue;  // it ran; nobody hears of it
     due.push_back(link);
   }
   for (const auto link : due) {
@@ -455,35 +496,42 @@
   }
   std::vector<double> asked(boxes_.size(), 0);
   for (const auto& [link, peer] : peers_) {
-    if (peer.busy && peer.head_sent && !mute(peer.door)) asked[peer.door] += peer.rate / 1000;
+    if (peer.busy && peer.head_sent && !mute(peer.door))
+      asked[peer.door] += peer.rate / 1000;
   }
   const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.front.site.racks));
   std::vector<double> share(boxes_.size(), 1), rack_asked(racks, 0);
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
-    if (asked[i] > 0) share[i] = std::min(1.0, link_of(static_cast<int>(i)) / asked[i]);
+    if (asked[i] > 0)
+      share[i] = std::min(1.0, link_of(static_cast<int>(i)) / asked[i]);
     rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks] += asked[i] * share[i];
   }
   for (std::size_t i = 0; i < boxes_.size() && day_.deployment.uplink_kb > 0; ++i) {
     const double of_rack = rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks];
-    if (of_rack > day_.deployment.uplink_kb) share[i] *= day_.deployment.uplink_kb / of_rack;
+    if (of_rack > day_.deployment.uplink_kb)
+      share[i] *= day_.deployment.uplink_kb / of_rack;
   }
   static const std::string blank(256 * 1024, 'v');
   std::vector<Link> whole;
   for (auto& [link, peer] : peers_) {
-    if (!peer.busy || !peer.head_sent || mute(peer.door)) continue;
+    if (!peer.busy || !peer.head_sent || mute(peer.door))
+      continue;
     peer.credit += peer.rate * share[peer.door] * passed;
     const auto bytes =
         static_cast<std::size_t>(std::min({peer.credit, peer.left, static_cast<double>(blank.size())}));
-    if (bytes > 0) actions.push_back(Send{link, blank.substr(0, bytes)});
+    if (bytes > 0)
+      actions.push_back(Send{link, blank.substr(0, bytes)});
     peer.credit -= static_cast<double>(bytes);
     peer.left -= static_cast<double>(bytes);
     if (auto& sessions = boxes_[peer.door].sessions; sessions.contains(peer.sid))
       sessions[peer.sid].seen = now_;
-    if (peer.left < 1) whole.push_back(link);
+    if (peer.left < 1)
+      whole.push_back(link);
   }
   for (const auto link : whole) {
     const auto found = peers_.find(link);
-    if (found == peers_.end()) continue;
+    if (found == peers_.end())
+      continue;
     found->second.busy = false;
     if (found->second.close_after) {
       actions.push_back(Close{link, true});
@@ -510,7 +558,8 @@
   if (const auto* trouble = ill_with(-1, Ill::list_late))
     lag += Span(static_cast<std::int64_t>(trouble->size * 1e6));
   state.visible_at = day_now() + lag;
-  if (!list_history_.empty()) state.visible_at = std::max(state.visible_at, list_history_.back().visible_at);
+  if (!list_history_.empty())
+    state.visible_at = std::max(state.visible_at, list_history_.back().visible_at);
   state.revision = static_cast<std::int64_t>(list_history_.size()) + 1;
   for (const auto& box : boxes_) {
     state.states.push_back(box.drained ? (box.up ? "draining" : "gone") : box.up ? "ready" : "gone");
@@ -525,14 +574,17 @@
     peer.busy = true;
     return;
   }
-  if (request.target != "/boxes") return answer(link, peer, 404, {}, "", actions);
+  if (request.target != "/boxes")
+    return answer(link, peer, 404, {}, "", actions);
   const ListState* seen = &list_history_.front();
   for (const auto& state : list_history_) {
-    if (state.visible_at <= day_now()) seen = &state;
+    if (state.visible_at <= day_now())
+      seen = &state;
   }
   const auto etag = "\"" + std::to_string(seen->revision) + "\"";
   const auto* known = http::find(request.fields, "If-None-Match");
-  if (known && *known == etag) return answer(link, peer, 304, {{"ETag", etag}}, "", actions);
+  if (known && *known == etag)
+    return answer(link, peer, 304, {{"ETag", etag}}, "", actions);
   nlohmann::json list{{"revision", seen->revision}, {"clock_ms", 10'000'000 + day_now().count() / 1000}};
   auto& boxes = list["boxes"] = nlohmann::json::array();
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
@@ -548,7 +600,8 @@
                      {"started_ms", 10'000'000 + seen->started[i].count() / 1000}});
     auto& before = told_[peer.via][terms.name];
     // One that asks without knowing anything may have just started: it is told everything anew.
-    if (std::exchange(before, seen->states[i]) == seen->states[i] && known) continue;
+    if (std::exchange(before, seen->states[i]) == seen->states[i] && known)
+      continue;
     trace::Passed record;
     record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
     record.set_kind(trace::Passed::TOLD);
@@ -564,7 +617,8 @@
 // ---- the catalogue's origin ----
 
 void Fleet::begin_catalogue() {
-  if (!day_.deployment.front.catalogued) return;
+  if (!day_.deployment.front.catalogued)
+    return;
   catalogue::KeeperTerms terms;
   terms.batches_kept = 32;  // short, so that a manager that was away meets a log that no longer reaches back
   catalogue_ = std::make_unique<catalogue::Keeper>(
@@ -579,7 +633,8 @@
       recording.renditions.push_back(
           {"r" + std::to_string(rung), rung, "avc1", site.rung_kb[rung], std::chrono::minutes(3)});
     for (std::size_t b = 0; b < boxes_.size(); ++b) {
-      if (!holds(day_, day_.boxes[b], title)) continue;
+      if (!holds(day_, day_.boxes[b], title))
+        continue;
       recording.locations.push_back({day_.boxes[b].name, catalogue::LocationState::here, 0});
       lies_on_[title].push_back(static_cast<int>(b));
     }
@@ -590,12 +645,15 @@
 }
 
 void Fleet::move_recordings(double passed, std::vector<Action>& actions) {
-  if (!catalogue_) return;
-  if (const auto* trouble = ill_with(-1, Ill::catalogue_moves)) moves_due_ += passed * trouble->size;
+  if (!catalogue_)
+    return;
+  if (const auto* trouble = ill_with(-1, Ill::catalogue_moves))
+    moves_due_ += passed * trouble->size;
   for (; moves_due_ >= 1; moves_due_ -= 1) {
     auto& [title, on] = *std::next(lies_on_.begin(), static_cast<long>(chance_() % lies_on_.size()));
     const int to = static_cast<int>(chance_() % boxes_.size());
-    if (on.size() < 2 || std::find(on.begin(), on.end(), to) != on.end()) continue;
+    if (on.size() < 2 || std::find(on.begin(), on.end(), to) != on.end())
+      continue;
     const auto from = chance_() % on.size();
     const std::vector<catalogue::Change> batch{
         catalogue::RemoveLocation{title, day_.boxes[on[from]].name},
@@ -606,11 +664,13 @@
   }
   std::vector<Link> waiting;
   for (const auto& [link, peer] : peers_) {
-    if (peer.feed_after) waiting.push_back(link);
+    if (peer.feed_after)
+      waiting.push_back(link);
   }
   for (const auto link : waiting) {
     auto& peer = peers_.at(link);
-    if (feed_now(link, peer, actions) || now_ < peer.feed_until) continue;
+    if (feed_now(link, peer, actions) || now_ < peer.feed_until)
+      continue;
     const auto reply = cataloguewire::empty_feed(catalogue_->present()->revision);
     peer.busy = false;
     peer.feed_after.reset();
@@ -619,7 +679,8 @@
 }
 
 void Fleet::put_listed(const Peer& peer, const std::string& title, const std::string& box, bool listed) {
-  if (peer.feed_lies) return;
+  if (peer.feed_lies)
+    return;
   trace::Passed record;
   record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
   record.set_kind(listed ? trace::Passed::LISTED : trace::Passed::UNLISTED);
@@ -638,7 +699,8 @@
     peers_.erase(link);
     return;
   }
-  if (how == 1) return answer(link, peer, 503, {}, "", actions);
+  if (how == 1)
+    return answer(link, peer, 503, {}, "", actions);
   peer.feed_lies = how == 4;
   const auto meaning = cataloguewire::read_request(request, *catalogue_);
   if (const auto* wait = std::get_if<cataloguewire::FeedWait>(&meaning)) {
@@ -646,7 +708,8 @@
     peer.feed_lies = false;
     peer.feed_until = now_ + wait->wait;
     peer.busy = true;
-    if (how == 2 && wait->after > 0) peer.feed_after = wait->after - 1;  // repeats
+    if (how == 2 && wait->after > 0)
+      peer.feed_after = wait->after - 1;  // repeats
     // Leaves one out: a manager must notice, and goes by nothing of it.
     if (how == 3 && catalogue_->present()->revision > wait->after + 1)
       ++*peer.feed_after, peer.feed_lies = true;
@@ -668,7 +731,8 @@
 
 bool Fleet::feed_now(Link link, Peer& peer, std::vector<Action>& actions) {
   const auto reply = cataloguewire::feed_reply(*catalogue_, *peer.feed_after);
-  if (!reply) return false;
+  if (!reply)
+    return false;
   if (const auto batches = catalogue_->after(*peer.feed_after, 256)) {
     for (const auto& [revision, changes] : *batches) {
       for (const auto& change : *changes) {
--- a/src/standins/hls_origin.cpp
+++ b/src/standins/hls_origin.cpp
@@ -70,9 +70,11 @@
   }
   made.names = HlsPath::Names::segment;
   const auto& name = media->object;
-  if (!name.starts_with("seg-") || !name.ends_with(".m4s")) return std::nullopt;
+  if (!name.starts_with("seg-") || !name.ends_with(".m4s"))
+    return std::nullopt;
   const auto [stop, error] = std::from_chars(name.data() + 4, name.data() + name.size(), made.segment);
-  if (error != std::errc{} || stop != name.data() + name.size() - 4) return std::nullopt;
+  if (error != std::errc{} || stop != name.data() + name.size() - 4)
+    return std::nullopt;
   return made;
 }
 
@@ -91,7 +93,8 @@
 bool lacks(std::int64_t segment) { return segment % gap_every == gap_at; }
 
 std::string lists_of(const Day& day, const HlsPath& path, const ListIlls& ills) {
-  if (ills.nonsense > 0) return nonsense(ills.nonsense);
+  if (ills.nonsense > 0)
+    return nonsense(ills.nonsense);
   const auto& site = day.deployment.front.site;
   std::string text =
       "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-INDEPENDENT-SEGMENTS\n"
@@ -107,7 +110,8 @@
 }
 
 std::string media_of(const Day& day, const HlsPath& path, Span day_now, const ListIlls& ills) {
-  if (ills.nonsense > 0) return nonsense(ills.nonsense);
+  if (ills.nonsense > 0)
+    return nonsense(ills.nonsense);
   const double length = std::chrono::duration<double>(day.deployment.front.object_length).count();
   char duration[32];
   std::snprintf(duration, sizeof duration, "#EXTINF:%.3f,\n", length);
@@ -125,7 +129,8 @@
   const auto missing = ills.gaps ? (from + gap_every - 1 - gap_at) / gap_every : 0;
   text += "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(from - missing) + "\n";
   for (auto i = from; i <= to; ++i) {
-    if (ills.gaps && lacks(i)) continue;
+    if (ills.gaps && lacks(i))
+      continue;
     text += "#EXT-X-PROGRAM-DATE-TIME:" +
             date_of(begins_ms + std::llround(static_cast<double>(i) * length * 1000)) + "\n" + duration +
             "seg-" + std::to_string(i) + ".m4s\n";
--- a/src/standins/hls_player.h
+++ b/src/standins/hls_player.h
@@ -34,7 +34,8 @@
   // The connection broke: what is asked next may be answered by another process.
   void broke() {
     parted_ = true;
-    for (auto& [target, media] : media_) media.items.clear();
+    for (auto& [target, media] : media_)
+      media.items.clear();
   }
   double segment_length() const { return length_; }
   int rung() const { return rung_; }
--- a/src/standins/issuer.cpp
+++ b/src/standins/issuer.cpp
@@ -61,7 +61,8 @@
 
 void Issuer::rotate(Algorithm algorithm) {
   keys_.push_back(make(name_ + "-" + std::to_string(++made_), algorithm));
-  if (keys_.size() > 2) keys_.erase(keys_.begin());
+  if (keys_.size() > 2)
+    keys_.erase(keys_.begin());
 }
 
 Issuer Issuer::made(std::string name, std::string audience, int keys) {
@@ -114,8 +115,10 @@
               {"exp", static_cast<double>(says.expires.count()) / 1e6}};
   if (says.not_before > entitlement::Span(0))
     claims["nbf"] = static_cast<double>(says.not_before.count()) / 1e6;
-  if (!says.plans.empty()) claims["plans"] = says.plans;
-  if (!says.titles.empty()) claims["recordings"] = says.titles;
+  if (!says.plans.empty())
+    claims["plans"] = says.plans;
+  if (!says.titles.empty())
+    claims["recordings"] = says.titles;
   return claims.dump();
 }
 
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -51,7 +51,8 @@
       sink_(std::move(sink)),
       chance_(day.seed + 3) {
   double sum = 0;
-  for (int i = 0; i < day_.viewers.titles; ++i) zipf_.push_back(sum += std::pow(i + 1, -day_.viewers.zipf));
+  for (int i = 0; i < day_.viewers.titles; ++i)
+    zipf_.push_back(sum += std::pow(i + 1, -day_.viewers.zipf));
 }
 
 double Viewers::draw() {
@@ -98,7 +99,8 @@
   std::visit(Visit{
                  [&](const Connected& c) {
                    auto* viewer = of_link(c.link);
-                   if (!viewer) return;
+                   if (!viewer)
+                     return;
                    viewer->connected = true;
                    actions.push_back(Send{c.link, viewer->request});
                  },
@@ -107,10 +109,12 @@
                      came_part(*viewer, viewer->reader.push(r.bytes), actions);
                  },
                  [&](const HalfClosed& h) {
-                   if (auto* viewer = of_link(h.link)) broke(*viewer, actions);
+                   if (auto* viewer = of_link(h.link))
+                     broke(*viewer, actions);
                  },
                  [&](const Ended& e) {
-                   if (auto* viewer = of_link(e.link)) broke(*viewer, actions, e.how == Ending::refused);
+                   if (auto* viewer = of_link(e.link))
+                     broke(*viewer, actions, e.how == Ending::refused);
                  },
                  [&](const StopAsked&) {
                    stopping_ = true;
@@ -129,7 +133,8 @@
       continue;
     }
     const auto found = viewers_.find(number);
-    if (found == viewers_.end()) continue;
+    if (found == viewers_.end())
+      continue;
     auto& viewer = found->second;
     if (bell == Bell::patience) {
       // Its time is up: nothing that comes now counts.
@@ -155,17 +160,20 @@
         ask(viewer, actions);
       }
     }
-    if (viewer.state == State::over) viewers_.erase(number);
+    if (viewer.state == State::over)
+      viewers_.erase(number);
   }
   std::erase_if(viewers_, [](const auto& entry) { return entry.second.state == State::over; });
-  if (const auto next = bells_.next()) actions.push_back(WakeAt{*next});
+  if (const auto next = bells_.next())
+    actions.push_back(WakeAt{*next});
 }
 
 void Viewers::arrive(std::vector<Action>& actions, bool crowd) {
   if (day_now() >= day_.length || stopping_) {
     // What still plays when the day is long over is left; what is being set up is waited for.
     Span over = day_.length;
-    for (const auto& plan : day_.deployment.front.plans) over = std::max(over, day_.length + plan.abandon);
+    for (const auto& plan : day_.deployment.front.plans)
+      over = std::max(over, day_.length + plan.abandon);
     for (auto& [number, viewer] : viewers_) {
       if (day_now() > over && viewer.state != State::over && viewer.state != State::asking)
         leave(viewer, actions, "the day is over");
@@ -188,12 +196,14 @@
     return;
   }
   bells_.arm(now_ + span_of(-std::log(1 - draw()) / rate), code);
-  if (day_now() < 0s) return;  // the day has not begun
+  if (day_now() < 0s)
+    return;  // the day has not begun
   Viewer viewer;
   viewer.number = next_viewer_++;
   const auto& terms = day_.viewers;
   double sum = 0;
-  for (const double share : terms.plan_shares) sum += share;
+  for (const double share : terms.plan_shares)
+    sum += share;
   double at = draw() * sum;
   while (viewer.plan + 1 < static_cast<int>(terms.plan_shares.size()) && at >= terms.plan_shares[viewer.plan])
     at -= terms.plan_shares[viewer.plan++];
@@ -204,7 +214,8 @@
   viewer.hall = static_cast<int>(draw() * static_cast<double>(day_.deployment.front.halls.size()));
   const auto& plan = day_.deployment.front.site.plans[viewer.plan];
   viewer.top = plan.top;
-  if (draw() < terms.small_screens) viewer.top = std::max(plan.floor, plan.top - 1);
+  if (draw() < terms.small_screens)
+    viewer.top = std::max(plan.floor, plan.top - 1);
   viewer.watch = viewer.left_to_watch =
       terms.least_watch + span_of(draw() * seconds(terms.most_watch - terms.least_watch));
   const double kind = draw();
@@ -214,7 +225,8 @@
                 static_cast<unsigned>(chance_()));
   viewer.sid = sid;
   viewer.came = now_;
-  if (terms.hls > 0 && draw() < terms.hls) viewer.hls = std::make_unique<HlsPlayer>("", 0);
+  if (terms.hls > 0 && draw() < terms.hls)
+    viewer.hls = std::make_unique<HlsPlayer>("", 0);
   begin_hls(viewer);
   auto& kept = viewers_.emplace(viewer.number, std::move(viewer)).first->second;
   ask(kept, actions);
@@ -237,22 +249,27 @@
   if (!viewer.first) {
     said.buffer_length = static_cast<std::int64_t>(viewer.buffer_s * 10) * 100;
     said.buffer_starved = std::exchange(viewer.starved, false);
-    if (viewer.throughput > 0) said.measured_throughput = std::llround(viewer.throughput * 8 / 100) * 100;
+    if (viewer.throughput > 0)
+      said.measured_throughput = std::llround(viewer.throughput * 8 / 100) * 100;
   }
   auto target = viewer.hls ? viewer.hls_ask.target : manager::path_text(front, path, viewer.top);
   if (viewer.hls) {
     said.format = hints::StreamingFormat::hls;
-    if (viewer.hls_ask.kind != HlsPlayer::Ask::Kind::segment) said.object_type = hints::ObjectType::manifest;
-    if (viewer.number % 3 == 0) fields.emplace_back("Accept-Encoding", "gzip");
+    if (viewer.hls_ask.kind != HlsPlayer::Ask::Kind::segment)
+      said.object_type = hints::ObjectType::manifest;
+    if (viewer.number % 3 == 0)
+      fields.emplace_back("Accept-Encoding", "gzip");
   }
   std::string more;
   if (viewer.hints == 0 && viewer.number % 2 == 0)
     target += "?CMCD=" + hints::cmcd_query(said);
   else if (viewer.hints == 0)
-    for (auto& field : hints::cmcd_headers(said)) fields.push_back(std::move(field));
+    for (auto& field : hints::cmcd_headers(said))
+      fields.push_back(std::move(field));
   else if (viewer.hints == 2)
     more = malformed_hints(viewer.number, viewer.sid);
-  if (issuer_) show_token(viewer, fields);
+  if (issuer_)
+    show_token(viewer, fields);
   viewer.request = http::request_text("GET", target, fields);
   viewer.request.insert(viewer.request.size() - 2, more);
 }
@@ -271,8 +288,10 @@
                       Span(0),
                       {},
                       {}};
-    if (viewer.tokens == 1) viewer.bad_token = draw() < day_.issuer.bad;
-    if (viewer.bad_token && viewer.number % 2 == 0) says.expires = now - std::chrono::hours(1);
+    if (viewer.tokens == 1)
+      viewer.bad_token = draw() < day_.issuer.bad;
+    if (viewer.bad_token && viewer.number % 2 == 0)
+      says.expires = now - std::chrono::hours(1);
     viewer.token = viewer.bad_token && viewer.number % 2 == 1 ? issuer_->forged(says) : issuer_->token(says);
     viewer.token_at = now_;
   }
@@ -295,10 +314,12 @@
   if (viewer.first && !viewer.link) {
     std::vector<int> own;
     for (int i = 0; i < static_cast<int>(doors_.size()); ++i) {
-      if (doors_[i].hall == viewer.hall) own.push_back(i);
+      if (doors_[i].hall == viewer.hall)
+        own.push_back(i);
     }
     if (own.empty()) {
-      for (int i = 0; i < static_cast<int>(doors_.size()); ++i) own.push_back(i);
+      for (int i = 0; i < static_cast<int>(doors_.size()); ++i)
+        own.push_back(i);
     }
     viewer.door = own[static_cast<std::size_t>(draw() * static_cast<double>(own.size()))];
   }
@@ -317,7 +338,8 @@
     by_link_[viewer.link] = viewer.number;
     actions.push_back(Dial{viewer.link, "127.0.0.1", doors_[viewer.door].port});
   }
-  if (viewer.first) put(trace::Passed::ASKED, viewer);
+  if (viewer.first)
+    put(trace::Passed::ASKED, viewer);
   const Span patience = day_.deployment.front.plans[viewer.plan].abandon;
   arm(viewer, viewer.first ? patience : 3 * patience, Bell::patience);
 }
@@ -360,15 +382,21 @@
   viewer.bytes += part.body.size();
   if (viewer.hls && (viewer.hls_ask.kind != HlsPlayer::Ask::Kind::segment || viewer.body.size() < most_stamp))
     viewer.body += part.body;
-  if (!part.done) return;
+  if (!part.done)
+    return;
   viewer.breaks = 0;
-  if (viewer.hls && viewer.status == 200) return hls_whole(viewer, actions);
-  if (viewer.hls && !viewer.first && hls_refused(viewer, actions)) return;
-  if (viewer.status == 200 || viewer.status == 206) return object_whole(viewer, actions);
+  if (viewer.hls && viewer.status == 200)
+    return hls_whole(viewer, actions);
+  if (viewer.hls && !viewer.first && hls_refused(viewer, actions))
+    return;
+  if (viewer.status == 200 || viewer.status == 206)
+    return object_whole(viewer, actions);
   const bool was_first = viewer.first;
-  if (!was_first) put(trace::Passed::OBJECT, viewer, viewer.status);
+  if (!was_first)
+    put(trace::Passed::OBJECT, viewer, viewer.status);
   const bool comes_again = (viewer.status == 503 || !was_first) && draw() < day_.viewers.returns;
-  if (!comes_again) return leave(viewer, actions, "turned away");
+  if (!comes_again)
+    return leave(viewer, actions, "turned away");
   rest(viewer,
        viewer.retry_after > 0 ? span_of(viewer.retry_after * (1 + 0.5 * draw())) : day_.viewers.rejoin,
        actions);
@@ -377,8 +405,10 @@
 void Viewers::drain_buffer(Viewer& viewer) {
   const double passed = seconds(now_ - viewer.buffer_at);
   viewer.buffer_at = now_;
-  if (!viewer.ever_played || viewer.first) return;
-  if (viewer.buffer_s < passed && viewer.state == State::fetching) viewer.starved = true;
+  if (!viewer.ever_played || viewer.first)
+    return;
+  if (viewer.buffer_s < passed && viewer.state == State::fetching)
+    viewer.starved = true;
   viewer.buffer_s = std::max(0.0, viewer.buffer_s - passed);
 }
 
@@ -393,7 +423,8 @@
   viewer.left_to_watch -= day_.deployment.front.object_length;
   ++viewer.object;
   put(trace::Passed::OBJECT, viewer, viewer.status);
-  if (viewer.left_to_watch <= 0s) return leave(viewer, actions, "seen");
+  if (viewer.left_to_watch <= 0s)
+    return leave(viewer, actions, "seen");
   const double room = (most_buffer_objects - 1) * length - viewer.buffer_s;
   viewer.state = State::idle;
   arm(viewer, room >= 0 ? 1ms : span_of(-room), Bell::next_object);
@@ -402,7 +433,8 @@
 // ---- HLS ----
 
 void Viewers::begin_hls(Viewer& viewer) {
-  if (!viewer.hls) return;
+  if (!viewer.hls)
+    return;
   const auto& front = day_.deployment.front;
   const auto& plan = front.site.plans[viewer.plan];
   const auto lists = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
@@ -414,7 +446,8 @@
 }
 
 void Viewers::tell_wrongs(Viewer& viewer) {
-  for (const auto& what : viewer.hls->take_wrongs()) put(trace::Passed::UNSTEADY, viewer, 0, what);
+  for (const auto& what : viewer.hls->take_wrongs())
+    put(trace::Passed::UNSTEADY, viewer, 0, what);
 }
 
 void Viewers::next_hls(Viewer& viewer, std::vector<Action>& actions) {
@@ -422,7 +455,8 @@
   const double room = (most_buffer_objects - 1) * viewer.hls->segment_length();
   const auto next = viewer.hls->next(seconds(now_), viewer.buffer_s, room);
   tell_wrongs(viewer);
-  if (std::holds_alternative<std::monostate>(next)) return leave(viewer, actions, "played to its end");
+  if (std::holds_alternative<std::monostate>(next))
+    return leave(viewer, actions, "played to its end");
   if (const auto* wait = std::get_if<double>(&next)) {
     viewer.state = State::idle;
     return arm(viewer, std::max(Span(1ms), span_of(*wait)), Bell::next_object);
@@ -436,7 +470,8 @@
   viewer.first = false;
   viewer.ever_played = true;
   auto body = viewer.body;
-  if (viewer.packed) body = gzip::unpacked(body, 64 << 20).value_or("");
+  if (viewer.packed)
+    body = gzip::unpacked(body, 64 << 20).value_or("");
   const bool segment = viewer.hls->took(seconds(now_), viewer.hls_ask, body);
   tell_wrongs(viewer);
   if (segment) {
@@ -448,7 +483,8 @@
     viewer.rung = viewer.hls->rung();
     ++viewer.object;
     put(trace::Passed::OBJECT, viewer, viewer.status);
-    if (viewer.left_to_watch <= 0s) return leave(viewer, actions, "seen");
+    if (viewer.left_to_watch <= 0s)
+      return leave(viewer, actions, "seen");
   }
   viewer.state = State::idle;
   arm(viewer, 1ms, Bell::next_object);
@@ -460,7 +496,8 @@
   const auto pause = viewer.retry_after > 0 ? span_of(viewer.retry_after * (1 + 0.5 * draw()))
                                             : span_of(seconds(day_.viewers.rejoin) * 0.25);
   if (viewer.status == 404 || viewer.status == 503) {
-    if (viewer.status == 404) viewer.hls->refused(viewer.hls_ask);
+    if (viewer.status == 404)
+      viewer.hls->refused(viewer.hls_ask);
     viewer.goes_on = true;
     rest(viewer, pause, actions);
     return true;
@@ -474,20 +511,23 @@
 void Viewers::broke(Viewer& viewer, std::vector<Action>& actions, bool refused) {
   const bool under_way = viewer.state == State::asking || viewer.state == State::fetching;
   const bool unanswered = viewer.state == State::asking && !viewer.answered;
-  if (unanswered) put(trace::Passed::ANSWERED, viewer, 0, refused ? "refused" : "");
+  if (unanswered)
+    put(trace::Passed::ANSWERED, viewer, 0, refused ? "refused" : "");
   hang(viewer, actions);
   if (viewer.hls && !viewer.first) {
     // Its addresses are good for longer than a connection.
     viewer.hls->broke();
     viewer.goes_on = ++viewer.breaks < most_breaks;
-    if (viewer.state == State::idle) return;
+    if (viewer.state == State::idle)
+      return;
     return rest(viewer, span_of(seconds(day_.viewers.rejoin) * (0.25 + 0.5 * draw())), actions);
   }
   if (!under_way) {  // between objects: the next one is asked on a new connection, as a playback anew
     viewer.first = true;
     return;
   }
-  if (!unanswered && viewer.state == State::asking) put(trace::Passed::LEFT, viewer, 0, "cut");
+  if (!unanswered && viewer.state == State::asking)
+    put(trace::Passed::LEFT, viewer, 0, "cut");
   if (draw() >= day_.viewers.returns) {
     viewer.state = State::over;
     bells_.disarm(viewer.timer);
@@ -497,7 +537,8 @@
 }
 
 void Viewers::rest(Viewer& viewer, Span pause, std::vector<Action>& actions) {
-  if (viewer.link) hang(viewer, actions);
+  if (viewer.link)
+    hang(viewer, actions);
   if (now_ + pause >= viewer.came + viewer.watch || day_now() >= day_.length) {
     viewer.state = State::over;
     bells_.disarm(viewer.timer);
@@ -515,7 +556,8 @@
 }
 
 void Viewers::hang(Viewer& viewer, std::vector<Action>& actions) {
-  if (!viewer.link) return;
+  if (!viewer.link)
+    return;
   actions.push_back(Close{viewer.link, false});
   by_link_.erase(viewer.link);
   viewer.link = 0;
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -19,7 +19,8 @@
 using File = std::unique_ptr<std::FILE, CloseFile>;
 File opened(const std::string& path, const char* mode) {
   File file(std::fopen(path.c_str(), mode));
-  if (!file) throw Failed{path + ": " + std::strerror(errno)};
+  if (!file)
+    throw Failed{path + ": " + std::strerror(errno)};
   return file;
 }
 }  // namespace
@@ -41,9 +42,11 @@
     while (left > 0 || in.pos < in.size) {
       ZSTD_outBuffer out{space, sizeof space, 0};
       left = ZSTD_compressStream2(context_.get(), &out, &in, how);
-      if (ZSTD_isError(left)) break;
+      if (ZSTD_isError(left))
+        break;
       std::fwrite(space, 1, out.pos, file_.get());
-      if (how == ZSTD_e_continue && in.pos == in.size) break;
+      if (how == ZSTD_e_continue && in.pos == in.size)
+        break;
     }
     pending_.clear();
     std::fflush(file_.get());
@@ -60,7 +63,8 @@
 Writer::~Writer() = default;
 void Writer::put(const Passed& record) {
   stream_->put(record);
-  if (stream_->full()) stream_->compress(ZSTD_e_continue);
+  if (stream_->full())
+    stream_->compress(ZSTD_e_continue);
 }
 void Writer::flush() { stream_->compress(ZSTD_e_flush); }
 
@@ -76,7 +80,8 @@
     while (in.pos < in.size) {
       ZSTD_outBuffer out{space.data(), space.size(), 0};
       left = ZSTD_decompressStream(context.get(), &out, &in);
-      if (ZSTD_isError(left)) throw Failed{path + ": " + ZSTD_getErrorName(left)};
+      if (ZSTD_isError(left))
+        throw Failed{path + ": " + ZSTD_getErrorName(left)};
       plain.append(space.data(), out.pos);
     }
   }
--- a/src/wheel/wheel.h
+++ b/src/wheel/wheel.h
@@ -36,9 +36,11 @@
 
   // False if it has rung or was disarmed before.
   bool disarm(Handle handle) {
-    if (handle.place >= timers_.size()) return false;
+    if (handle.place >= timers_.size())
+      return false;
     auto& timer = timers_[handle.place];
-    if (!timer.armed || timer.generation != handle.generation) return false;
+    if (!timer.armed || timer.generation != handle.generation)
+      return false;
     unlink(handle.place);
     release(handle.place);
     return true;
@@ -64,7 +66,8 @@
 
   // No timer rings before this; the wheel may name a time at which it only sorts timers further in.
   std::optional<Span> next() const {
-    if (armed_ == 0) return std::nullopt;
+    if (armed_ == 0)
+      return std::nullopt;
     return Span(static_cast<std::int64_t>(next_busy_tick(~std::uint64_t{0})) * tick_us);
   }
   std::size_t armed() const { return armed_; }
@@ -139,7 +142,8 @@
     auto& in = rings_[timer.ring];
     (timer.before == none ? in.head[timer.slot] : timers_[timer.before].after) = timer.after;
     (timer.after == none ? in.tail[timer.slot] : timers_[timer.after].before) = timer.before;
-    if (in.head[timer.slot] == none) in.busy &= ~(std::uint64_t{1} << timer.slot);
+    if (in.head[timer.slot] == none)
+      in.busy &= ~(std::uint64_t{1} << timer.slot);
   }
 
   // The next tick at which some slot comes up, `until` at most.
@@ -148,7 +152,8 @@
     for (unsigned ring = 0; ring < rings; ++ring) {
       const auto digit = (now_ >> (ring * bits)) % slots;
       const auto later = digit + 1 < slots ? rings_[ring].busy >> (digit + 1) << (digit + 1) : 0;
-      if (later == 0) continue;
+      if (later == 0)
+        continue;
       const auto slot = static_cast<std::uint64_t>(std::countr_zero(later));
       const auto above = now_ >> ((ring + 1) * bits) << ((ring + 1) * bits);
       next = std::min(next, above | (slot << (ring * bits)));
@@ -159,7 +164,8 @@
   // Sorts the timers of the outer slots that the wheel has just turned to further in.
   void cascade() {
     for (unsigned ring = rings - 1; ring > 0; --ring) {
-      if (now_ % (std::uint64_t{1} << (ring * bits)) != 0) continue;
+      if (now_ % (std::uint64_t{1} << (ring * bits)) != 0)
+        continue;
       auto& slot = rings_[ring].head[(now_ >> (ring * bits)) % slots];
       while (slot != none) {
         const auto place = slot;
--- a/tests/fuzz/playlist_fuzz.cpp
+++ b/tests/fuzz/playlist_fuzz.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 void must(bool held) {
-  if (!held) std::abort();
+  if (!held)
+    std::abort();
 }
 
 std::shared_ptr<const Media> media_of(const std::string& text, const Media* before) {
@@ -41,8 +42,10 @@
   WriteTerms terms;
   terms.address = [](const Piece&, std::string_view uri, Tag) -> Address {
     const auto made = resolve("/p/t/r1/index.m3u8", uri);
-    if (std::holds_alternative<Unreadable>(made)) return NoAddress{"unreadable"};
-    if (const auto* target = std::get_if<Target>(&made)) return target->text;
+    if (std::holds_alternative<Unreadable>(made))
+      return NoAddress{"unreadable"};
+    if (const auto* target = std::get_if<Target>(&made))
+      return target->text;
     return {};
   };
   if (one) {
@@ -57,7 +60,8 @@
       if (cut.pieces[0].count > 0) {
         terms.moved = [](const Piece&) { return true; };
         const auto made = write_window(cut, terms);
-        if (const auto* text = std::get_if<std::string>(&made)) must(text->starts_with("#EXTM3U"));
+        if (const auto* text = std::get_if<std::string>(&made))
+          must(text->starts_with("#EXTM3U"));
         terms.moved = {};
         terms.delta = true;
         write_window(whole(one), terms);
@@ -77,7 +81,8 @@
              a.gap == b.gap && plain->states[a.state] == read_on->states[b.state]);
       }
       Continuity course;
-      if (one) course.take(Span(0), {one, 1, 0});
+      if (one)
+        course.take(Span(0), {one, 1, 0});
       const auto before = course.window().media_sequence + course.window().size();
       course.take(Span(1), {read_on, 2, 1});
       if (!course.window().pieces.empty()) {
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -69,8 +69,10 @@
   void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
     std::vector<Action> made;
     inner_.handle(now, what, made);
-    if (tamper_) tamper_(made);
-    for (auto& act : made) actions.push_back(std::move(act));
+    if (tamper_)
+      tamper_(made);
+    for (auto& act : made)
+      actions.push_back(std::move(act));
   }
 
  private:
@@ -97,7 +99,8 @@
   const auto sink = [&](const trace::Passed& record) { played.records.push_back(record); };
   const int boxes = static_cast<int>(day.boxes.size());
   std::vector<std::uint16_t> ports;
-  for (int i = 0; i <= boxes; ++i) ports.push_back(Net::port(0, i));
+  for (int i = 0; i <= boxes; ++i)
+    ports.push_back(Net::port(0, i));
   standins::Fleet fleet(day, ports, Span(0), sink);
   net.add(fleet, boxes + 1);
   std::deque<std::unique_ptr<manager::Manager>> managers;
@@ -129,12 +132,15 @@
   const std::function<void(int)> restart = [&](int i) {
     net.replace(hosts[i], make(i, net.stored(hosts[i], "boxes.json").value_or("")));
   };
-  if (deeds) deeds(net, hosts, restart, played.records);
-  for (int second = 1; second < 200 && !net.left(audience); ++second) net.run(day.length + second * 1s);
+  if (deeds)
+    deeds(net, hosts, restart, played.records);
+  for (int second = 1; second < 200 && !net.left(audience); ++second)
+    net.run(day.length + second * 1s);
   EXPECT_TRUE(net.left(audience)) << "the viewers did not end";
   net.run(net.now() + 20s);  // for every silence to be over
   for (const auto& manager : managers) {
-    if (manager == managers.back() || !deeds) played.held += manager->held().playbacks;
+    if (manager == managers.back() || !deeds)
+      played.held += manager->held().playbacks;
   }
   played.verdict = audit::check(day, played.records);
   return played;
@@ -154,7 +160,8 @@
   EXPECT_TRUE(played.verdict.kept()) << audit::table(played.verdict);
   EXPECT_GT(played.verdict.asks, 80u);
   double earned = 0, offered = 0;
-  for (const auto& plan : played.verdict.plans) earned += plan.earned, offered += plan.offered;
+  for (const auto& plan : played.verdict.plans)
+    earned += plan.earned, offered += plan.offered;
   EXPECT_GT(earned, 0.6 * offered) << audit::table(played.verdict);
   EXPECT_EQ(played.held, 0u) << "playbacks are left over";
 }
@@ -217,7 +224,8 @@
   const auto played = play(day_of(text));
   EXPECT_TRUE(played.verdict.kept()) << audit::table(played.verdict);
   std::size_t answered = 0;
-  for (const auto& plan : played.verdict.plans) answered += plan.plays + plan.rejected + plan.aborted;
+  for (const auto& plan : played.verdict.plans)
+    answered += plan.plays + plan.rejected + plan.aborted;
   EXPECT_GT(answered, 60u);
 }
 
@@ -229,9 +237,11 @@
   const auto share_there = [](const PlayedDay& played) {
     double there = 0, all = 0;
     for (const auto& record : played.records) {
-      if (record.kind() != trace::Passed::SET_UP) continue;
+      if (record.kind() != trace::Passed::SET_UP)
+        continue;
       ++all;
-      if (record.box() == "box-0" || record.box() == "box-1") ++there;
+      if (record.box() == "box-0" || record.box() == "box-1")
+        ++there;
     }
     return there / all;
   };
@@ -262,7 +272,8 @@
     for (const auto& act : actions) {
       doubled.push_back(act);
       const auto* send = std::get_if<Send>(&act);
-      if (!send || send->link < first_accepted) continue;
+      if (!send || send->link < first_accepted)
+        continue;
       if (send->bytes.starts_with("HTTP/1.1 200"))
         ++heads[send->link];
       else if (heads[send->link] == 1 && send->link % 5 == 0)
@@ -276,7 +287,8 @@
 TEST(Planted, APaidPlaybackSentAgainIsRule2) {
   std::map<PlaybackId, int> plan_of;
   const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
-    if (const auto* request = std::get_if<Request>(&event)) plan_of[request->playback] = request->plan;
+    if (const auto* request = std::get_if<Request>(&event))
+      plan_of[request->playback] = request->plan;
     for (auto& order : orders) {
       const auto* ended = std::get_if<TryEnded>(&event);
       const auto* aborted = std::get_if<Abort>(&order);
@@ -309,7 +321,8 @@
   const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
     if (const auto* list = std::get_if<ServerList>(&event)) {
       for (const auto& entry : list->entries) {
-        if (entry.standing == Standing::draining) draining.insert(entry.server);
+        if (entry.standing == Standing::draining)
+          draining.insert(entry.server);
       }
     }
     for (auto& order : orders) {
@@ -346,9 +359,11 @@
   const auto played = play(day_of(calm), {}, [&](std::vector<Action>& actions) {
     for (auto& act : actions) {
       auto* send = std::get_if<Send>(&act);
-      if (!send || !send->bytes.starts_with("GET /plain/")) continue;
+      if (!send || !send->bytes.starts_with("GET /plain/"))
+        continue;
       const auto rung = send->bytes.rfind("/r", send->bytes.find(".m4s"));
-      if (++seen % 30 == 0) send->bytes[rung + 2] = '0';
+      if (++seen % 30 == 0)
+        send->bytes[rung + 2] = '0';
     }
   });
   EXPECT_GT(played.broken(5), 0) << audit::table(played.verdict);
@@ -374,7 +389,8 @@
   std::map<PlaybackId, int> tries;
   const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
     const auto* ended = std::get_if<TryEnded>(&event);
-    if (!ended || ended->over || ++tries[ended->playback] > 12) return orders;
+    if (!ended || ended->over || ++tries[ended->playback] > 12)
+      return orders;
     std::erase_if(orders, [&](const Order& order) {
       const auto* rejected = std::get_if<Reject>(&order);
       const auto* set_up = std::get_if<violettide::SetUp>(&order);
@@ -454,7 +470,8 @@
       record.set_at_us(static_cast<std::uint64_t>(i));
       record.set_sid("s" + std::to_string(i * 7919));
       writer.put(record);
-      if (i == 500) writer.flush();
+      if (i == 500)
+        writer.flush();
     }
   }
   auto whole = trace::read(path);
--- a/tests/program/brain_memory_test.cpp
+++ b/tests/program/brain_memory_test.cpp
@@ -13,13 +13,15 @@
 
 void* operator new(std::size_t size) {
   auto* block = static_cast<char*>(std::malloc(size + head));
-  if (!block) throw std::bad_alloc();
+  if (!block)
+    throw std::bad_alloc();
   *reinterpret_cast<std::size_t*>(block) = size;
   in_use += size;
   return block + head;
 }
 void operator delete(void* at) noexcept {
-  if (!at) return;
+  if (!at)
+    return;
   auto* block = static_cast<char*>(at) - head;
   in_use -= *reinterpret_cast<std::size_t*>(block);
   std::free(block);
@@ -79,11 +81,13 @@
   site.link_kb_per_weight = 120;
   Brain brain(site, 1);
   ServerList list;
-  for (ServerId id = 0; id < 50; ++id) list.entries.push_back({id, Standing::ready, 1, 0, 0, {}, 1});
+  for (ServerId id = 0; id < 50; ++id)
+    list.entries.push_back({id, Standing::ready, 1, 0, 0, {}, 1});
   brain.handle(0s, list);
   // All of the large kind are gone; the small ones that stay are of the mean kind now, and have its link.
   list.entries.clear();
-  for (ServerId id = 50; id < 52; ++id) list.entries.push_back({id, Standing::ready, 0, 0, 0, {}, 1});
+  for (ServerId id = 50; id < 52; ++id)
+    list.entries.push_back({id, Standing::ready, 0, 0, 0, {}, 1});
   brain.handle(1s, list);
   Request request;
   request.abandon_at = 6s;
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -25,7 +25,8 @@
 
 Recording recording(const std::string& title, std::vector<std::string> boxes) {
   Recording made{title, {{"hi", 1, "avc1", 40, 90s}, {"lo", 0, "avc1", 10, 90s}}, {}};
-  for (auto& box : boxes) made.locations.push_back({std::move(box), LocationState::here, 5});
+  for (auto& box : boxes)
+    made.locations.push_back({std::move(box), LocationState::here, 5});
   return made;
 }
 
@@ -35,7 +36,8 @@
 }
 
 const Applied& ok(const std::variant<Applied, Bad>& result) {
-  if (const auto* bad = std::get_if<Bad>(&result)) ADD_FAILURE() << bad->field << ": " << bad->cause;
+  if (const auto* bad = std::get_if<Bad>(&result))
+    ADD_FAILURE() << bad->field << ": " << bad->cause;
   return std::get<Applied>(result);
 }
 
@@ -120,7 +122,8 @@
       }
       writer.commit(ok(writer.apply(batch)));
       plain = std::move(after);
-      if (step % 10 == 0) held.emplace_back(writer.present(), plain);
+      if (step % 10 == 0)
+        held.emplace_back(writer.present(), plain);
     }
     held.emplace_back(writer.present(), plain);
     for (const auto& [snapshot, expected] : held) {
@@ -141,7 +144,8 @@
 std::vector<Kind> of(const std::vector<KeeperAct>& actions) {
   std::vector<Kind> all;
   for (const auto& act : actions) {
-    if (const auto* kind = std::get_if<Kind>(&act)) all.push_back(*kind);
+    if (const auto* kind = std::get_if<Kind>(&act))
+      all.push_back(*kind);
   }
   return all;
 }
@@ -186,7 +190,8 @@
   keeper.handle(Asked{1, std::nullopt, false, many(40)});
   keeper.handle(Kept{1, std::nullopt});
   std::vector<Change> removal;
-  for (int i = 0; i < 20; ++i) removal.push_back(RemoveRecording{"t" + std::to_string(i)});
+  for (int i = 0; i < 20; ++i)
+    removal.push_back(RemoveRecording{"t" + std::to_string(i)});
   auto actions = keeper.handle(Asked{2, std::nullopt, false, removal});
   EXPECT_EQ(of<Answer>(actions)[0].how, Answered::held);
   EXPECT_TRUE(keeper.present()->find("t0"));
@@ -196,7 +201,8 @@
   EXPECT_FALSE(keeper.present()->find("t0"));
   // A feed can't be asked: it confirms by saying the same again.
   std::vector<Change> rest;
-  for (int i = 20; i < 40; ++i) rest.push_back(RemoveRecording{"t" + std::to_string(i)});
+  for (int i = 20; i < 40; ++i)
+    rest.push_back(RemoveRecording{"t" + std::to_string(i)});
   actions = keeper.handle(Fed{3, {rest}});
   EXPECT_TRUE(of<ToKeep>(actions).empty());
   ASSERT_EQ(of<AskFeed>(actions).size(), 1u);
@@ -210,7 +216,8 @@
   keeper.handle(Asked{1, std::nullopt, false, many(40)});
   keeper.handle(Kept{1, std::nullopt});
   FedWhole moved{5, {}};
-  for (int i = 0; i < 40; ++i) moved.recordings.push_back(recording("t" + std::to_string(i), {"b2", "b3"}));
+  for (int i = 0; i < 40; ++i)
+    moved.recordings.push_back(recording("t" + std::to_string(i), {"b2", "b3"}));
   EXPECT_EQ(of<ToKeep>(keeper.handle(moved)).size(), 1u);
 }
 
@@ -263,8 +270,10 @@
     bool whole = false;
     const auto heed = [&](const std::vector<KeeperAct>& actions) {
       for (const auto& act : actions) {
-        if (const auto* keep = std::get_if<ToKeep>(&act)) keeping = keep->revision;
-        if (const auto* feed = std::get_if<AskFeed>(&act)) whole = whole || feed->whole;
+        if (const auto* keep = std::get_if<ToKeep>(&act))
+          keeping = keep->revision;
+        if (const auto* feed = std::get_if<AskFeed>(&act))
+          whole = whole || feed->whole;
       }
     };
     std::vector<KeeperEvent> way;  // answers on their way
@@ -273,7 +282,8 @@
       if (step < 40 && chance() % 2 == 0) {
         const auto title = "t" + std::to_string(chance() % 6);
         Change change = PutRecording{recording(title, {"b" + std::to_string(chance() % 4)})};
-        if (origin.present()->find(title) && chance() % 3 == 0) change = RemoveRecording{title};
+        if (origin.present()->find(title) && chance() % 3 == 0)
+          change = RemoveRecording{title};
         origin.handle(Asked{1, std::nullopt, true, {change}});
         origin.handle(Kept{origin.present()->revision + 1, std::nullopt});
       }
@@ -281,7 +291,8 @@
         const auto batches = origin.after(follower.present()->revision, 2);
         if (batches && !whole) {
           Fed fed{follower.present()->revision + 1, {}};
-          for (const auto& [revision, changes] : *batches) fed.batches.push_back(*changes);
+          for (const auto& [revision, changes] : *batches)
+            fed.batches.push_back(*changes);
           way.emplace_back(fed);
         } else {
           FedWhole all{origin.present()->revision, {}};
@@ -295,9 +306,12 @@
       if (!way.empty() && chance() % 2 == 0) {
         const auto at = chance() % way.size();  // late, doubled or lost
         const auto event = way[at];
-        if (chance() % 3 != 0) way.erase(way.begin() + static_cast<long>(at));
-        if (chance() % 5 != 0) heed(follower.handle(event));
-        if (way.size() > 6) way.clear();
+        if (chance() % 3 != 0)
+          way.erase(way.begin() + static_cast<long>(at));
+        if (chance() % 5 != 0)
+          heed(follower.handle(event));
+        if (way.size() > 6)
+          way.clear();
       }
       if (keeping && chance() % 2 == 0) {
         const auto revision = *std::exchange(keeping, std::nullopt);
@@ -397,8 +411,10 @@
       Keeper keeper({}, numbered(), 2);
       store.restore_to(keeper);
       for (int i = 1; i < 10000; ++i) {
-        if (!store.keep(static_cast<Revision>(i), batch(i), false).empty()) _exit(1);
-        if (write(answers[1], &i, sizeof i) != sizeof i) _exit(1);
+        if (!store.keep(static_cast<Revision>(i), batch(i), false).empty())
+          _exit(1);
+        if (write(answers[1], &i, sizeof i) != sizeof i)
+          _exit(1);
       }
       _exit(0);
     }
@@ -409,7 +425,8 @@
       ASSERT_EQ(read(answers[0], &last, sizeof last), static_cast<ssize_t>(sizeof last));
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
-    for (int more; read(answers[0], &more, sizeof more) == static_cast<ssize_t>(sizeof more);) last = more;
+    for (int more; read(answers[0], &more, sizeof more) == static_cast<ssize_t>(sizeof more);)
+      last = more;
     close(answers[0]);
     cataloguestore::Store store(own);
     Keeper keeper({}, numbered(), 2);
@@ -426,7 +443,8 @@
     cataloguestore::Store store(folder);
     Keeper keeper({}, numbered(), 2);
     store.restore_to(keeper);
-    for (int i = 1; i <= 20; ++i) ASSERT_EQ(store.keep(static_cast<Revision>(i), batch(i), false), "");
+    for (int i = 1; i <= 20; ++i)
+      ASSERT_EQ(store.keep(static_cast<Revision>(i), batch(i), false), "");
   }
   // One letter of the tenth batch flips on the disk.
   std::fstream file(folder + "/catalogue.db", std::ios::in | std::ios::out | std::ios::binary);
@@ -527,7 +545,8 @@
       boxes[b].on_bytes = [this, b](Puppet& box, Link link, std::vector<Action>& actions) {
         auto& got = box.peers[link].got;
         const auto end = got.find("\r\n\r\n");
-        if (end == std::string::npos) return;
+        if (end == std::string::npos)
+          return;
         const auto title = got.substr(7, got.find('/', 7) - 7);
         if (got.find("su") != std::string::npos) {
           ++set_ups;
@@ -576,12 +595,14 @@
     operators.next.push_back(Send{link, method + " " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                                             std::to_string(body.size()) + "\r\n\r\n" + body});
     net.poke(operator_host);
-    for (int i = 0; i < 1000 && operators.peers[link].got.empty(); ++i) net.run(net.now() + 50us);
+    for (int i = 0; i < 1000 && operators.peers[link].got.empty(); ++i)
+      net.run(net.now() + 50us);
     return operators.peers[link].got;
   }
   void put(const std::string& title, std::vector<int> where) {
     std::vector<std::string> names;
-    for (const int b : where) names.push_back("b" + std::to_string(b)), unlisted_at[title].erase(b);
+    for (const int b : where)
+      names.push_back("b" + std::to_string(b)), unlisted_at[title].erase(b);
     const auto answer =
         change("PUT", "/catalogue/recordings/" + title, cataloguewire::text_of(recording(title, names)));
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
@@ -631,7 +652,8 @@
   amid.net.run(amid.net.now() + 400ms);
   EXPECT_TRUE(amid.viewer.peers[link].got.starts_with("HTTP/1.1 200")) << amid.viewer.peers[link].got;
   std::size_t taken_back = 0;
-  for (const auto& [host, said] : amid.net.said) taken_back += said.event == "try_taken_back";
+  for (const auto& [host, said] : amid.net.said)
+    taken_back += said.event == "try_taken_back";
   EXPECT_EQ(taken_back, 1u);
 }
 
@@ -645,7 +667,8 @@
                {"draining", false, false}, {"gone", true, false},   {"gone", false, false}};
   for (const auto& c : cases) {
     Amid amid;
-    for (auto& state : amid.states) state = c.state;
+    for (auto& state : amid.states)
+      state = c.state;
     ++amid.list_revision;
     amid.net.run(amid.net.now() + 500ms);
     amid.put("t", c.listed ? std::vector<int>{1} : std::vector<int>{});
@@ -673,15 +696,18 @@
     Amid amid;
     amid.net.latency = Span(50 + chance() % 4000);
     amid.net.keep_time = Span(chance() % 6000);
-    for (int t = 0; t < 3; ++t) amid.put("t" + std::to_string(t), {0, 1, 2});
+    for (int t = 0; t < 3; ++t)
+      amid.put("t" + std::to_string(t), {0, 1, 2});
     std::vector<Link> asked;
     for (int step = 0; step < 60; ++step) {
       const auto title = "t" + std::to_string(chance() % 3);
-      if (chance() % 2 == 0) asked.push_back(amid.ask(title, static_cast<int>(asked.size())));
+      if (chance() % 2 == 0)
+        asked.push_back(amid.ask(title, static_cast<int>(asked.size())));
       if (chance() % 3 == 0) {
         std::vector<int> where;
         for (int b = 0; b < 3; ++b) {
-          if (chance() % 2 == 0) where.push_back(b);
+          if (chance() % 2 == 0)
+            where.push_back(b);
         }
         amid.put(title, where);
       }
@@ -690,7 +716,8 @@
       amid.net.run(amid.net.now() + Span(chance() % 8000));
     }
     amid.net.run(amid.net.now() + 5s);
-    for (const auto& wrong : amid.wrong) ADD_FAILURE() << "seed " << seed << ": " << wrong;
+    for (const auto& wrong : amid.wrong)
+      ADD_FAILURE() << "seed " << seed << ": " << wrong;
     for (const auto link : asked) {
       const auto& got = amid.viewer.peers[link].got;
       ASSERT_TRUE(got.starts_with("HTTP/1.1 ")) << "seed " << seed << " link " << link;
--- a/tests/program/cold_fleet_test.cpp
+++ b/tests/program/cold_fleet_test.cpp
@@ -44,16 +44,19 @@
     terms_.most_tries = 3;
     managers_.resize(static_cast<std::size_t>(shape.managers));
     sent_.resize(static_cast<std::size_t>(shape.servers));
-    for (int i = 0; i < shape.managers; ++i) begin(i, -200s - uniform(0, 100));
+    for (int i = 0; i < shape.managers; ++i)
+      begin(i, -200s - uniform(0, 100));
   }
 
   void play() {
     double weight = 0;
-    for (int i = 0; i < shape_.managers; ++i) weight += weight_of(i) / shape_.managers;
+    for (int i = 0; i < shape_.managers; ++i)
+      weight += weight_of(i) / shape_.managers;
     for (int i = 0; i < shape_.managers; ++i) {
       at(uniform(0, 2), [this, i] { tell(i); });
       come(i, weight / (shape_.demand * weight_of(i)));
-      if (shape_.restarts && draw() < 0.4) at(uniform(0, 8), [this, i] { begin(i, now_), tell(i); });
+      if (shape_.restarts && draw() < 0.4)
+        at(uniform(0, 8), [this, i] { begin(i, now_), tell(i); });
     }
     while (!due_.empty() && due_.begin()->first <= terms_.cold_time) {
       now_ = due_.begin()->first;
@@ -68,7 +71,8 @@
     double worst = 0;
     for (const auto& sent : sent_) {
       for (std::size_t first = 0, last = 0; last < sent.size(); ++last) {
-        while (sent[first] <= sent[last] - window) ++first;
+        while (sent[first] <= sent[last] - window)
+          ++first;
         const double allowed = allowed_in(sent[last] - window, window);
         worst =
             std::max(worst, static_cast<double>(last - first + 1) / (allowed + 2 * std::sqrt(allowed) + 2));
@@ -78,7 +82,8 @@
   }
   std::size_t sent() const {
     std::size_t all = 0;
-    for (const auto& one : sent_) all += one.size();
+    for (const auto& one : sent_)
+      all += one.size();
     return all;
   }
 
@@ -112,7 +117,8 @@
   void begin(int i, Span when) {
     auto& manager = managers_[i];
     auto terms = terms_;
-    if (shape_.numbers_told) terms.own_number = i;
+    if (shape_.numbers_told)
+      terms.own_number = i;
     manager.brain = std::make_unique<Brain>(terms, chance_());
     manager.began = when;
     ++manager.life;
@@ -141,13 +147,16 @@
   }
   void hear(int i, const Event& event) {
     for (const auto& order : managers_[i].brain->handle(now_ - managers_[i].began, event)) {
-      if (const auto* set_up = std::get_if<SetUp>(&order)) take(i, *set_up);
-      if (const auto* timer = std::get_if<SetTimer>(&order)) later(i, timer->delay, TimerRang{timer->token});
+      if (const auto* set_up = std::get_if<SetUp>(&order))
+        take(i, *set_up);
+      if (const auto* timer = std::get_if<SetTimer>(&order))
+        later(i, timer->delay, TimerRang{timer->token});
     }
   }
   void later(int i, Span in, Event event) {
     at(now_ + in, [this, i, event, life = managers_[i].life] {
-      if (managers_[i].life == life) hear(i, event);
+      if (managers_[i].life == life)
+        hear(i, event);
     });
   }
   void take(int i, const SetUp& what) {
@@ -188,7 +197,8 @@
 
 TEST(ColdFleet, TheSumOfAllManagersStaysWithinTheBound) {
   for (const int managers : {3, 20, 30, 300}) {
-    for (const int servers : {1, 6}) holds({managers, servers}, managers == 300 ? 5 : 20, 10);
+    for (const int servers : {1, 6})
+      holds({managers, servers}, managers == 300 ? 5 : 20, 10);
   }
 }
 
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -13,7 +13,8 @@
 
 std::string list_text(int revision, const std::vector<std::string>& boxes) {
   std::string text = "{\"revision\":" + std::to_string(revision) + ",\"clock_ms\":100000,\"boxes\":[";
-  for (std::size_t i = 0; i < boxes.size(); ++i) text += (i ? "," : "") + boxes[i];
+  for (std::size_t i = 0; i < boxes.size(); ++i)
+    text += (i ? "," : "") + boxes[i];
   return text + "]}";
 }
 std::string box_text(const std::string& name, const std::string& state = "ready", int port = 80,
@@ -71,7 +72,8 @@
   boxlist::BoxList list({"h"});
   list.take(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c"), box_text("d"), box_text("e")}));
   EXPECT_FALSE(list.take(2s, list_text(1, {box_text("a")})).list);
-  EXPECT_FALSE(list.take(33s, list_text(2, {box_text("a")})).remark.empty()) << "held, as any that shrinks so";
+  EXPECT_FALSE(list.take(33s, list_text(2, {box_text("a")})).remark.empty())
+      << "held, as any that shrinks so";
   const auto news = list.take(34s, list_text(3, {box_text("a")}));
   EXPECT_TRUE(news.remark.empty()) << news.remark;
   EXPECT_EQ(list.revision(), 3);
@@ -91,7 +93,8 @@
 TEST(BoxList, AFleetThatVanishesAtAStrokeIsHeldOnce) {
   boxlist::BoxList list({"h"});
   std::vector<std::string> all;
-  for (int i = 0; i < 8; ++i) all.push_back(box_text("b" + std::to_string(i)));
+  for (int i = 0; i < 8; ++i)
+    all.push_back(box_text("b" + std::to_string(i)));
   list.take(1s, list_text(1, all));
   auto news = list.take(2s, list_text(2, {box_text("b0", "draining")}));
   ASSERT_TRUE(news.list);
@@ -179,7 +182,8 @@
 
 TEST(Weighing, OverfullWordsWhileAllIsDeliveredAreDrawnDown) {
   Weighing weighing(1s, {100});
-  for (int i = 0; i < 6; ++i) weighing.handle(i * 100ms, Delivered{1, 1, 1.0, false});
+  for (int i = 0; i < 6; ++i)
+    weighing.handle(i * 100ms, Delivered{1, 1, 1.0, false});
   const auto fill = *weighing.handle(600ms, BoxSaid{1, util(3), 100}).report->link_fill;
   EXPECT_LT(fill, 2.0);
   EXPECT_GE(fill, 1.0);
@@ -208,7 +212,8 @@
 
 TEST(Weighing, OneStarvingViewerIsItsOwnLineTwoAreTheBox) {
   Weighing weighing(1s, {100});
-  for (int i = 0; i < 4; ++i) weighing.handle(i * 100ms, Delivered{9, 1, 1.0, false});
+  for (int i = 0; i < 4; ++i)
+    weighing.handle(i * 100ms, Delivered{9, 1, 1.0, false});
   auto alone = weighing.handle(500ms, ViewerSaid{1, 1, starved(), 100});
   EXPECT_EQ(alone.last_mile, 1u);
   EXPECT_TRUE(alone.notes.empty());
@@ -272,7 +277,8 @@
         out = weighing.handle(now, hints::TimePassed{});
       else {
         auto hop = util(static_cast<double>(draw(4000)) / 1000);
-        if (draw(2)) hop.share = static_cast<double>(draw(1500)) / 1000;
+        if (draw(2))
+          hop.share = static_cast<double>(draw(1500)) / 1000;
         hop.duress = draw(2);
         out = weighing.handle(now, BoxSaid{server, hop, 10});
       }
--- a/tests/program/gate_test.cpp
+++ b/tests/program/gate_test.cpp
@@ -33,8 +33,10 @@
   }
   std::string fault(const std::string& token, const std::string& session = "s") {
     const auto judged = gate->judge(now, {token, "plan", "crash-42", session});
-    if (std::holds_alternative<Good>(judged)) return "good";
-    if (std::holds_alternative<WaitsForKeys>(judged)) return "waits";
+    if (std::holds_alternative<Good>(judged))
+      return "good";
+    if (std::holds_alternative<WaitsForKeys>(judged))
+      return "waits";
     return std::string(words_of(std::get<Bad>(judged).fault));
   }
   Span now = 1'000'000s;
@@ -143,7 +145,8 @@
   for (int i = 0; i < 10'000; ++i) {
     now += 10ms;
     fault("eyJhbGciOiJFUzI1NiIsImtpZCI6Im5vbmUifQ.e30.AAAA");
-    if (gate->wants_fetch(now)) ++fetches, bring();
+    if (gate->wants_fetch(now))
+      ++fetches, bring();
   }
   EXPECT_LE(fetches, 11u) << "in 100 s, whatever is shown";
   EXPECT_GE(fetches, 9u);
@@ -208,7 +211,8 @@
   gate->wants_fetch(now);
   bring();
   const auto forged = issuer.forged(says());
-  for (int i = 0; i < 1000; ++i) EXPECT_EQ(fault(forged), "its signature does not fit");
+  for (int i = 0; i < 1000; ++i)
+    EXPECT_EQ(fault(forged), "its signature does not fit");
   EXPECT_EQ(gate->counts().verified, 1u) << "the same one is looked at once";
   for (int i = 0; i < 500; ++i)
     fault(forged + std::string(1, static_cast<char>('A' + i % 26)) + std::to_string(i));
--- a/tests/program/hints_test.cpp
+++ b/tests/program/hints_test.cpp
@@ -73,7 +73,8 @@
     const auto text =
         *rc::gen::container<std::string>(rc::gen::elementOf(std::string("ab1.-,;=()\"\\:?*/ \t\x80")));
     const auto parsed = parse_list(text);
-    if (const auto* list = std::get_if<List>(&parsed)) RC_ASSERT(written(*list).has_value());
+    if (const auto* list = std::get_if<List>(&parsed))
+      RC_ASSERT(written(*list).has_value());
   }));
 }
 
--- a/tests/program/hls_decisions_test.cpp
+++ b/tests/program/hls_decisions_test.cpp
@@ -28,9 +28,11 @@
 std::shared_ptr<const Media> list(const Listed& listed) {
   std::string text = "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:" +
                      std::to_string(listed.number.value_or(static_cast<std::uint64_t>(listed.from))) + "\n";
-  if (!listed.type.empty()) text += "#EXT-X-PLAYLIST-TYPE:" + listed.type + "\n";
+  if (!listed.type.empty())
+    text += "#EXT-X-PLAYLIST-TYPE:" + listed.type + "\n";
   for (int i = listed.from; i <= listed.to; ++i) {
-    if (std::find(listed.without.begin(), listed.without.end(), i) != listed.without.end()) continue;
+    if (std::find(listed.without.begin(), listed.without.end(), i) != listed.without.end())
+      continue;
     if (listed.timed) {
       char time[64];
       std::snprintf(time, sizeof time, "#EXT-X-PROGRAM-DATE-TIME:2026-01-01T%02d:%02d:%02dZ\n", 2 * i / 3600,
@@ -39,9 +41,11 @@
     }
     text += "#EXTINF:2,\n" + listed.name + std::to_string(i) + ".m4s\n";
   }
-  if (listed.ended) text += "#EXT-X-ENDLIST\n";
+  if (listed.ended)
+    text += "#EXT-X-ENDLIST\n";
   auto read = read_media(text);
-  if (auto* fault = std::get_if<Fault>(&read)) throw std::runtime_error(fault->text());
+  if (auto* fault = std::get_if<Fault>(&read))
+    throw std::runtime_error(fault->text());
   return std::make_shared<const Media>(std::get<Media>(std::move(read)));
 }
 std::string text_of(const Window& window) { return std::get<std::string>(write_window(window, {})); }
@@ -60,12 +64,17 @@
     while (std::getline(lines, line)) {
       if (line.starts_with("#EXT-X-MEDIA-SEQUENCE:"))
         number = std::stoull(line.substr(22)), sequence_told = true;
-      if (line == "#EXT-X-DISCONTINUITY") pending = "!";
-      if (!line.empty() && line[0] != '#') all.push_back(std::exchange(pending, "") + line);
+      if (line == "#EXT-X-DISCONTINUITY")
+        pending = "!";
+      if (!line.empty() && line[0] != '#')
+        all.push_back(std::exchange(pending, "") + line);
     }
-    if (!sequence_told) wrongs.push_back("no number told");
-    if (number < first) wrongs.push_back("the numbers went back");
-    if (number + all.size() < end) wrongs.push_back("the end went back");
+    if (!sequence_told)
+      wrongs.push_back("no number told");
+    if (number < first)
+      wrongs.push_back("the numbers went back");
+    if (number + all.size() < end)
+      wrongs.push_back("the end went back");
     first = number;
     for (const auto& uri : all) {
       const auto [it, fresh] = seen.emplace(number, uri);
@@ -79,7 +88,8 @@
   }
   std::string in_order() const {
     std::string made;
-    for (const auto& [number, uri] : seen) made += (made.empty() ? "" : " ") + uri;
+    for (const auto& [number, uri] : seen)
+      made += (made.empty() ? "" : " ") + uri;
     return made;
   }
 };
@@ -175,7 +185,8 @@
   EXPECT_EQ(reader.in_order(),
             "high10.m4s high11.m4s high12.m4s high13.m4s high14.m4s high15.m4s !low16.m4s low17.m4s");
   EXPECT_EQ(course.window().pieces.size(), 2u);
-  for (int i = 3; i < 10; ++i) course.take(2s * i, {list({10 + i, 15 + i, {}, {}, true, "low"}), 1, 0});
+  for (int i = 3; i < 10; ++i)
+    course.take(2s * i, {list({10 + i, 15 + i, {}, {}, true, "low"}), 1, 0});
   EXPECT_EQ(course.window().pieces.size(), 1u) << "the older rung's list is let go";
   EXPECT_EQ(course.window().discontinuity_sequence, 1u);
   // Without times, numbers of the same box serve.
@@ -222,21 +233,27 @@
       box.lag = static_cast<int>(chance() % 4);
       box.offset = chance() % 3 == 0 ? chance() % 5000 : 0;
       for (int i = 0; i < 200; ++i) {
-        if (chance() % 15 == 0) box.lacks.push_back(i);
+        if (chance() % 15 == 0)
+          box.lacks.push_back(i);
       }
     }
     std::size_t at = 0;
     int rung = 1;
     for (int edge = 20; edge < 120; ++edge) {
-      if (chance() % 8 == 0) at = chance() % boxes.size();
-      if (chance() % 20 == 0) rung = static_cast<int>(chance() % 2);
-      if (chance() % 6 == 0) edge += static_cast<int>(chance() % 12);
+      if (chance() % 8 == 0)
+        at = chance() % boxes.size();
+      if (chance() % 20 == 0)
+        rung = static_cast<int>(chance() % 2);
+      if (chance() % 6 == 0)
+        edge += static_cast<int>(chance() % 12);
       const auto& box = boxes[at];
       const int to = edge - box.lag;
       std::uint64_t number = box.offset + static_cast<std::uint64_t>(to - 7);
-      for (const int lacking : box.lacks) number -= lacking < to - 7 ? 1 : 0;
+      for (const int lacking : box.lacks)
+        number -= lacking < to - 7 ? 1 : 0;
       const auto media = list({to - 7, to, box.lacks, number, true, rung ? "h" : "l"});
-      if (media->segments.empty()) continue;
+      if (media->segments.empty())
+        continue;
       course.take(2s * edge, {media, static_cast<std::uint32_t>(at), rung});
       reader.see(text_of(course.window()));
       ASSERT_TRUE(reader.wrongs.empty()) << "seed " << seed << ": " << reader.wrongs[0];
@@ -359,12 +376,14 @@
 
 TEST(Orphans, DeparturesAreBoundedAndPass) {
   Departures departures(3, 10s);
-  for (int i = 0; i < 5; ++i) departures.note(Span(i), std::to_string(i), Ending::lost);
+  for (int i = 0; i < 5; ++i)
+    departures.note(Span(i), std::to_string(i), Ending::lost);
   EXPECT_EQ(departures.size(), 3u);
   EXPECT_FALSE(departures.find(1s, "0").has_value());
   EXPECT_TRUE(departures.find(1s, "4").has_value());
   EXPECT_FALSE(departures.find(20s, "4").has_value());
-  for (int i = 0; i < 1000; ++i) departures.note(1s, "same", Ending::lost);
+  for (int i = 0; i < 1000; ++i)
+    departures.note(1s, "same", Ending::lost);
   EXPECT_LE(departures.size(), 3u);
   EXPECT_TRUE(departures.find(1s, "same").has_value());
 }
@@ -415,7 +434,8 @@
   const auto token = keys.write(100h, a_pass());
   for (std::size_t i = 0; i < token.size(); ++i) {
     for (const char other : {'A', 'z', '_', '%', '/'}) {
-      if (token[i] == other) continue;
+      if (token[i] == other)
+        continue;
       auto changed = token;
       changed[i] = other;
       EXPECT_TRUE(std::holds_alternative<Refused>(keys.read(101h, changed))) << i << other;
@@ -441,7 +461,8 @@
   std::minstd_rand chance(1);
   for (std::size_t size = 0; size < 70; ++size) {
     std::string bytes(size, '\0');
-    for (auto& byte : bytes) byte = static_cast<char>(chance());
+    for (auto& byte : bytes)
+      byte = static_cast<char>(chance());
     EXPECT_EQ(signing::from_base64url(signing::base64url(bytes)), bytes);
   }
   EXPECT_FALSE(signing::from_base64url("AB").has_value()) << "bits behind the last byte that are not zero";
@@ -451,7 +472,8 @@
 
 TEST(Gzip, TakesBackWhatItPackedWithinItsLimit) {
   std::string text;
-  for (int i = 0; i < 20000; ++i) text += "#EXTINF:2,\nsegment" + std::to_string(i) + "\n";
+  for (int i = 0; i < 20000; ++i)
+    text += "#EXTINF:2,\nsegment" + std::to_string(i) + "\n";
   const auto packed = gzip::packed(text);
   EXPECT_LT(packed.size(), text.size() / 3);
   EXPECT_EQ(gzip::unpacked(packed, text.size()), text);
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -23,7 +23,8 @@
     terms.site.rung_kb = {12.5, 25, 50};  // 100, 200 and 400 kbit/s
     terms.site.rung_revenue = {0.5, 0.8, 1};
     terms.site.plans.resize(3);
-    for (auto& plan : terms.site.plans) plan.startup_target = 800ms, plan.top = 2;
+    for (auto& plan : terms.site.plans)
+      plan.startup_target = 800ms, plan.top = 2;
     terms.site.plans[0].floor = 0;
     terms.site.plans[1].pay_at_setup = true;
     terms.site.plans[2].floor = 1;
@@ -65,7 +66,8 @@
       return {SetRung{request->playback, rung}, violettide::SetUp{request->playback, first_box, 500ms}};
     }
     if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
-      if (tries[ended->playback]++ > 1) return {Abort{ended->playback}};
+      if (tries[ended->playback]++ > 1)
+        return {Abort{ended->playback}};
       return {violettide::SetUp{ended->playback, 1 - first_box, 500ms}};
     }
     return {};
@@ -84,7 +86,8 @@
         actions.push_back(Send{link, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
         continue;
       }
-      if (mute[b]) continue;
+      if (mute[b])
+        continue;
       const auto path = target.substr(0, target.find('?'));
       const auto found = has[b].count(path) ? has[b].find(path) : has[b].find(target);
       if (found == has[b].end()) {
@@ -100,7 +103,8 @@
   void put(const std::string& path, const std::string& body) { has[0][path] = has[1][path] = body; }
   void put_all(const std::string& body) {
     for (auto& box_has : has) {
-      for (auto& [path, own] : box_has) own = body;
+      for (auto& [path, own] : box_has)
+        own = body;
     }
   }
   static std::string master() {
@@ -120,7 +124,8 @@
   }
   static std::string recorded(int count) {
     std::string text = "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-PLAYLIST-TYPE:VOD\n";
-    for (int i = 0; i < count; ++i) text += "#EXTINF:2,\ns" + std::to_string(i) + ".m4s\n";
+    for (int i = 0; i < count; ++i)
+      text += "#EXTINF:2,\ns" + std::to_string(i) + ".m4s\n";
     return text + "#EXT-X-ENDLIST\n";
   }
   void lay(const std::string& plan, const std::string& title, const std::string& media) {
@@ -155,7 +160,8 @@
     auto& got = viewer.peers[link].got;
     Answer made;
     const auto end = got.find("\r\n\r\n");
-    if (end == std::string::npos) return made;
+    if (end == std::string::npos)
+      return made;
     made.head = got.substr(0, end);
     made.status = std::stoi(made.head.substr(9));
     made.body = got.substr(end + 4);
@@ -171,7 +177,8 @@
     std::vector<std::string> all;
     std::istringstream lines(playlist);
     for (std::string line; std::getline(lines, line);) {
-      if (!line.empty() && line[0] != '#') all.push_back(line);
+      if (!line.empty() && line[0] != '#')
+        all.push_back(line);
     }
     return all;
   }
@@ -261,7 +268,8 @@
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
-  for (int i = 0; i < 3; ++i) endless += "2710\r\n" + std::string(10'000, '#') + "\r\n";
+  for (int i = 0; i < 3; ++i)
+    endless += "2710\r\n" + std::string(10'000, '#') + "\r\n";
   const auto bomb = gzip::packed(std::string(1 << 20, '#'));
   const std::vector<std::string> bad{
       "not a playlist",
@@ -287,8 +295,10 @@
     // Where it may have run and is paid for, there is no second try.
     has[0]["/paid/t/index.m3u8"] = text;
     decide = [](const Event& event) -> std::vector<Order> {
-      if (const auto* r = std::get_if<Request>(&event)) return {violettide::SetUp{r->playback, 0, 300ms}};
-      if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over) return {Abort{e->playback}};
+      if (const auto* r = std::get_if<Request>(&event))
+        return {violettide::SetUp{r->playback, 0, 300ms}};
+      if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over)
+        return {Abort{e->playback}};
       return {};
     };
     EXPECT_EQ(get("/paid/t/index.m3u8").status, 502);
@@ -342,12 +352,14 @@
   get(media[2]);
   decide = [this](const Event& event) {
     auto orders = place(event);
-    if (std::holds_alternative<Note>(event)) orders.push_back(SetRung{0, 0});
+    if (std::holds_alternative<Note>(event))
+      orders.push_back(SetRung{0, 0});
     return orders;
   };
   more_fields = "CMSD-Dynamic: \"b0\";org.violettide-util=0.9\r\n";  // news of the box, and the module's word
   get(beside(media[2], "s10.m4s"));
-  for (const auto* at : {"r0/", "r1/", "r2/"}) put("/a/t/" + std::string(at) + "index.m3u8", live(11, 16));
+  for (const auto* at : {"r0/", "r1/", "r2/"})
+    put("/a/t/" + std::string(at) + "index.m3u8", live(11, 16));
   const auto list = get(media[2]);
   ASSERT_EQ(list.status, 200);
   EXPECT_EQ(asked[0].back(), "/a/t/r0/index.m3u8");
@@ -383,7 +395,8 @@
   EXPECT_EQ(get("/~/nothing").status, 404);
   for (const auto* out : {"../r2/s1.m4s", "..%2fr2%2fs1.m4s", "%2e%2e/r2/s1.m4s", "/a/t/r2/s1.m4s", ".", ""})
     EXPECT_EQ(get(beside(media[1], "") + out).status, 403) << out;
-  for (const auto& target : asked[0]) EXPECT_EQ(target.find("r2"), std::string::npos) << target;
+  for (const auto& target : asked[0])
+    EXPECT_EQ(target.find("r2"), std::string::npos) << target;
 }
 
 TEST_F(Front, RenditionsInOneDirectoryGetAnAddressForEachSegment) {
@@ -438,7 +451,8 @@
   // Refused meanwhile: its address is too, until the time to come back.
   net.run(net.now() + 20s);
   decide = [](const Event& event) -> std::vector<Order> {
-    if (const auto* r = std::get_if<Request>(&event)) return {Reject{r->playback, 5s}};
+    if (const auto* r = std::get_if<Request>(&event))
+      return {Reject{r->playback, 5s}};
     return {};
   };
   EXPECT_EQ(get(seated).status, 503);
@@ -473,7 +487,8 @@
   EXPECT_EQ(told_of<CarriedOver>().size(), 2u);
   EXPECT_TRUE(told_of<Request>().empty()) << "no second set-up";
   ASSERT_FALSE(heads[0].empty());
-  for (const auto& head : heads[0]) EXPECT_EQ(head.find("su"), std::string::npos) << head;
+  for (const auto& head : heads[0])
+    EXPECT_EQ(head.find("su"), std::string::npos) << head;
   EXPECT_EQ(get(beside(seated, "s12.m4s")).status, 200);
   EXPECT_EQ(told_of<Request>().size(), 1u) << "seats are the module's to count";
   // The box was restarted too and knows nothing of it: placed anew where that is not paid for again.
@@ -506,7 +521,8 @@
 TEST_F(Front, PlayersWithOneSessionIdEachKeepTheirCourse) {
   lay("a", "t", live(10, 15));
   std::vector<std::string> media;
-  for (int i = 0; i < 4; ++i) media.push_back(uris(get("/a/t/index.m3u8", sid).body)[0]);
+  for (int i = 0; i < 4; ++i)
+    media.push_back(uris(get("/a/t/index.m3u8", sid).body)[0]);
   EXPECT_EQ(told_of<Request>().size(), 1u) << "one playback, one seat";
   EXPECT_NE(media[0], media[1]);
   get(media[0]);
@@ -610,7 +626,8 @@
       {"silent", [this] { mute[0] = mute[1] = true; }},
       {"refused", [this] {
          decide = [](const Event& event) -> std::vector<Order> {
-           if (const auto* r = std::get_if<Request>(&event)) return {Reject{r->playback, 1500ms}};
+           if (const auto* r = std::get_if<Request>(&event))
+             return {Reject{r->playback, 1500ms}};
            return {};
          };
        }}};
@@ -634,7 +651,8 @@
         std::string outcome =
             std::to_string(got.status) + " " + (wait == std::string::npos ? "" : got.head.substr(wait, 14));
         for (const auto& ended : told_of<TryEnded>()) {
-          if (!ended.over) outcome += " " + std::to_string(static_cast<int>(ended.outcome));
+          if (!ended.over)
+            outcome += " " + std::to_string(static_cast<int>(ended.outcome));
         }
         outcome += " started " + std::to_string(told_of<Started>().size());
         outcomes.push_back(outcome);
--- a/tests/program/hls_test.cpp
+++ b/tests/program/hls_test.cpp
@@ -14,7 +14,8 @@
 
 Media media_of(const std::string& text, const Media* before = nullptr) {
   auto read = read_media(text, {}, {}, before);
-  if (auto* fault = std::get_if<Fault>(&read)) throw std::runtime_error(fault->text() + "\n" + text);
+  if (auto* fault = std::get_if<Fault>(&read))
+    throw std::runtime_error(fault->text() + "\n" + text);
   return std::get<Media>(std::move(read));
 }
 std::string fault_of(const std::string& text, const Limits& limits = {}) {
@@ -24,7 +25,8 @@
 }
 Multivariant lists_of(const std::string& text) {
   auto read = read_multivariant(text);
-  if (auto* fault = std::get_if<Fault>(&read)) throw std::runtime_error(fault->text());
+  if (auto* fault = std::get_if<Fault>(&read))
+    throw std::runtime_error(fault->text());
   return std::get<Multivariant>(std::move(read));
 }
 std::string lists_fault(const std::string& text) {
@@ -184,7 +186,8 @@
   small.line = 100;
   small.bytes = 400;
   std::string many = head;
-  for (int i = 0; i < 3; ++i) many += "#EXTINF:4,\ns.ts\n";
+  for (int i = 0; i < 3; ++i)
+    many += "#EXTINF:4,\ns.ts\n";
   EXPECT_EQ(fault_of(many, small), "line 8: more than 2 segments");
   EXPECT_EQ(fault_of(head + std::string(101, '#'), small), "line 3: a line of more than 100 bytes");
   EXPECT_EQ(fault_of(head + std::string(400, '#'), small), "line 1: a playlist of more than 400 bytes");
@@ -237,7 +240,8 @@
 TEST(Playlists, ADeltaLeavesOutWhatLiesFarBack) {
   std::string text =
       head + "#EXT-X-VERSION:6\n#EXT-X-SERVER-CONTROL:CAN-SKIP-UNTIL=24\n#EXT-X-MEDIA-SEQUENCE:50\n";
-  for (int i = 0; i < 20; ++i) text += "#EXTINF:4,\ns" + std::to_string(i) + ".ts\n";
+  for (int i = 0; i < 20; ++i)
+    text += "#EXTINF:4,\ns" + std::to_string(i) + ".ts\n";
   const auto media = std::make_shared<Media>(media_of(text));
   WriteTerms terms;
   terms.delta = true;
@@ -272,8 +276,10 @@
 TEST(Addresses, LeadWhereRfc3986Says) {
   const auto to = [](const char* uri) {
     const auto made = resolve("/p/t/r1/index.m3u8?x=1", uri);
-    if (const auto* target = std::get_if<Target>(&made)) return target->text;
-    if (const auto* other = std::get_if<Elsewhere>(&made)) return other->scheme + " " + other->authority;
+    if (const auto* target = std::get_if<Target>(&made))
+      return target->text;
+    if (const auto* other = std::get_if<Elsewhere>(&made))
+      return other->scheme + " " + other->authority;
     return std::string("unreadable");
   };
   EXPECT_EQ(to("s.ts"), "/p/t/r1/s.ts");
@@ -298,7 +304,8 @@
   std::string text(std::size_t window) const {
     const auto from = spans.size() > window ? spans.size() - window : 0;
     auto made = head + "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(first + from) + "\n";
-    for (auto i = from; i < spans.size(); ++i) made += spans[i];
+    for (auto i = from; i < spans.size(); ++i)
+      made += spans[i];
     return made;
   }
 };
@@ -343,7 +350,8 @@
       RC_ASSERT(read_on.segments.size() == whole_read.segments.size());
       const auto uris = [](const std::vector<UriAt>& all, const Media& media) {
         std::vector<std::string> texts;
-        for (const auto& uri : all) texts.emplace_back(uri.at.of(media.text));
+        for (const auto& uri : all)
+          texts.emplace_back(uri.at.of(media.text));
         return texts;
       };
       RC_ASSERT(uris(read_on.uris, read_on) == uris(whole_read.uris, whole_read));
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -19,7 +19,8 @@
     std::vector<Request> all;
     for (std::size_t at = 0; at < text.size(); at += piece) {
       reader.push(std::string_view(text).substr(at, piece));
-      while (auto request = reader.next()) all.push_back(*request);
+      while (auto request = reader.next())
+        all.push_back(*request);
     }
     ASSERT_EQ(all.size(), 4u) << piece;
     EXPECT_EQ(all[0].target, "/a");
@@ -49,7 +50,8 @@
   EXPECT_EQ(fault_of("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a') + "\r\n\r\n", limits), 431);
   EXPECT_EQ(fault_of("GET /" + std::string(5000, 'a'), limits), 431) << "an endless line must not be kept";
   std::string many = "GET / HTTP/1.1\r\n";
-  for (int i = 0; i < 9; ++i) many += "X: y\r\n";
+  for (int i = 0; i < 9; ++i)
+    many += "X: y\r\n";
   EXPECT_EQ(fault_of(many + "\r\n", limits), 431);
   EXPECT_EQ(fault_of("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\nhello world", limits), 413);
   EXPECT_EQ(
--- a/tests/program/ledger_model.h
+++ b/tests/program/ledger_model.h
@@ -58,18 +58,23 @@
             viewers_[static_cast<std::size_t>(v)].plays[static_cast<std::size_t>(m)] > now_)
           all.push_back({What::leave, v, m});
       }
-      if (!manager.pending.empty()) all.push_back({What::kept, m});
-      if (left_.crashes > 0) all.push_back({What::crash, m});
+      if (!manager.pending.empty())
+        all.push_back({What::kept, m});
+      if (left_.crashes > 0)
+        all.push_back({What::crash, m});
     }
     for (int i = 0; i < static_cast<int>(wire_.size()); ++i) {
       // Equal messages are one choice.
       if (i > 0 && wire_[static_cast<std::size_t>(i)].print == wire_[static_cast<std::size_t>(i - 1)].print)
         continue;
       all.push_back({What::deliver, i});
-      if (left_.copies > 0) all.push_back({What::copy, i});
-      if (left_.losses > 0) all.push_back({What::lose, i});
+      if (left_.copies > 0)
+        all.push_back({What::copy, i});
+      if (left_.losses > 0)
+        all.push_back({What::lose, i});
     }
-    if (left_.ticks > 0) all.push_back({What::tick});
+    if (left_.ticks > 0)
+      all.push_back({What::tick});
     return all;
   }
 
@@ -115,7 +120,8 @@
         --left_.crashes;
         managers_[a].ledger.reset();
         managers_[a].pending.clear();
-        for (auto& viewer : viewers_) viewer.plays[a] = Span(0), viewer.asked[a] = 0;
+        for (auto& viewer : viewers_)
+          viewer.plays[a] = Span(0), viewer.asked[a] = 0;
         break;
       case What::restart:
         start(step.a);
@@ -125,7 +131,8 @@
         --left_.ticks;
         now_ += Span(1);
         for (std::size_t m = 0; m < managers_.size(); ++m) {
-          if (managers_[m].ledger) happen(m, Ticked{});
+          if (managers_[m].ledger)
+            happen(m, Ticked{});
         }
         break;
     }
@@ -138,23 +145,29 @@
     left_ = {};
     for (int round = 0; round < 200; ++round) {
       for (std::size_t m = 0; m < managers_.size(); ++m) {
-        if (!managers_[m].ledger) step({Step::What::restart, static_cast<int>(m)});
-        while (!managers_[m].pending.empty()) step({Step::What::kept, static_cast<int>(m)});
+        if (!managers_[m].ledger)
+          step({Step::What::restart, static_cast<int>(m)});
+        while (!managers_[m].pending.empty())
+          step({Step::What::kept, static_cast<int>(m)});
       }
-      for (int many = 0; !wire_.empty() && many < 1000; ++many) step({Step::What::deliver, 0});
+      for (int many = 0; !wire_.empty() && many < 1000; ++many)
+        step({Step::What::deliver, 0});
       for (std::size_t v = 0; v < viewers_.size(); ++v) {
         for (std::size_t m = 0; m < managers_.size(); ++m) {
           if (viewers_[v].plays[m] > now_)
             step({Step::What::leave, static_cast<int>(v), static_cast<int>(m)});
         }
       }
-      if (wrong_) return wrong_;
-      if (round >= 20 && round < 60) step({Step::What::tick});
+      if (wrong_)
+        return wrong_;
+      if (round >= 20 && round < 60)
+        step({Step::What::tick});
       left_ = {};
     }
     for (std::size_t v = 0; v < viewers_.size(); ++v) {
       for (std::size_t m = 0; m < managers_.size(); ++m) {
-        if (viewers_[v].asked[m] > 0) return "viewer " + std::to_string(v) + " never got an answer";
+        if (viewers_[v].asked[m] > 0)
+          return "viewer " + std::to_string(v) + " never got an answer";
       }
     }
     for (const auto& manager : managers_) {
@@ -171,15 +184,21 @@
       made += "," + std::to_string(left);
     for (const auto& manager : managers_) {
       made += "#" + std::to_string(manager.restarts);
-      if (manager.ledger) made += manager.ledger->fingerprint();
-      for (const auto& record : manager.kept) made += print(record);
+      if (manager.ledger)
+        made += manager.ledger->fingerprint();
+      for (const auto& record : manager.kept)
+        made += print(record);
       made += "/";
-      for (const auto& pending : manager.pending) made += print(pending.record);
+      for (const auto& pending : manager.pending)
+        made += print(pending.record);
     }
-    for (const auto& message : wire_) made += "@" + message.print;
+    for (const auto& message : wire_)
+      made += "@" + message.print;
     for (const auto& viewer : viewers_) {
-      for (const auto until : viewer.plays) made += "v" + std::to_string(until.count());
-      for (const int asked : viewer.asked) made += "a" + std::to_string(asked);
+      for (const auto until : viewer.plays)
+        made += "v" + std::to_string(until.count());
+      for (const int asked : viewer.asked)
+        made += "a" + std::to_string(asked);
     }
     return made;
   }
@@ -209,7 +228,8 @@
     auto& manager = managers_[static_cast<std::size_t>(m)];
     LedgerTerms terms;
     terms.own = static_cast<Peer>(m);
-    for (int p = 0; p < size_.managers; ++p) terms.peers.push_back("m" + std::to_string(p));
+    for (int p = 0; p < size_.managers; ++p)
+      terms.peers.push_back("m" + std::to_string(p));
     terms.ask_again = Span(1);
     terms.ask_limit = Span(2);
     terms.skew = Span(0);  // one clock
@@ -220,11 +240,13 @@
 
   void happen(std::size_t m, const LedgerEvent& event) {
     auto& manager = managers_[m];
-    for (auto& act : manager.ledger->handle(now_, event)) perform(m, act);
+    for (auto& act : manager.ledger->handle(now_, event))
+      perform(m, act);
   }
 
   void deliver(const Flying& message) {
-    if (managers_[message.to].ledger) happen(message.to, Heard{message.from, message.message});
+    if (managers_[message.to].ledger)
+      happen(message.to, Heard{message.from, message.message});
   }
 
   void perform(std::size_t m, LedgerAct& act) {
@@ -243,7 +265,8 @@
       // the search's to choose, by its own steps.
       const auto at = std::lower_bound(wire_.begin(), wire_.end(), flying,
                                        [](auto& x, auto& y) { return x.print < y.print; });
-      if (at == wire_.end() || at->print != flying.print) wire_.insert(at, flying);
+      if (at == wire_.end() || at->print != flying.print)
+        wire_.insert(at, flying);
     } else if (auto* keep = std::get_if<KeepRecord>(&act)) {
       managers_[m].pending.push_back({keep->ticket, keep->record});
     }
--- a/tests/program/ledger_test.cpp
+++ b/tests/program/ledger_test.cpp
@@ -47,7 +47,8 @@
         searched.wrong = std::move(wrong);
         return searched;
       }
-      if (seen.insert(std::hash<std::string>{}(next.fingerprint())).second) open.push_back(std::move(next));
+      if (seen.insert(std::hash<std::string>{}(next.fingerprint())).second)
+        open.push_back(std::move(next));
     }
   }
   searched.whole = open.empty();
@@ -66,12 +67,14 @@
     World world(size, planted);
     for (int i = 0; i < steps && !walked.wrong; ++i) {
       const auto all = world.steps();
-      if (all.empty()) break;
+      if (all.empty())
+        break;
       walked.wrong = world.step(all[chance() % all.size()]);
       ++walked.steps;
     }
     if (!walked.wrong) {
-      if (auto wrong = world.come_to_rest()) walked.wrong = "at rest: " + *wrong;
+      if (auto wrong = world.come_to_rest())
+        walked.wrong = "at rest: " + *wrong;
     }
     walked.seed = seed;
   }
@@ -95,9 +98,12 @@
   std::vector<Message> says(const LedgerEvent& event) {
     std::vector<Message> said;
     for (const auto& act : ledger.handle(Span(1), event)) {
-      if (const auto* tell = std::get_if<Tell>(&act)) said.push_back(tell->message);
-      if (const auto* keep = std::get_if<KeepRecord>(&act)) ticket = keep->ticket;
-      if (const auto* away = std::get_if<TurnAway>(&act)) turned_away = away->why;
+      if (const auto* tell = std::get_if<Tell>(&act))
+        said.push_back(tell->message);
+      if (const auto* keep = std::get_if<KeepRecord>(&act))
+        ticket = keep->ticket;
+      if (const auto* away = std::get_if<TurnAway>(&act))
+        turned_away = away->why;
     }
     return said;
   }
@@ -127,7 +133,8 @@
   LedgerTerms terms;
   terms.most_claims = 2;
   Owner owner(terms);
-  for (int i = 0; i < 2; ++i) owner.says(Claimed{{"team", std::to_string(i)}, 9, Span(1), Span(100)});
+  for (int i = 0; i < 2; ++i)
+    owner.says(Claimed{{"team", std::to_string(i)}, 9, Span(1), Span(100)});
   EXPECT_FALSE(owner.turned_away);
   owner.says(Claimed{{"team", "third"}, 9, Span(1), Span(100)});
   EXPECT_EQ(owner.turned_away, TurnAway::Why::too_many);
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -24,7 +24,8 @@
     terms.site.rung_kb = {10, 20, 40};
     terms.site.rung_revenue = {0.5, 0.8, 1};
     terms.site.plans.resize(2);
-    for (auto& plan : terms.site.plans) plan.startup_target = 800ms, plan.top = 2;
+    for (auto& plan : terms.site.plans)
+      plan.startup_target = 800ms, plan.top = 2;
     terms.site.plans[0].floor = 1;
     terms.site.plans[1].pay_at_setup = true;
     terms.plans = {{"a", 4s}, {"paid", 4s}};
@@ -56,7 +57,8 @@
       return {SetRung{request->playback, 1}, violettide::SetUp{request->playback, 0, 500ms}};
     }
     if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
-      if (tries[ended->playback]++ > 1) return {Reject{ended->playback, 1500ms}};
+      if (tries[ended->playback]++ > 1)
+        return {Reject{ended->playback, 1500ms}};
       return {violettide::SetUp{ended->playback, 1, 500ms}};
     }
     return {};
@@ -96,7 +98,8 @@
   static std::vector<Link> asked(Puppet& puppet) {
     std::vector<Link> links;
     for (const auto link : puppet.accepted) {
-      if (puppet.peers[link].got.starts_with("GET")) links.push_back(link);
+      if (puppet.peers[link].got.starts_with("GET"))
+        links.push_back(link);
     }
     return links;
   }
@@ -158,7 +161,8 @@
     // A connection that the box left open after an answer of its own is used again.
     Link at_box = 0;
     for (const auto accepted : box.accepted) {
-      if (!box.peers[accepted].got.empty() && !box.peers[accepted].ended) at_box = accepted;
+      if (!box.peers[accepted].got.empty() && !box.peers[accepted].ended)
+        at_box = accepted;
     }
     box_sends(box, box_host, at_box, text);
     ASSERT_EQ(told_of<TryEnded>().size(), 1u) << text;
@@ -214,7 +218,8 @@
 
 TEST_F(Mishaps, ARejectionCarriesItsComeBackTime) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (const auto* r = std::get_if<Request>(&event)) return {Reject{r->playback, 1200ms}};
+    if (const auto* r = std::get_if<Request>(&event))
+      return {Reject{r->playback, 1200ms}};
     return {};
   };
   const auto link = dial();
@@ -226,7 +231,8 @@
 
 TEST_F(Mishaps, ACrowdTurnedAwayTogetherIsNotToldOneTime) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (const auto* request = std::get_if<Request>(&event)) return {Reject{request->playback, 4s}};
+    if (const auto* request = std::get_if<Request>(&event))
+      return {Reject{request->playback, 4s}};
     return {};
   };
   std::set<std::string> told_times;
@@ -275,7 +281,8 @@
   net.run(net.now() + 50ms);
   for (const bool paid : {true, false}) {
     Link last = 0;
-    for (int i = 0; i < 17; ++i) send(last = dial(), get(paid ? "/paid/t/r2/0" : "/a/t/r2/0", "s"));
+    for (int i = 0; i < 17; ++i)
+      send(last = dial(), get(paid ? "/paid/t/r2/0" : "/a/t/r2/0", "s"));
     EXPECT_TRUE(got(last).starts_with(paid ? "HTTP/1.1 502" : "HTTP/1.1 503")) << got(last);
     EXPECT_EQ(got(last).find("Retry-After") == std::string::npos, paid);
   }
@@ -283,8 +290,10 @@
 
 TEST_F(Mishaps, AnAbortSaysWhetherTimeRanOut) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (const auto* r = std::get_if<Request>(&event)) return {violettide::SetUp{r->playback, 0, 300ms}};
-    if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over) return {Abort{e->playback}};
+    if (const auto* r = std::get_if<Request>(&event))
+      return {violettide::SetUp{r->playback, 0, 300ms}};
+    if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over)
+      return {Abort{e->playback}};
     return {};
   };
   const auto link = dial();
@@ -299,7 +308,8 @@
 
 TEST_F(Mishaps, AModuleThatForgetsARequestIsAnsweredFor) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (const auto* r = std::get_if<Request>(&event)) return {violettide::SetUp{r->playback, 0, 10s}};
+    if (const auto* r = std::get_if<Request>(&event))
+      return {violettide::SetUp{r->playback, 0, 10s}};
     return {};
   };
   const auto link = dial();
@@ -349,7 +359,8 @@
   EXPECT_EQ(told_of<Withdrawn>().size(), 0u);
   box_sends(box, box_host, box.accepted[0], object("video"));
   ASSERT_EQ(box.accepted.size(), 3u) << "each other object has a request of its own";
-  for (int i = 1; i < 3; ++i) box_sends(box, box_host, box.accepted[i], object("o" + std::to_string(i)));
+  for (int i = 1; i < 3; ++i)
+    box_sends(box, box_host, box.accepted[i], object("o" + std::to_string(i)));
   EXPECT_TRUE(got(second).ends_with("o1"));
   EXPECT_TRUE(got(third).ends_with("o2"));
   EXPECT_EQ(front->held().playbacks, 1u);
@@ -377,7 +388,8 @@
   box_sends(box, box_host, box.accepted[0], object("x"));
   got(link).clear();
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Note>(event) || std::holds_alternative<TimerRang>(event)) return {};
+    if (std::holds_alternative<Note>(event) || std::holds_alternative<TimerRang>(event))
+      return {};
     return {};
   };
   box.peers[box.accepted[0]].got.clear();
@@ -440,7 +452,8 @@
   got(link).clear();
   // The box closes it just as the next request is on its way.
   box.on_bytes = [&](Puppet&, Link at, std::vector<Action>& actions) {
-    if (at == kept) actions.push_back(Close{at, false});
+    if (at == kept)
+      actions.push_back(Close{at, false});
   };
   send(link, get("/a/t/r2/1"));
   ASSERT_EQ(box.accepted.size(), 2u);
@@ -499,7 +512,8 @@
   send(link, get("/a/t/r2/0"));
   const std::string block(64 * 1024, 'v');
   box_sends(box, box_host, box.accepted[0], "HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n");
-  for (int i = 0; i < 64; ++i) box_sends(box, box_host, box.accepted[0], block);
+  for (int i = 0; i < 64; ++i)
+    box_sends(box, box_host, box.accepted[0], block);
   EXPECT_LE(net.waiting_at(viewer_host), terms.most_unsent + 2 * block.size());
   EXPECT_EQ(told_of<TryEnded>().size(), 0u) << "the box is not blamed";
   net.run(net.now() + 20s);
@@ -583,7 +597,8 @@
 
 TEST_F(Mishaps, ASetUpForAPlaybackThatIsGoneIsToldAsNotSent) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Withdrawn>(event)) return {violettide::SetUp{0, 0, 500ms}};
+    if (std::holds_alternative<Withdrawn>(event))
+      return {violettide::SetUp{0, 0, 500ms}};
     return {};
   };
   const auto link = dial();
@@ -612,7 +627,8 @@
 TEST_F(Mishaps, AStopAtItsLimitAnswersEverybodyFirst) {
   decide = [](Span, const Event& event) -> std::vector<Order> {
     const auto* request = std::get_if<Request>(&event);
-    if (!request || request->plan == 0) return {};
+    if (!request || request->plan == 0)
+      return {};
     return {violettide::SetUp{request->playback, 0, 60s}};
   };
   terms.plans[0].abandon = terms.plans[1].abandon = 60s;
@@ -638,12 +654,17 @@
     const auto link = dial();
     send(link, get("/a/t" + std::to_string(i % 5) + "/r2/0", "s" + std::to_string(i)));
     const auto links = asked(box);
-    if (i % 3 == 0 && !links.empty()) box_sends(box, box_host, links.back(), object("x"));
-    if (i % 2 == 0) viewer.next.push_back(Close{link, i % 4 == 0}), act(viewer_host);
-    if (i % 7 == 0) net.run(net.now() + 1s);
-    for (auto& [l, peer] : box.peers) peer.got.clear();
+    if (i % 3 == 0 && !links.empty())
+      box_sends(box, box_host, links.back(), object("x"));
+    if (i % 2 == 0)
+      viewer.next.push_back(Close{link, i % 4 == 0}), act(viewer_host);
+    if (i % 7 == 0)
+      net.run(net.now() + 1s);
+    for (auto& [l, peer] : box.peers)
+      peer.got.clear();
   }
-  for (Link link = 1; link < next_link; ++link) viewer.next.push_back(Close{link, false});
+  for (Link link = 1; link < next_link; ++link)
+    viewer.next.push_back(Close{link, false});
   act(viewer_host);
   net.run(net.now() + 30s);
   EXPECT_EQ(front->held().playbacks, 0u);
@@ -679,7 +700,8 @@
   net.add(list, 1);
   net.run(10s);
   int fullest = 0;
-  for (const auto& [slice, count] : slices) fullest = std::max(fullest, count);
+  for (const auto& [slice, count] : slices)
+    fullest = std::max(fullest, count);
   EXPECT_GT(polls, fronts * 15);
   EXPECT_LE(fullest, 8) << "even: " << polls / 500.0;
 }
--- a/tests/program/net.h
+++ b/tests/program/net.h
@@ -30,7 +30,8 @@
   int add(Core& core, int doors) {
     const int host = static_cast<int>(hosts_.size());
     hosts_.push_back({&core, {}, {}, first_accepted, true, Span(-1), 0});
-    for (int i = 0; i < doors; ++i) hosts_[host].open.insert(i);
+    for (int i = 0; i < doors; ++i)
+      hosts_[host].open.insert(i);
     post(now_, host, Woken{});
     return host;
   }
@@ -40,7 +41,8 @@
   void replace(int host, Core& core, int doors = 1) {
     hosts_[host].core = &core;
     hosts_[host].alive = true;
-    for (int door = 0; door < doors; ++door) hosts_[host].open.insert(door);
+    for (int door = 0; door < doors; ++door)
+      hosts_[host].open.insert(door);
     post(now_, host, Woken{});
   }
   // The process is gone at once: its peers' connections are reset, its doors refuse.
@@ -48,8 +50,10 @@
     hosts_[host].alive = false;
     hosts_[host].open.clear();
     std::vector<Link> all;
-    for (const auto& [link, wire] : hosts_[host].wires) all.push_back(link);
-    for (const auto link : all) cut(host, link, Ending::reset);
+    for (const auto& [link, wire] : hosts_[host].wires)
+      all.push_back(link);
+    for (const auto link : all)
+      cut(host, link, Ending::reset);
   }
   // Hears nothing until then; what came meanwhile waits.
   void stand_still(int host, Span until) { hosts_[host].still_until = until; }
@@ -57,7 +61,8 @@
   void tell_to_stop(int host) { post(now_, host, StopAsked{}); }
   std::size_t waiting_at(int host) const {  // bytes sent to it that it does not read
     std::size_t bytes = 0;
-    for (const auto& [link, wire] : hosts_[host].wires) bytes += wire.waiting.size();
+    for (const auto& [link, wire] : hosts_[host].wires)
+      bytes += wire.waiting.size();
     return bytes;
   }
   bool left(int host) const { return !hosts_[host].alive; }
@@ -73,7 +78,8 @@
       events_.erase(events_.begin());
       now_ = std::max(now_, key.first);
       auto& host = hosts_[event.host];
-      if (!host.alive) continue;
+      if (!host.alive)
+        continue;
       if (!event.bytes.empty() && std::holds_alternative<Woken>(event.what) && key.second != host.wake)
         continue;
       if (now_ < host.still_until) {
@@ -116,7 +122,8 @@
     auto& host = hosts_[event.host];
     if (auto* received = std::get_if<Received>(&event.what)) {
       const auto wire = host.wires.find(received->link);
-      if (wire == host.wires.end()) return;
+      if (wire == host.wires.end())
+        return;
       if (wire->second.held) {
         wire->second.waiting += event.bytes;
         return;
@@ -126,19 +133,23 @@
       post(now_, far.host, Flushed{far.link});
     } else if (const auto* half = std::get_if<HalfClosed>(&event.what)) {
       const auto wire = host.wires.find(half->link);
-      if (wire == host.wires.end()) return;
+      if (wire == host.wires.end())
+        return;
       if (wire->second.held) {
         wire->second.half_waiting = true;
         return;
       }
     } else if (const auto* ended = std::get_if<Ended>(&event.what)) {
-      if (!host.wires.erase(ended->link)) return;
+      if (!host.wires.erase(ended->link))
+        return;
     } else if (const auto* flushed = std::get_if<Flushed>(&event.what)) {
-      if (!host.wires.contains(flushed->link)) return;
+      if (!host.wires.contains(flushed->link))
+        return;
     }
     std::vector<Action> actions;
     host.core->handle(now_, event.what, actions);
-    for (auto& act : actions) perform(event.host, act);
+    for (auto& act : actions)
+      perform(event.host, act);
   }
 
   void perform(int at, Action& act) {
@@ -159,15 +170,18 @@
             },
             [&](Send& a) {
               const auto wire = host.wires.find(a.link);
-              if (wire == host.wires.end() || (lost && lost(at, wire->second.host))) return;
+              if (wire == host.wires.end() || (lost && lost(at, wire->second.host)))
+                return;
               post(now_ + latency, wire->second.host, Received{wire->second.link, {}}, std::move(a.bytes));
             },
             [&](Close& a) {
               const auto wire = host.wires.find(a.link);
-              if (wire == host.wires.end()) return;
+              if (wire == host.wires.end())
+                return;
               const auto far = wire->second;
               host.wires.erase(wire);
-              if (far.link == 0) return;
+              if (far.link == 0)
+                return;
               if (a.after_sending)
                 post(now_ + latency, far.host, HalfClosed{far.link});
               else
@@ -179,12 +193,14 @@
             },
             [&](Resume& a) {
               const auto found = host.wires.find(a.link);
-              if (found == host.wires.end() || !found->second.held) return;
+              if (found == host.wires.end() || !found->second.held)
+                return;
               auto& wire = found->second;
               wire.held = false;
               if (!wire.waiting.empty())
                 post(now_, at, Received{a.link, {}}, std::exchange(wire.waiting, {}));
-              if (std::exchange(wire.half_waiting, false)) post(now_, at, HalfClosed{a.link});
+              if (std::exchange(wire.half_waiting, false))
+                post(now_, at, HalfClosed{a.link});
             },
             [&](WakeAt& a) {  // replaces an earlier one
               host.wake = sequence_;
@@ -197,7 +213,8 @@
             },
             [&](Keep& a) {
               kept.push_back(a.bytes);
-              if (keep_fails.empty()) kept_by[at].push_back(a.bytes);
+              if (keep_fails.empty())
+                kept_by[at].push_back(a.bytes);
               const auto failed = keep_fails;
               post(now_ + keep_time, at, KeepDone{a.ticket, failed});
             },
@@ -210,10 +227,12 @@
 
   void cut(int host, Link link, Ending how) {
     const auto wire = hosts_[host].wires.find(link);
-    if (wire == hosts_[host].wires.end()) return;
+    if (wire == hosts_[host].wires.end())
+      return;
     const auto far = wire->second;
     hosts_[host].wires.erase(wire);
-    if (far.link != 0) post(now_ + latency, far.host, Ended{far.link, how});
+    if (far.link != 0)
+      post(now_ + latency, far.host, Ended{far.link, how});
   }
 
   std::deque<Host> hosts_;
@@ -241,14 +260,16 @@
                    [&](const Connected& c) { peers[c.link].connected = true; },
                    [&](const Received& r) {
                      peers[r.link].got += r.bytes;
-                     if (on_bytes) on_bytes(*this, r.link, actions);
+                     if (on_bytes)
+                       on_bytes(*this, r.link, actions);
                    },
                    [&](const HalfClosed& h) { peers[h.link].half_closed = true; },
                    [&](const Ended& e) { peers[e.link].ended = true; },
                    [&](const auto&) {},
                },
                what);
-    for (auto& act : next) actions.push_back(std::move(act));
+    for (auto& act : next)
+      actions.push_back(std::move(act));
     next.clear();
   }
 };
--- a/tests/program/peers_test.cpp
+++ b/tests/program/peers_test.cpp
@@ -19,7 +19,8 @@
 std::vector<std::string> sent(const std::vector<Action>& actions) {
   std::vector<std::string> all;
   for (const auto& act : actions) {
-    if (const auto* send = std::get_if<Send>(&act)) all.push_back(send->bytes);
+    if (const auto* send = std::get_if<Send>(&act))
+      all.push_back(send->bytes);
   }
   return all;
 }
@@ -54,7 +55,8 @@
   const auto joined = frames[0] + frames[1];
   std::vector<Heard> heard;
   for (const char byte : joined) {
-    for (auto& one : b.received(in, std::string(1, byte), actions)) heard.push_back(one);
+    for (auto& one : b.received(in, std::string(1, byte), actions))
+      heard.push_back(one);
   }
   ASSERT_EQ(heard.size(), 2u);
   EXPECT_EQ(heard[1].payload, "two");
@@ -63,7 +65,8 @@
 }
 
 TEST_F(Two, AFrameLeftOutRepeatedOrOfAnotherConnectionIsRefused) {
-  for (int i = 0; i < 3; ++i) a.send(0s, 1, 7, std::to_string(i), actions);
+  for (int i = 0; i < 3; ++i)
+    a.send(0s, 1, 7, std::to_string(i), actions);
   const auto frames = greet();
   const auto refused = [&](Link link, const std::string& bytes) {
     actions.clear();
@@ -97,7 +100,8 @@
 }
 
 TEST_F(Two, TheQueueToOneThatIsDownEndsAndIsTold) {
-  for (int i = 0; i < 10; ++i) a.send(0s, 1, 7, std::to_string(i), actions);
+  for (int i = 0; i < 10; ++i)
+    a.send(0s, 1, 7, std::to_string(i), actions);
   EXPECT_EQ(a.take_remarks().size(), 1u) << "once, not for each";
   const auto frames = greet();
   ASSERT_EQ(frames.size(), 3u);
@@ -111,7 +115,8 @@
   for (; now < 60s; now += 50ms) {
     actions.clear();
     a.time_passed(now, actions);
-    if (!did<Dial>(actions) && !(now == 0s)) continue;
+    if (!did<Dial>(actions) && !(now == 0s))
+      continue;
     dials.push_back(now);
     a.ended(now, dialed);
     dialed = 100 + static_cast<Link>(dials.size());
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -11,7 +11,8 @@
   // The module has this tried next for whatever it is told.
   void says_set_up_on(std::function<bool(const Event&)> which, PlaybackId id = 0, ServerId server = 0) {
     says = [=](const Event& event) -> std::vector<Order> {
-      if (which(event)) return {SetRung{id, 1}, violettide::SetUp{id, server, 500ms}};
+      if (which(event))
+        return {SetRung{id, 1}, violettide::SetUp{id, server, 500ms}};
       return {};
     };
   }
@@ -38,7 +39,8 @@
   }
   std::size_t count(const std::string& text, const std::string& part) const {
     std::size_t found = 0;
-    for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++found;
+    for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1))
+      ++found;
     return found;
   }
   std::string server_entry(const std::string& name, const std::string& at, const std::string& status) const {
@@ -71,7 +73,8 @@
     const auto link = connected_to_a();
     settles = false;
     hear(viewer, offer());
-    for (const auto& one : way.happens) happen(one);
+    for (const auto& one : way.happens)
+      happen(one);
     settle();
     EXPECT_EQ(sent(link), "") << way.how;
     EXPECT_EQ(core->held().playbacks, 0u) << way.how;
@@ -86,7 +89,8 @@
     make(256);
     const auto link = connected_to_a();
     hear(viewer, offer());
-    for (const auto& one : way.happens) happen(one);
+    for (const auto& one : way.happens)
+      happen(one);
     EXPECT_EQ(sent(link), set_up() + release_bytes(call_number, 16)) << way.how;
     EXPECT_EQ(core->held().playbacks, 0u) << way.how;
   }
@@ -101,9 +105,12 @@
       hear(viewer, offer());
       const auto link = dialled("10.1.0.1");
       settles = false;  // in one turn
-      if (!left_first) happen(Connected{link});
-      for (const auto& one : way.happens) happen(one);
-      if (left_first) happen(Connected{link});
+      if (!left_first)
+        happen(Connected{link});
+      for (const auto& one : way.happens)
+        happen(one);
+      if (left_first)
+        happen(Connected{link});
       settle();
       EXPECT_EQ(sent(link), "") << way.how;
       EXPECT_EQ(core->held().playbacks, 0u) << way.how;
@@ -121,16 +128,20 @@
       says = [](const Event& event) -> std::vector<Order> {
         const auto* request = std::get_if<Request>(&event);
         const auto* ended = std::get_if<TryEnded>(&event);
-        if (!request && (!ended || ended->over)) return {};
+        if (!request && (!ended || ended->over))
+          return {};
         const auto id = request ? request->playback : ended->playback;
         return {SetRung{id, 1}, violettide::SetUp{id, 0, 500ms}};
       };
       hear(viewer, offer());
       EXPECT_EQ(sent(link), set_up());
       settles = false;
-      if (!left_first) hear(link, release(47));
-      for (const auto& one : way.happens) happen(one);
-      if (left_first) hear(link, release(47));
+      if (!left_first)
+        hear(link, release(47));
+      for (const auto& one : way.happens)
+        happen(one);
+      if (left_first)
+        hear(link, release(47));
       settle();
       EXPECT_EQ(count(sent(link), set_up()), 0u) << way.how;
       EXPECT_EQ(core->held().playbacks, 0u) << way.how;
@@ -148,7 +159,8 @@
       says = [&, timer](const Event& event) -> std::vector<Order> {
         if (const auto* request = std::get_if<Request>(&event)) {
           asked = request->playback;
-          if (timer) return {SetTimer{50ms, 7}};
+          if (timer)
+            return {SetTimer{50ms, 7}};
           return {Probe{0}};
         }
         if (std::holds_alternative<ProbeEnded>(event) || std::holds_alternative<TimerRang>(event))
@@ -157,7 +169,8 @@
       };
       hear(viewer, offer());
       sent(link);
-      for (const auto& one : way.happens) happen(one);
+      for (const auto& one : way.happens)
+        happen(one);
       pass(300ms);  // the probe's time is up, the timer rings
       EXPECT_EQ(sent(link), "") << way.how;
       ASSERT_FALSE(of_kind<TryEnded>(told).empty()) << "the module waits for no try";
@@ -247,7 +260,8 @@
   happen(Ended{link, Ending::reset});
   for (int i = 0; i < 30; ++i) {  // no descriptor for far longer than a silent server is given
     const auto dial = dialled("10.1.0.1");
-    if (dial) happen(Ended{dial, Ending::unable});
+    if (dial)
+      happen(Ended{dial, Ending::unable});
     pass(500ms);
   }
   EXPECT_EQ(core->held().playbacks, 1u) << "what plays there goes on";
@@ -264,7 +278,8 @@
   EXPECT_EQ(outcome(), Outcome::not_sent);
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::rejected, 400));
   says = [](const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Request>(event)) return {Probe{1}};
+    if (std::holds_alternative<Request>(event))
+      return {Probe{1}};
     return {};
   };
   hear(viewer, offer());
@@ -308,7 +323,8 @@
   happen(Ended{link, Ending::reset});
   settle();
   std::vector<Outcome> outcomes;
-  for (const auto& one : of_kind<TryEnded>(told)) outcomes.push_back(one.outcome);
+  for (const auto& one : of_kind<TryEnded>(told))
+    outcomes.push_back(one.outcome);
   EXPECT_EQ(outcomes, (std::vector{Outcome::reset, Outcome::reset, Outcome::no_connection}))
       << "a kept connection's reset proves nothing of what was written to it";
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::reset) + end_line(0xaa, cause::reset) +
@@ -373,7 +389,8 @@
   happen(Connected{channel_link});
   says = [this](const Event& event) -> std::vector<Order> {
     const auto* ended = std::get_if<TryEnded>(&event);
-    if (!ended || ended->over || tries++ > 1) return {};
+    if (!ended || ended->over || tries++ > 1)
+      return {};
     return {SetRung{ended->playback, 1}, violettide::SetUp{ended->playback, 0, 500ms}};
   };
   hear(channel_link, event(2, false, server_entry("s-a", "10.1.0.7", "Ready")));
@@ -395,7 +412,8 @@
   hear(channel_link, event(2, false, entries));
   says = [](const Event& event) -> std::vector<Order> {
     const auto* request = std::get_if<Request>(&event);
-    if (!request) return {};
+    if (!request)
+      return {};
     return {SetRung{request->playback, 1},
             violettide::SetUp{request->playback, 2 + request->playback % 100, 500ms}};
   };
@@ -405,7 +423,8 @@
   for (int i = 0; i < 100; ++i) {
     hear(viewer, offer(call_text(1000 + i)));
     const auto link = connect("10.3.0." + std::to_string(i));
-    if (i == 0) first = link;
+    if (i == 0)
+      first = link;
     EXPECT_EQ(sent(link), set_up(1000 + i)) << "every server is reached";
     hear(link, release(34, 1000 + i));
     pass(1ms);
@@ -510,8 +529,10 @@
     make(256);
     told.clear();
     const auto old = channel_link;
-    if (during != During::dial) happen(Connected{old});
-    if (during == During::watch) hear(old, "1\n");
+    if (during != During::dial)
+      happen(Connected{old});
+    if (during == During::watch)
+      hear(old, "1\n");
     moved("10.2.0.8");
     moved("10.2.0.9");
     EXPECT_TRUE(hung(old));
@@ -727,9 +748,11 @@
 
 TEST_F(Crossing, AnswersInPiecesAreOneAnswer) {
   const auto link = connected_to_a();
-  for (const char c : offer()) hear(viewer, std::string(1, c));
+  for (const char c : offer())
+    hear(viewer, std::string(1, c));
   EXPECT_EQ(sent(link), set_up());
-  for (const char c : accept()) hear(link, std::string(1, c));
+  for (const char c : accept())
+    hear(link, std::string(1, c));
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
   hear(viewer, offer("00000000000000aa") + offer("00000000000000ab").substr(0, 30));
   EXPECT_EQ(sent(link), set_up(0xaa));
@@ -746,10 +769,14 @@
     now += 499ms;
     settles = false;
     for (const auto one : order) {
-      if (one == Of::answer) hear(link, accept());
-      if (one == Of::refusal) hear(link, release(34));
-      if (one == Of::deadline) now += 2ms, happen(Woken{});
-      if (one == Of::cancel) hear(viewer, end());
+      if (one == Of::answer)
+        hear(link, accept());
+      if (one == Of::refusal)
+        hear(link, release(34));
+      if (one == Of::deadline)
+        now += 2ms, happen(Woken{});
+      if (one == Of::cancel)
+        hear(viewer, end());
     }
     settle();
     const auto said = sent(viewer);
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -29,7 +29,8 @@
 
 inline std::string from_server(int type, CallId id, const std::string& parameters = "") {
   std::string body(1, static_cast<char>(type));
-  for (int shift = 56; shift >= 0; shift -= 8) body += static_cast<char>(id >> shift & 255);
+  for (int shift = 56; shift >= 0; shift -= 8)
+    body += static_cast<char>(id >> shift & 255);
   body += parameters;
   return std::string(1, static_cast<char>(body.size() >> 8)) + static_cast<char>(body.size() & 255) + body;
 }
@@ -89,7 +90,8 @@
     core->handle(now, what, actions);
     if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<Settle>(act); }) > 0)
       unsettled = true;
-    if (settles) settle();
+    if (settles)
+      settle();
   }
   void settle() {
     while (std::exchange(unsettled, false)) {
@@ -112,7 +114,8 @@
     Link link = 0;
     std::erase_if(actions, [&](const Action& act) {
       const auto* dial = std::get_if<Dial>(&act);
-      if (!dial || dial->address != address) return false;
+      if (!dial || dial->address != address)
+        return false;
       link = dial->link;
       return true;
     });
@@ -122,7 +125,8 @@
     std::string all;
     std::erase_if(actions, [&](const Action& act) {
       const auto* send = std::get_if<Send>(&act);
-      if (!send || send->link != link) return false;
+      if (!send || send->link != link)
+        return false;
       all += send->bytes;
       return true;
     });
@@ -148,12 +152,15 @@
   void always_at(ServerId server, Span limit = 500ms) {
     says = [=, this](const Event& event) -> std::vector<Order> {
       std::optional<PlaybackId> id;
-      if (const auto* request = std::get_if<Request>(&event)) id = request->playback;
+      if (const auto* request = std::get_if<Request>(&event))
+        id = request->playback;
       if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
-        if (tries == 1) return {Reject{ended->playback, 400ms}};
+        if (tries == 1)
+          return {Reject{ended->playback, 400ms}};
         id = ended->playback;
       }
-      if (!id) return {};
+      if (!id)
+        return {};
       ++tries;
       return {SetRung{*id, 1}, violettide::SetUp{*id, server, limit}};
     };
--- a/tests/program/platform_sockets_test.cpp
+++ b/tests/program/platform_sockets_test.cpp
@@ -58,7 +58,8 @@
   static Peer to(std::uint16_t port) {
     Peer peer(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const auto place = place_of(port);
-    if (::connect(peer.socket_, reinterpret_cast<const sockaddr*>(&place), sizeof place) != 0) peer.close();
+    if (::connect(peer.socket_, reinterpret_cast<const sockaddr*>(&place), sizeof place) != 0)
+      peer.close();
     return peer;
   }
   bool open() const { return socket_ >= 0; }
@@ -69,7 +70,8 @@
     (void)!::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   void close() {
-    if (socket_ >= 0) ::close(std::exchange(socket_, -1));
+    if (socket_ >= 0)
+      ::close(std::exchange(socket_, -1));
   }
   void reset() {
     const linger at_once{1, 0};
@@ -82,7 +84,8 @@
     const auto until = Clock::now() + within;
     while (heard.find(part) == std::string::npos) {
       const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
-      if (left <= 0ms || !read(left)) return false;
+      if (left <= 0ms || !read(left))
+        return false;
     }
     return true;
   }
@@ -97,10 +100,12 @@
  private:
   bool read(std::chrono::milliseconds within) {
     pollfd ready{socket_, POLLIN, 0};
-    if (::poll(&ready, 1, static_cast<int>(within.count())) <= 0) return false;
+    if (::poll(&ready, 1, static_cast<int>(within.count())) <= 0)
+      return false;
     char bytes[4096];
     const auto count = ::recv(socket_, bytes, sizeof bytes, 0);
-    if (count > 0) heard.append(bytes, static_cast<std::size_t>(count));
+    if (count > 0)
+      heard.append(bytes, static_cast<std::size_t>(count));
     ended_ = ended_ || count <= 0;
     broken_ = broken_ || count < 0;
     return count > 0;
@@ -125,7 +130,8 @@
   ~Door() { ::close(socket_); }
   std::optional<Peer> accept(std::chrono::milliseconds within = patience) {
     pollfd ready{socket_, POLLIN, 0};
-    if (::poll(&ready, 1, static_cast<int>(within.count())) <= 0) return std::nullopt;
+    if (::poll(&ready, 1, static_cast<int>(within.count())) <= 0)
+      return std::nullopt;
     return Peer(::accept4(socket_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   std::uint16_t port = 0;
@@ -148,7 +154,8 @@
                                "\n";
 std::string binary(int type, std::uint64_t call, int code, const std::string& value) {
   std::string body(1, static_cast<char>(type));
-  for (int shift = 56; shift >= 0; shift -= 8) body += static_cast<char>(call >> shift & 255);
+  for (int shift = 56; shift >= 0; shift -= 8)
+    body += static_cast<char>(call >> shift & 255);
   body += static_cast<char>(code);
   body += static_cast<char>(value.size() >> 8);
   body += static_cast<char>(value.size() & 255);
@@ -228,7 +235,8 @@
   std::optional<int> ends(std::chrono::milliseconds within) {
     const auto until = Clock::now() + within;
     for (int status = 0; Clock::now() < until; ::usleep(2000)) {
-      if (::waitpid(process_, &status, WNOHANG) != process_) continue;
+      if (::waitpid(process_, &status, WNOHANG) != process_)
+        continue;
       process_ = 0;
       return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
     }
@@ -261,9 +269,12 @@
   for (std::uint64_t call = 16; call < 24; ++call) {
     auto peer = Peer::to(port_);
     peer.say(offer(call));
-    if (call % 3 == 0) peer.close();
-    if (call % 3 == 1) peer.reset();
-    if (call % 3 == 2) peer.writes_no_more(), leavers.push_back(std::move(peer));
+    if (call % 3 == 0)
+      peer.close();
+    if (call % 3 == 1)
+      peer.reset();
+    if (call % 3 == 2)
+      peer.writes_no_more(), leavers.push_back(std::move(peer));
   }
   auto last = Peer::to(port_);
   last.say(offer(2));
@@ -304,16 +315,20 @@
   }  // discovery is down from the start
   start(server.port, channel_port, 128);
   std::vector<Peer> idle;
-  for (int i = 0; i < 200; ++i) idle.push_back(Peer::to(port_));
+  for (int i = 0; i < 200; ++i)
+    idle.push_back(Peer::to(port_));
   auto box = std::optional<Peer>();
   const auto until = Clock::now() + patience;
   std::uint64_t call = 0;
   for (bool served = false; !served && Clock::now() < until;) {
     auto peer = Peer::to(port_);
-    if (!peer.open()) continue;
+    if (!peer.open())
+      continue;
     peer.try_say(offer(++call));
-    if (!box) box = server.accept(500ms);
-    if (!box || !box->hear(bytes_of(call), 500ms)) continue;
+    if (!box)
+      box = server.accept(500ms);
+    if (!box || !box->hear(bytes_of(call), 500ms))
+      continue;
     box->say(accept_of(call));
     served = peer.hear("\"accept\"", 1s);
   }
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -105,7 +105,8 @@
   EXPECT_TRUE(hung(link));
   const auto ended = of_kind<TryEnded>(told);
   ASSERT_EQ(ended.size(), 2u);
-  for (const auto& one : ended) EXPECT_EQ(one.outcome, Outcome::reset) << "it may have run";
+  for (const auto& one : ended)
+    EXPECT_EQ(one.outcome, Outcome::reset) << "it may have run";
   EXPECT_EQ(sent(link), set_up_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}) +
                             set_up_bytes({0xaa, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
 }
@@ -223,12 +224,14 @@
   const auto said = [&] {
     std::vector<Say> all;
     for (const auto& act : actions) {
-      if (const auto* say = std::get_if<Say>(&act); say && say->event == "turned_off") all.push_back(*say);
+      if (const auto* say = std::get_if<Say>(&act); say && say->event == "turned_off")
+        all.push_back(*say);
     }
     return all;
   };
   come();
-  for (int i = 0; i < 5; ++i) hear(viewer, offer(call_text(i), "0"));
+  for (int i = 0; i < 5; ++i)
+    hear(viewer, offer(call_text(i), "0"));
   come(viewer + 1);
   hear(viewer + 1, offer(call, "0"));
   ASSERT_EQ(said().size(), 1u);
@@ -301,7 +304,8 @@
 // All at once, so that none has rested: descriptors are left for the servers and the channel.
 TEST_F(PlatformTest, BeyondFiveEighthsOfTheDescriptorsNewcomersAreRefused) {
   make(64);
-  for (Link link = viewer; link < viewer + 50; ++link) come(link);
+  for (Link link = viewer; link < viewer + 50; ++link)
+    come(link);
   EXPECT_EQ(core->held().viewer_links, 40u);
   EXPECT_FALSE(hung(viewer + 39));
   EXPECT_TRUE(hung(viewer + 40));
@@ -315,7 +319,8 @@
   for (Link link = viewer; link < viewer + 33; ++link) {
     come(link);
     hear(link, words);
-    if (link == viewer) now += 300ms;
+    if (link == viewer)
+      now += 300ms;
   }
   hear(viewer, offer());
   pass(30ms);
@@ -392,7 +397,8 @@
   const auto link = playing();
   sent(link);
   says = [](const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Note>(event)) return {SetRung{0, 0}};
+    if (std::holds_alternative<Note>(event))
+      return {SetRung{0, 0}};
     return {};
   };
   hear(link, from_server(44, call_number, parameter(150, "kept_up") + parameter(165, "0.5")));
@@ -402,7 +408,8 @@
 
 TEST_F(PlatformTest, ATestIsAProbe) {
   says = [](const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Request>(event)) return {Probe{1}};
+    if (std::holds_alternative<Request>(event))
+      return {Probe{1}};
     return {};
   };
   come();
@@ -474,7 +481,8 @@
   come();
   const auto test = R"({"op":"test","call":"0000000000000001","with":{},"why":0})"
                     "\n";
-  for (int i = 0; i < 5000; ++i) hear(viewer, test);
+  for (int i = 0; i < 5000; ++i)
+    hear(viewer, test);
   EXPECT_TRUE(hung(viewer));
 }
 
@@ -489,13 +497,16 @@
     auto words = offer(call_text(id));
     words.replace(words.find("\"t1\""), 4, "\"t" + std::to_string(i) + "\"");
     hear(viewer, words);
-    if (i == 0) link = connect("10.1.0.1");
-    if (i % 3 != 0) hear(link, accept(id));
+    if (i == 0)
+      link = connect("10.1.0.1");
+    if (i % 3 != 0)
+      hear(link, accept(id));
     i % 2 == 0 ? hear(link, release(i % 3 == 0 ? 34 : 16, id)) : hear(viewer, end(call_text(id)));
     actions.clear();
     happen(Flushed{viewer});  // it reads all it is sent
     pass(1ms);
-    if (i == 1000) timers = core->held().timers;
+    if (i == 1000)
+      timers = core->held().timers;
   }
   EXPECT_EQ(core->held().playbacks, 0u);
   EXPECT_EQ(core->held().titles, 0u);
--- a/tests/program/platform_wire_test.cpp
+++ b/tests/program/platform_wire_test.cpp
@@ -63,7 +63,8 @@
 TEST(ViewerLines, ALineThatNeverEndsIsGivenUpAndNothingIsReadAfter) {
   ViewerReader reader;
   Messages messages;
-  for (int i = 0; i < 5; ++i) reader.take(std::string(message_most / 2, 'a'), messages);
+  for (int i = 0; i < 5; ++i)
+    reader.take(std::string(message_most / 2, 'a'), messages);
   reader.take("\n" + offer, messages);
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<Unreadable>(messages[0]));
@@ -243,12 +244,15 @@
       EXPECT_EQ(channel.wish(now), Channel::Wish::none) << "never at once";
       const auto waited = channel.look_at() - now;
       EXPECT_LE(waited, dial == 1 ? 200ms : 500ms);
-      if (dial > 2) EXPECT_GE(waited, 200ms) << "it backs off";
+      if (dial > 2)
+        EXPECT_GE(waited, 200ms) << "it backs off";
       now = channel.look_at();
       ASSERT_EQ(channel.wish(now), Channel::Wish::dial);
       channel.dialled(now);
-      if (dial == 1) ++first[std::chrono::floor<std::chrono::milliseconds>(now)];
-      if (dial == 10) ++tenth[std::chrono::floor<std::chrono::milliseconds>(now)];
+      if (dial == 1)
+        ++first[std::chrono::floor<std::chrono::milliseconds>(now)];
+      if (dial == 10)
+        ++tenth[std::chrono::floor<std::chrono::milliseconds>(now)];
     }
   }
   const auto most = [](const std::map<Span, int>& dials) {
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -31,7 +31,8 @@
  public:
   explicit Hall(std::uint32_t seed) : chance_(seed), latency_(number(200, 60'000)), model_(rules(latency_)) {
     net_.latency = latency_;
-    for (int b = 0; b < boxes; ++b) states_.push_back("ready");
+    for (int b = 0; b < boxes; ++b)
+      states_.push_back("ready");
     for (int f = 0; f < fronts; ++f) {
       lives_.push_back(0);
       running_.push_back(true);
@@ -60,25 +61,33 @@
     for (Span at = 10ms; at < 16s && !model_.broken(); at += 10ms) {
       net_.run(at);
       told();
-      if (at < 10s && number(0, 99) < 25) ask();
-      if (at < 10s && number(0, 999) < 6) change_list();
-      if (at < 10s && number(0, 999) < 4) end_front(number(0, fronts - 1));
+      if (at < 10s && number(0, 99) < 25)
+        ask();
+      if (at < 10s && number(0, 999) < 6)
+        change_list();
+      if (at < 10s && number(0, 999) < 4)
+        end_front(number(0, fronts - 1));
       if (at < 10s && number(0, 999) < 1) {
-        for (int f = 0; f < fronts; ++f) end_front(f);  // a hall's restart
+        for (int f = 0; f < fronts; ++f)
+          end_front(f);  // a hall's restart
       }
       for (int f = 0; f < fronts; ++f) {
-        if (!running_[f] && at >= back_at_[f]) begin(f);
+        if (!running_[f] && at >= back_at_[f])
+          begin(f);
       }
       for (const auto& [playback, due] : std::map<int, Span>(pending_)) {
-        if (at < due) continue;
+        if (at < due)
+          continue;
         const int front = front_of_[playback];
         if (running_[front] && !stopping_[front])
           take(playback);
         else
           pending_.erase(playback);
       }
-      if (at % 500ms == Span(0)) model_.check(net_.now());
-      if (wrong_ = stops(); !wrong_.empty()) break;
+      if (at % 500ms == Span(0))
+        model_.check(net_.now());
+      if (wrong_ = stops(); !wrong_.empty())
+        break;
     }
     return model_.broken();
   }
@@ -101,7 +110,8 @@
           text.clear();
         }
       }
-      if (const auto* ended = std::get_if<Ended>(&what)) hall.try_over(number, ended->link, false);
+      if (const auto* ended = std::get_if<Ended>(&what))
+        hall.try_over(number, ended->link, false);
       while (!due.empty() && due.begin()->first <= now) {
         const auto [link, text] = due.begin()->second;
         due.erase(due.begin());
@@ -113,7 +123,8 @@
           actions.push_back(Send{link, text});
         }
       }
-      if (!due.empty()) actions.push_back(WakeAt{due.begin()->first});
+      if (!due.empty())
+        actions.push_back(WakeAt{due.begin()->first});
     }
     void answer(Span now, Link link, const std::string& text) {
       const bool set_up = text.find(", su") != std::string::npos || text.find("su,") != std::string::npos ||
@@ -124,9 +135,12 @@
       if (set_up && id >= 0) {
         hall.try_came(number, link, id);
         const int fate = hall.number(0, 9);
-        if (fate == 0) said = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
-        if (fate == 1) said.clear();
-        if (fate == 2) return;  // silence
+        if (fate == 0)
+          said = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
+        if (fate == 1)
+          said.clear();
+        if (fate == 2)
+          return;  // silence
       }
       due.emplace(now + std::chrono::milliseconds(hall.number(1, 300)), std::pair(link, said));
     }
@@ -148,7 +162,8 @@
     terms.site.rung_kb = {10};
     terms.site.rung_revenue = {1};
     terms.site.plans.resize(2);
-    for (auto& plan : terms.site.plans) plan.startup_target = 1500ms;
+    for (auto& plan : terms.site.plans)
+      plan.startup_target = 1500ms;
     terms.site.plans[1].pay_at_setup = true;
     terms.site.kind_streams = {50};
     terms.site.link_kb_per_weight = 1e5;
@@ -170,10 +185,13 @@
 
   void step(What what, int front, int playback = 0, int server = 0, bool never_ran = false) {
     RulesModel::Step step{net_.now(), what, front, static_cast<std::uint64_t>(playback), server};
-    if (playback > 0) step.plan = playback % 2;
-    if (what == What::taken) step.until = net_.now() + abandon;
+    if (playback > 0)
+      step.plan = playback % 2;
+    if (what == What::taken)
+      step.until = net_.now() + abandon;
     step.never_ran = never_ran;
-    if (what == What::rejected) step.until = 1s;
+    if (what == What::rejected)
+      step.until = 1s;
     model_.step(step);
   }
 
@@ -196,9 +214,11 @@
   void told() {
     for (; seen_ < net_.said.size(); ++seen_) {
       const auto& [host, say] = net_.said[seen_];
-      if (say.event != "list_taken") continue;
+      if (say.event != "list_taken")
+        continue;
       for (const auto& [name, value] : say.fields) {
-        if (name != "revision" || std::get<std::int64_t>(value) < 0) continue;
+        if (name != "revision" || std::get<std::int64_t>(value) < 0)
+          continue;
         const auto& states = history_[static_cast<std::size_t>(std::get<std::int64_t>(value))];
         for (int b = 0; b < boxes; ++b)
           step(states[b] == "ready" ? What::listed_ready : What::listed_off, host, 0, b);
@@ -208,7 +228,8 @@
 
   void ask() {
     const int front = number(0, fronts - 1);
-    if (!running_[front] || stopping_[front]) return;
+    if (!running_[front] || stopping_[front])
+      return;
     const int playback = ++asked_;
     const Link link = next_link_++;
     link_of_[link] = playback;
@@ -223,13 +244,15 @@
   }
   void heard(testing::Puppet& puppet, Link link) {
     const auto found = link_of_.find(link);
-    if (found == link_of_.end() || puppet.peers[link].got.find("\r\n\r\n") == std::string::npos) return;
+    if (found == link_of_.end() || puppet.peers[link].got.find("\r\n\r\n") == std::string::npos)
+      return;
     const int playback = found->second, front = front_of_[playback];
     const auto& got = puppet.peers[link].got;
     link_of_.erase(found);
     take(playback);
     const auto run = tries_.find(playback);
-    if (got.starts_with("HTTP/1.1 200")) return step(What::plays, front, playback);
+    if (got.starts_with("HTTP/1.1 200"))
+      return step(What::plays, front, playback);
     // Tries that the manager gave up are over to it when it answers.
     if (run != tries_.end() && run->second.out) {
       step(What::ended, front, playback, run->second.box);
@@ -239,7 +262,8 @@
   }
   // It is the manager's from when it was sent: what is refused at the door got its answer too.
   void take(int playback) {
-    if (pending_.erase(playback)) step(What::taken, front_of_[playback], playback);
+    if (pending_.erase(playback))
+      step(What::taken, front_of_[playback], playback);
   }
 
   struct Try {
@@ -250,11 +274,13 @@
   void try_came(int box, Link link, int playback) {
     const int front = front_of_[playback];
     take(playback);
-    if (gone_.contains(playback)) return;
+    if (gone_.contains(playback))
+      return;
     told();
     // A kept connection carries one after another: what it carried before plays, and is its own matter.
     for (auto& [other, before] : tries_) {
-      if (before.box == box && before.link == link) before.out = false;
+      if (before.box == box && before.link == link)
+        before.out = false;
     }
     auto& t = tries_[playback];
     t = {box, link, true};
@@ -262,8 +288,10 @@
   }
   void try_over(int box, Link link, bool never_ran, bool plays = false) {
     for (auto& [playback, t] : tries_) {
-      if (!t.out || t.box != box || t.link != link || gone_.contains(playback)) continue;
-      if (plays) return;
+      if (!t.out || t.box != box || t.link != link || gone_.contains(playback))
+        continue;
+      if (plays)
+        return;
       t.out = false;
       return step(What::ended, front_of_[playback], playback, box, never_ran);
     }
@@ -271,7 +299,8 @@
 
   // Stopped in order, or killed outright; back after a while with what was kept.
   void end_front(int front) {
-    if (!running_[front] || stopping_[front]) return;
+    if (!running_[front] || stopping_[front])
+      return;
     if (number(0, 1)) {
       net_.tell_to_stop(front);
       stopping_[front] = true;
@@ -287,7 +316,8 @@
     stopping_[front] = false;
     back_at_[front] = net_.now() + std::chrono::milliseconds(number(50, 600));
     for (const auto& [playback, of] : front_of_) {
-      if (of == front) gone_.insert(playback), pending_.erase(playback);
+      if (of == front)
+        gone_.insert(playback), pending_.erase(playback);
     }
     std::erase_if(link_of_, [&](const auto& entry) { return front_of_[entry.second] == front; });
   }
@@ -296,17 +326,21 @@
     cores_[front] = make(front, true);
     running_[front] = true;
     step(What::began, front);
-    for (int b = 0; b < boxes; ++b) step(What::listed_ready, front, 0, b);  // as kept
+    for (int b = 0; b < boxes; ++b)
+      step(What::listed_ready, front, 0, b);  // as kept
     net_.replace(front, *cores_[front]);
   }
 
   // An orderly stop has its limit, and by then everybody has an answer.
   std::string stops() {
     for (int front = 0; front < fronts; ++front) {
-      if (!stopping_[front] || (!net_.left(front) && net_.now() < left_by_[front])) continue;
-      if (!net_.left(front)) return "front " + std::to_string(front) + " did not stop in time";
+      if (!stopping_[front] || (!net_.left(front) && net_.now() < left_by_[front]))
+        continue;
+      if (!net_.left(front))
+        return "front " + std::to_string(front) + " did not stop in time";
       // Answers are on their way for one latency more.
-      if (net_.now() < left_by_[front] + 150ms) continue;
+      if (net_.now() < left_by_[front] + 150ms)
+        continue;
       for (const auto& [link, playback] : link_of_) {
         if (front_of_[playback] == front && !pending_.contains(playback) && tries_.contains(playback))
           return "front " + std::to_string(front) + " stopped and left playback " + std::to_string(playback) +
