--- a/tests/program/rules_model.h
+++ b/tests/program/rules_model.h
@@ -86,16 +86,20 @@
   // Time alone may break a rule: an answer that is overdue.
   void check(Span now) {
     for (const auto& asked : history_) {
-      if (asked.what != What::taken || now <= asked.until + terms_.answer_slack) continue;
+      if (asked.what != What::taken || now <= asked.until + terms_.answer_slack)
+        continue;
       bool owed = true, later = false;
       for (const auto& step : history_) {
         later = later || &step == &asked;
-        if (!later) continue;
-        if (step.what == What::killed && step.front == asked.front) owed = false;
+        if (!later)
+          continue;
+        if (step.what == What::killed && step.front == asked.front)
+          owed = false;
         if (same(step, asked) && (step.what == What::withdrawn || step.what == What::plays || is_final(step)))
           owed = false;
       }
-      if (owed) broke(1, asked, "not answered");
+      if (owed)
+        broke(1, asked, "not answered");
     }
   }
   const std::optional<Broken>& broken() const { return broken_; }
@@ -122,20 +126,30 @@
   // 1. Each request taken gets one answer, in time; what has its end gets nothing more.
   void one_answer() {
     const auto& now = history_.back();
-    if (now.what != What::sent && now.what != What::plays && !is_final(now)) return;
+    if (now.what != What::sent && now.what != What::plays && !is_final(now))
+      return;
     const Step* asked = nullptr;
     bool answered = false, over = false, owed = true;
     for (const auto& step : history_) {
-      if (&step == &now || !same(step, now)) continue;
-      if (step.what == What::taken || step.what == What::carried) asked = &step;
-      if (step.what == What::withdrawn) owed = false;
-      if (step.what == What::plays || step.what == What::carried) answered = true;
-      if (is_final(step)) over = true;
+      if (&step == &now || !same(step, now))
+        continue;
+      if (step.what == What::taken || step.what == What::carried)
+        asked = &step;
+      if (step.what == What::withdrawn)
+        owed = false;
+      if (step.what == What::plays || step.what == What::carried)
+        answered = true;
+      if (is_final(step))
+        over = true;
     }
-    if (!asked) return broke(1, now, "nobody asked for it");
-    if (!owed && now.what == What::sent) broke(1, now, "sent after its viewer had left");
-    if (!owed) return;
-    if (over) return broke(1, now, now.what == What::sent ? "sent after its end" : "answered twice");
+    if (!asked)
+      return broke(1, now, "nobody asked for it");
+    if (!owed && now.what == What::sent)
+      broke(1, now, "sent after its viewer had left");
+    if (!owed)
+      return;
+    if (over)
+      return broke(1, now, now.what == What::sent ? "sent after its end" : "answered twice");
     if (!answered && now.what != What::sent && now.at > asked->until + terms_.answer_slack)
       broke(1, now, "answered after its viewer's time");
   }
@@ -143,17 +157,22 @@
   // 2. Paid at set-up: nothing more unless every earlier try provably never ran. Two tries out: never.
   void no_second_set_up() {
     const auto& now = history_.back();
-    if (now.what != What::sent && now.what != What::rejected) return;
+    if (now.what != What::sent && now.what != What::rejected)
+      return;
     bool out = false, may_have_run = false;
     for (const auto& step : history_) {
-      if (&step == &now || !same(step, now)) continue;
-      if (step.what == What::sent || step.what == What::carried) out = true;
+      if (&step == &now || !same(step, now))
+        continue;
+      if (step.what == What::sent || step.what == What::carried)
+        out = true;
       if (step.what == What::ended) {
         out = false;
-        if (!step.never_ran) may_have_run = true;
+        if (!step.never_ran)
+          may_have_run = true;
       }
     }
-    if (now.what == What::sent && out) broke(2, now, "two tries out at once");
+    if (now.what == What::sent && out)
+      broke(2, now, "two tries out at once");
     if (plan(now).paid && (out || may_have_run))
       broke(2, now, now.what == What::sent ? "paid and sent again" : "paid and rejected");
   }
@@ -161,42 +180,57 @@
   // 3. Nothing new past the grace after the first word of it since the server was last told to be ready.
   void drains() {
     const auto& now = history_.back();
-    if (now.what != What::sent) return;
+    if (now.what != What::sent)
+      return;
     std::optional<Span> off;
     bool named = false;
     for (const auto& word : history_) {
-      if (word.front != now.front) continue;
-      if (word.what == What::began) off.reset(), named = false;
-      if (word.server != now.server) continue;
-      if (word.what == What::listed_ready) off.reset(), named = true;
-      if (word.what == What::listed_off && !off) off = word.at;
+      if (word.front != now.front)
+        continue;
+      if (word.what == What::began)
+        off.reset(), named = false;
+      if (word.server != now.server)
+        continue;
+      if (word.what == What::listed_ready)
+        off.reset(), named = true;
+      if (word.what == What::listed_off && !off)
+        off = word.at;
     }
-    if (!named) broke(3, now, "sent to a server that was never listed as ready");
-    if (off && now.at > *off + terms_.grace) broke(3, now, "sent past the grace");
+    if (!named)
+      broke(3, now, "sent to a server that was never listed as ready");
+    if (off && now.at > *off + terms_.grace)
+      broke(3, now, "sent past the grace");
   }
 
   // 4. A server just started: in the window that ends with this set-up all fronts together stay under the
   // multiple of what it can take by now. Counted where most of the senders knew.
   void cold_pace() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.cold <= Span(0)) return;
+    if (now.what != What::sent || terms_.cold <= Span(0))
+      return;
     std::optional<Span> started;
     for (const auto& step : history_) {
-      if (step.what == What::server_started && step.server == now.server) started = step.at;
+      if (step.what == What::server_started && step.server == now.server)
+        started = step.at;
     }
-    if (!started || now.at - *started >= terms_.cold) return;
+    if (!started || now.at - *started >= terms_.cold)
+      return;
     int count = 0, knew = 0;
     for (const auto& sent : history_) {
-      if (sent.what != What::sent || sent.server != now.server) continue;
-      if (sent.at <= now.at - terms_.fall || sent.at < *started) continue;
+      if (sent.what != What::sent || sent.server != now.server)
+        continue;
+      if (sent.at <= now.at - terms_.fall || sent.at < *started)
+        continue;
       ++count;
-      if (knew_of_start(sent, *started)) ++knew;
+      if (knew_of_start(sent, *started))
+        ++knew;
     }
     const double age = std::chrono::duration<double>(now.at - *started) / terms_.cold;
     const double warmth = terms_.cold_from + (1 - terms_.cold_from) * age * age;
     const double pace = terms_.streams / std::chrono::duration<double>(terms_.cold).count();
     const double may = pace * warmth * terms_.multiple * std::chrono::duration<double>(terms_.fall).count();
-    if (2 * knew > count) fullest_ = std::max(fullest_, count / (may + terms_.cold_slack));
+    if (2 * knew > count)
+      fullest_ = std::max(fullest_, count / (may + terms_.cold_slack));
     if (count > may + terms_.cold_slack && 2 * knew > count)
       broke(4, now, std::to_string(count) + " set-ups where a cold server may get " + std::to_string(may));
   }
@@ -204,13 +238,20 @@
   bool knew_of_start(const Step& sent, Span started) const {
     bool knew = false, met = false;
     for (const auto& word : history_) {
-      if (&word == &sent) break;
-      if (word.what == What::server_stopped && word.server == sent.server) met = false;
-      if (word.front != sent.front) continue;
-      if (word.what == What::began) knew = word.at >= started, met = false;
-      if (word.server != sent.server) continue;
-      if (word.what == What::listed_start && word.until >= started) knew = true;
-      if (word.what == What::ended && word.failed) met = true;
+      if (&word == &sent)
+        break;
+      if (word.what == What::server_stopped && word.server == sent.server)
+        met = false;
+      if (word.front != sent.front)
+        continue;
+      if (word.what == What::began)
+        knew = word.at >= started, met = false;
+      if (word.server != sent.server)
+        continue;
+      if (word.what == What::listed_start && word.until >= started)
+        knew = true;
+      if (word.what == What::ended && word.failed)
+        met = true;
     }
     return knew || met;
   }
@@ -218,38 +259,55 @@
   // 5. No rung under the floor; no more playbacks of a title and plan than seats, set-ups included.
   void terms_kept() {
     const auto& now = history_.back();
-    if (now.what == What::rung && now.rung < plan(now).floor) broke(5, now, "set under its plan's floor");
-    if (now.what != What::sent || plan(now).seats <= 0) return;
+    if (now.what == What::rung && now.rung < plan(now).floor)
+      broke(5, now, "set under its plan's floor");
+    if (now.what != What::sent || plan(now).seats <= 0)
+      return;
     std::vector<std::uint64_t> held;
     for (const auto& step : history_) {
-      if (step.front != now.front) continue;
-      if (step.what == What::began) held.clear();
-      if (step.what != What::sent && step.what != What::carried && step.what != What::ended) continue;
-      if (asked(step).plan != asked(now).plan || asked(step).title != asked(now).title) continue;
+      if (step.front != now.front)
+        continue;
+      if (step.what == What::began)
+        held.clear();
+      if (step.what != What::sent && step.what != What::carried && step.what != What::ended)
+        continue;
+      if (asked(step).plan != asked(now).plan || asked(step).title != asked(now).title)
+        continue;
       std::erase(held, step.playback);
-      if (step.what != What::ended) held.push_back(step.playback);
+      if (step.what != What::ended)
+        held.push_back(step.playback);
     }
-    if (held.size() > static_cast<std::size_t>(plan(now).seats)) broke(5, now, "more playbacks than seats");
+    if (held.size() > static_cast<std::size_t>(plan(now).seats))
+      broke(5, now, "more playbacks than seats");
   }
 
   // 6. Tries beyond a playback's first, in the window that ends with one.
   void budget() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.budget_window <= Span(0) || !is_further(now)) return;
+    if (now.what != What::sent || terms_.budget_window <= Span(0) || !is_further(now))
+      return;
     double further = 0, taken = 0;
     for (const auto& step : history_) {
-      if (step.front != now.front) continue;
-      if (step.what == What::began) further = taken = 0;
-      if (step.at <= now.at - terms_.budget_window) continue;
-      if (step.what == What::taken) taken += 1;
-      if (step.what == What::sent && is_further(step)) further += 1;
+      if (step.front != now.front)
+        continue;
+      if (step.what == What::began)
+        further = taken = 0;
+      if (step.at <= now.at - terms_.budget_window)
+        continue;
+      if (step.what == What::taken)
+        taken += 1;
+      if (step.what == What::sent && is_further(step))
+        further += 1;
     }
-    if (further > terms_.budget_free + terms_.budget_share * taken) broke(6, now, "over the try budget");
+    if (further > terms_.budget_free + terms_.budget_share * taken)
+      broke(6, now, "over the try budget");
   }
   bool is_further(const Step& sent) const {
     for (const auto& before : history_) {
-      if (&before == &sent) return false;
-      if (same(before, sent) && (before.what == What::sent || before.what == What::carried)) return true;
+      if (&before == &sent)
+        return false;
+      if (same(before, sent) && (before.what == What::sent || before.what == What::carried))
+        return true;
     }
     return false;
   }
@@ -257,7 +315,8 @@
   // What is given up on gets a come-back time where allowed, and none beyond the longest.
   void come_back() {
     const auto& now = history_.back();
-    if (now.what != What::rejected) return;
+    if (now.what != What::rejected)
+      return;
     if (now.until > terms_.longest_come_back || (terms_.longest_come_back > Span(0) && now.until <= Span(0)))
       broke(0, now, "rejected with a come-back time of " + std::to_string(now.until.count()) + " us");
   }
@@ -265,7 +324,8 @@
   // As it was asked for.
   const Step& asked(const Step& step) const {
     for (const auto& s : history_) {
-      if ((s.what == What::taken || s.what == What::carried) && same(s, step)) return s;
+      if ((s.what == What::taken || s.what == What::carried) && same(s, step))
+        return s;
     }
     return step;
   }
--- a/tests/program/rules_module_test.cpp
+++ b/tests/program/rules_module_test.cpp
@@ -99,7 +99,8 @@
   std::vector<Brain> brains;
   model.step({started, What::server_started});
   for (int front = 0; front < fronts; ++front) {
-    if (numbered) terms.own_number = front;
+    if (numbered)
+      terms.own_number = front;
     brains.emplace_back(terms, seed * 1000 + static_cast<std::uint32_t>(front));
     brains.back().handle(Span(0), ServerList{});
     ServerEntry entry;
@@ -122,7 +123,8 @@
     request.abandon_at = at + 4s;
     auto& brain = brains[static_cast<std::size_t>(front)];
     for (const auto& order : brain.handle(at, request)) {
-      if (!std::holds_alternative<violettide::SetUp>(order)) continue;
+      if (!std::holds_alternative<violettide::SetUp>(order))
+        continue;
       model.step({at, What::taken, front, request.playback, 0, 0, 0, 0, request.abandon_at});
       model.step({at, What::sent, front, request.playback});
       brain.handle(at, Started{request.playback, 0, 0s});
@@ -142,7 +144,8 @@
     }
   }
   // Numbers drawn for want of better spread as chance does.
-  for (std::uint32_t seed = 1; seed <= 5; ++seed) EXPECT_LE(fullest_window(100, false, 2, 0, seed), 1);
+  for (std::uint32_t seed = 1; seed <= 5; ++seed)
+    EXPECT_LE(fullest_window(100, false, 2, 0, seed), 1);
 }
 
 // A probe for which this machine had no descriptor or port is no fault of the server's.
--- a/tests/program/rules_world.h
+++ b/tests/program/rules_world.h
@@ -47,21 +47,26 @@
     draw_terms();
     model_ = std::make_unique<RulesModel>(rules());
     servers_.resize(static_cast<std::size_t>(number(3, 7)));
-    for (auto& server : servers_) server.started = -60s;
-    for (int i = 0; i < fronts_count_; ++i) begin_front(i, 0s);
-    for (std::size_t s = 0; s < servers_.size(); ++s) plan_fate(static_cast<int>(s));
+    for (auto& server : servers_)
+      server.started = -60s;
+    for (int i = 0; i < fronts_count_; ++i)
+      begin_front(i, 0s);
+    for (std::size_t s = 0; s < servers_.size(); ++s)
+      plan_fate(static_cast<int>(s));
   }
 
   // False once a rule is broken; the model tells which.
   bool run() {
     const Span end = shape_.length + 12s;
-    for (Span at = 250ms; at < end; at += 250ms) later(at, [this] { model_->check(now_); });
+    for (Span at = 250ms; at < end; at += 250ms)
+      later(at, [this] { model_->check(now_); });
     while (!events_.empty() && events_.begin()->first.first <= end) {
       auto next = std::move(events_.begin()->second);
       now_ = events_.begin()->first.first;
       events_.erase(events_.begin());
       next();
-      if (model_->broken() || !wrong_.empty()) return false;
+      if (model_->broken() || !wrong_.empty())
+        return false;
     }
     return true;
   }
@@ -139,7 +144,8 @@
 
   RulesTerms rules() const {
     RulesTerms rules;
-    for (const auto& plan : terms_.plans) rules.plans.push_back({plan.pay_at_setup, plan.floor, plan.seats});
+    for (const auto& plan : terms_.plans)
+      rules.plans.push_back({plan.pay_at_setup, plan.floor, plan.seats});
     rules.answer_slack = 40ms;
     rules.grace = 1s;
     rules.cold = terms_.cold_time;
@@ -159,12 +165,17 @@
   SiteTerms bent_terms() const {
     auto bent = terms_;
     for (auto& plan : bent.plans) {
-      if (shape_.bend == Bend::not_paid) plan.pay_at_setup = false;
-      if (shape_.bend == Bend::no_floor) plan.floor = 0;
-      if (shape_.bend == Bend::no_seats) plan.seats = 0;
+      if (shape_.bend == Bend::not_paid)
+        plan.pay_at_setup = false;
+      if (shape_.bend == Bend::no_floor)
+        plan.floor = 0;
+      if (shape_.bend == Bend::no_seats)
+        plan.seats = 0;
     }
-    if (shape_.bend == Bend::no_cold) bent.cold_time = 0s;
-    if (shape_.bend == Bend::no_budget) bent.budget_window = 0s;
+    if (shape_.bend == Bend::no_cold)
+      bent.cold_time = 0s;
+    if (shape_.bend == Bend::no_budget)
+      bent.budget_window = 0s;
     return bent;
   }
 
@@ -189,7 +200,8 @@
     tell_all(id);
     std::vector<PlaybackId> there;
     for (auto& [playback, of] : playbacks_) {
-      if (of.out && of.server == id && !server.silent) there.push_back(playback);
+      if (of.out && of.server == id && !server.silent)
+        there.push_back(playback);
     }
     for (const auto playback : there)
       later(ms(1, 400), [this, playback] { end(playback, Outcome::reset, odds(0.6)); });
@@ -204,7 +216,8 @@
       started.server = id;
       step(started);
       tell_all(id);
-      if (odds(0.5)) plan_fate(id);
+      if (odds(0.5))
+        plan_fate(id);
     });
   }
   ServerEntry entry(int id) const {
@@ -225,7 +238,8 @@
       ServerList list;
       list.reach = whole ? ServerList::Reach::complete : ServerList::Reach::changes;
       for (int s = 0; s < static_cast<int>(servers_.size()); ++s) {
-        if (s != id && (!whole || (cut && odds(0.5)))) continue;
+        if (s != id && (!whole || (cut && odds(0.5))))
+          continue;
         list.entries.push_back(entry(s));
       }
       later(odds(0.2) ? ms(1000, 6000) : ms(5, 1500),
@@ -234,12 +248,14 @@
   }
   void hear_list(int number, int life, ServerList list) {
     auto& front = fronts_[static_cast<std::size_t>(number)];
-    if (!front.alive || front.life != life) return;
+    if (!front.alive || front.life != life)
+      return;
     if (list.reach != ServerList::Reach::changes) {
       for (const int server : front.listed) {
         const bool named = std::any_of(list.entries.begin(), list.entries.end(),
                                        [&](auto& e) { return static_cast<int>(e.server) == server; });
-        if (!named) say_listed(number, server, What::listed_off);
+        if (!named)
+          say_listed(number, server, What::listed_off);
       }
     }
     for (auto& entry : list.entries) {
@@ -257,7 +273,8 @@
       }
     }
     if (shape_.bend == Bend::no_drains) {
-      for (auto& entry : list.entries) entry.standing = Standing::ready;
+      for (auto& entry : list.entries)
+        entry.standing = Standing::ready;
       list.reach = ServerList::Reach::changes;
     }
     tell(number, list);
@@ -291,12 +308,15 @@
       cached.reach = ServerList::Reach::cached;
       for (int s = 0; s < static_cast<int>(servers_.size()); ++s) {
         cached.entries.push_back(entry(s));
-        if (odds(0.5)) cached.entries.back().started.reset();
+        if (odds(0.5))
+          cached.entries.back().started.reset();
       }
       hear_list(number, front.life, cached);
-      if (front.life == 0) carry_some(number);
+      if (front.life == 0)
+        carry_some(number);
       ask(number);
-      if (odds(0.6)) later(ms(3000, 20000), [this, number] { kill(number); });
+      if (odds(0.6))
+        later(ms(3000, 20000), [this, number] { kill(number); });
     });
   }
   void kill(int number) {
@@ -309,7 +329,8 @@
     killed.front = number;
     step(killed);
     for (auto& [id, playback] : playbacks_) {
-      if (playback.front == number) playback.over = true, playback.out = false;
+      if (playback.front == number)
+        playback.over = true, playback.out = false;
     }
     begin_front(number, ms(200, 2000));
   }
@@ -329,7 +350,8 @@
     request.title = static_cast<TitleId>(playback.title);
     request.abandon_at = playback.until - fronts_[static_cast<std::size_t>(number)].began;
     request.top = playback.top;
-    if (odds(0.5)) request.length = ms(1000, 20000);
+    if (odds(0.5))
+      request.length = ms(1000, 20000);
     request.first_cell = static_cast<int>(playback.title) % terms_.cells;
     request.holders = 2;
     if (odds(0.5)) {
@@ -347,7 +369,8 @@
   std::vector<ServerId> some_servers() {
     std::vector<ServerId> some;
     for (std::size_t s = 0; s < servers_.size(); ++s) {
-      if (odds(0.5)) some.push_back(static_cast<ServerId>(s));
+      if (odds(0.5))
+        some.push_back(static_cast<ServerId>(s));
     }
     return some;
   }
@@ -355,7 +378,8 @@
     const int life = fronts_[static_cast<std::size_t>(number)].life;
     later(ms(1, odds(0.2) ? 20 : 700), [this, number, life] {
       auto& front = fronts_[static_cast<std::size_t>(number)];
-      if (!front.alive || front.life != life || now_ > shape_.length) return;
+      if (!front.alive || front.life != life || now_ > shape_.length)
+        return;
       PlaybackId id = 0;
       Request request;
       auto& playback = make(number, id, request);
@@ -363,9 +387,12 @@
       taken.what = What::taken;
       taken.until = playback.until;
       step(taken);
-      if (odds(0.1)) later(ms(1, 6000), [this, id] { withdraw(id); });
-      if (odds(0.1)) later(ms(1, 800), [this, id] { change_holders(id); });
-      if (shape_.rude && odds(0.3)) later(ms(0, 1500), [this, id, request] { be_rude(id, request); });
+      if (odds(0.1))
+        later(ms(1, 6000), [this, id] { withdraw(id); });
+      if (odds(0.1))
+        later(ms(1, 800), [this, id] { change_holders(id); });
+      if (shape_.rude && odds(0.3))
+        later(ms(0, 1500), [this, id, request] { be_rude(id, request); });
       tell(number, request);
       ask(number);
     });
@@ -399,19 +426,23 @@
   }
   void withdraw(PlaybackId id) {
     auto& playback = playbacks_.at(id);
-    if (playback.over || playback.withdrawn || playback.plays) return;
+    if (playback.over || playback.withdrawn || playback.plays)
+      return;
     playback.withdrawn = true;
     auto step = of(id);
     step.what = What::withdrawn;
     this->step(step);
-    if (!playback.out) playback.over = true;
+    if (!playback.out)
+      playback.over = true;
     const bool out = playback.out;
     tell(playback.front, Withdrawn{id});
-    if (out) later(ms(0, 50), [this, id] { end(id, Outcome::cancelled, odds(0.5)); });
+    if (out)
+      later(ms(0, 50), [this, id] { end(id, Outcome::cancelled, odds(0.5)); });
   }
   void change_holders(PlaybackId id) {
     auto& playback = playbacks_.at(id);
-    if (playback.over) return;
+    if (playback.over)
+      return;
     playback.holders = some_servers();
     tell(playback.front, HoldersChanged{id, std::make_shared<const std::vector<ServerId>>(playback.holders)});
   }
@@ -419,7 +450,8 @@
   // What a caller in disorder may say of a playback; the model is told of none of it.
   void be_rude(PlaybackId id, const Request& request) {
     auto& playback = playbacks_.at(id);
-    if (playback.over || playback.withdrawn) return;
+    if (playback.over || playback.withdrawn)
+      return;
     const auto elsewhere = static_cast<ServerId>((playback.server + 1) % static_cast<int>(servers_.size()));
     constexpr double nan = std::numeric_limits<double>::quiet_NaN(),
                      endless = std::numeric_limits<double>::infinity();
@@ -455,11 +487,13 @@
   // ---- what the module orders ----
   void tell(int number, const Event& event) {
     auto& front = fronts_[static_cast<std::size_t>(number)];
-    if (!front.alive) return;
+    if (!front.alive)
+      return;
     const auto orders = front.brain->handle(now_ - front.began, event);
     for (const auto& order : orders) {
       obey(number, order);
-      if (model_->broken() || !wrong_.empty()) return;
+      if (model_->broken() || !wrong_.empty())
+        return;
     }
   }
   void obey(int number, const Order& order) {
@@ -467,15 +501,19 @@
     if (const auto* o = std::get_if<SetTimer>(&order)) {
       later(std::max<Span>(o->delay, 1us), [this, number, life, token = o->token] {
         const auto& front = fronts_[static_cast<std::size_t>(number)];
-        if (front.alive && front.life == life) tell(number, TimerRang{token});
+        if (front.alive && front.life == life)
+          tell(number, TimerRang{token});
       });
     } else if (const auto* o = std::get_if<SetUp>(&order)) {
       set_up(number, *o);
-      if (shape_.bend == Bend::two_out && o->playback % 7 == 3) set_up(number, *o);
+      if (shape_.bend == Bend::two_out && o->playback % 7 == 3)
+        set_up(number, *o);
     } else if (const auto* o = std::get_if<SetRung>(&order)) {
       said_.push_back("rung " + std::to_string(o->playback) + " " + std::to_string(o->rung));
-      if (!playbacks_.contains(o->playback)) return void(wrong_ = "a rung for a stranger");
-      if (o->rung > playbacks_.at(o->playback).top) return void(wrong_ = "a rung over the viewer's highest");
+      if (!playbacks_.contains(o->playback))
+        return void(wrong_ = "a rung for a stranger");
+      if (o->rung > playbacks_.at(o->playback).top)
+        return void(wrong_ = "a rung over the viewer's highest");
       auto rung = of(o->playback);
       rung.what = What::rung;
       rung.rung = o->rung;
@@ -489,7 +527,8 @@
       const auto server = o->server;
       later(ms(2, 300), [this, number, life, server] {
         const auto& front = fronts_[static_cast<std::size_t>(number)];
-        if (!front.alive || front.life != life) return;
+        if (!front.alive || front.life != life)
+          return;
         tell(number, ProbeEnded{server,
                                 servers_[server].up,
                                 {servers_[server].up ? std::optional(1.1 * part()) : std::nullopt, {}, {}}});
@@ -499,20 +538,24 @@
   void give_up(PlaybackId id, What what, Span come_back) {
     said_.push_back((what == What::rejected ? "reject " : "abort ") + std::to_string(id) + " " +
                     std::to_string(come_back.count()));
-    if (!playbacks_.contains(id)) return void(wrong_ = "an answer to a stranger");
+    if (!playbacks_.contains(id))
+      return void(wrong_ = "an answer to a stranger");
     auto& playback = playbacks_.at(id);
-    if (shape_.bend == Bend::drops_answer && id % 5 == 2) return;
+    if (shape_.bend == Bend::drops_answer && id % 5 == 2)
+      return;
     auto answer = of(id);
     answer.what = what;
     answer.until = come_back;
     step(answer);
-    if (shape_.bend == Bend::answers_twice && id % 5 == 2) step(answer);
+    if (shape_.bend == Bend::answers_twice && id % 5 == 2)
+      step(answer);
     playback.over = true;
   }
   void set_up(int number, const SetUp& order) {
     said_.push_back("set up " + std::to_string(order.playback) + " on " + std::to_string(order.server) +
                     " within " + std::to_string(order.time_limit.count()));
-    if (!playbacks_.contains(order.playback)) return void(wrong_ = "a set-up for a stranger");
+    if (!playbacks_.contains(order.playback))
+      return void(wrong_ = "a set-up for a stranger");
     auto& playback = playbacks_.at(order.playback);
     if (std::find(playback.holders.begin(), playback.holders.end(), order.server) == playback.holders.end())
       return void(wrong_ = "a set-up at a server that does not hold the title");
@@ -522,28 +565,39 @@
     step(sent);
     playback.out = true;
     const int attempt = ++playback.tries;
-    if (attempt > terms_.most_tries) return void(wrong_ = "more tries than are allowed");
+    if (attempt > terms_.most_tries)
+      return void(wrong_ = "more tries than are allowed");
     const auto id = order.playback;
     const auto ends = [this, id, attempt](Span in, Outcome outcome) {
       later(in, [this, id, attempt, outcome] {
-        if (playbacks_.at(id).tries == attempt) end(id, outcome, false);
+        if (playbacks_.at(id).tries == attempt)
+          end(id, outcome, false);
       });
     };
     const auto& server = servers_[order.server];
     const Span limit = std::max<Span>(order.time_limit, 0us);
-    if (!server.up && !server.silent) return ends(ms(1, 60), Outcome::no_connection);
-    if (!server.up) return ends(limit, Outcome::late);
+    if (!server.up && !server.silent)
+      return ends(ms(1, 60), Outcome::no_connection);
+    if (!server.up)
+      return ends(limit, Outcome::late);
     const double fate = part();
-    if (fate < 0.10) return ends(ms(1, 60), Outcome::full);
-    if (fate < 0.14) return ends(ms(1, 60), Outcome::error);
-    if (fate < 0.20) return ends(limit, Outcome::late);  // its answer is lost
-    if (fate < 0.23) return ends(ms(1, 200), Outcome::reset);
-    if (fate < 0.25) return ends(0s, Outcome::not_sent);
+    if (fate < 0.10)
+      return ends(ms(1, 60), Outcome::full);
+    if (fate < 0.14)
+      return ends(ms(1, 60), Outcome::error);
+    if (fate < 0.20)
+      return ends(limit, Outcome::late);  // its answer is lost
+    if (fate < 0.23)
+      return ends(ms(1, 200), Outcome::reset);
+    if (fate < 0.25)
+      return ends(0s, Outcome::not_sent);
     const Span takes = ms(5, odds(0.1) ? 1500 : 200);
-    if (takes >= limit) return ends(limit, Outcome::late);
+    if (takes >= limit)
+      return ends(limit, Outcome::late);
     later(takes, [this, number, id, attempt] {
       auto& playing = playbacks_.at(id);
-      if (playing.tries != attempt || !playing.out || playing.over) return;
+      if (playing.tries != attempt || !playing.out || playing.over)
+        return;
       playing.plays = true;
       auto plays = of(id);
       plays.what = What::plays;
@@ -557,7 +611,8 @@
       for (int notes = this->number(0, 3); notes > 0; --notes) {
         later(ms(200, 8000), [this, id] {
           const auto& of = playbacks_.at(id);
-          if (!of.plays || of.over || !of.out) return;
+          if (!of.plays || of.over || !of.out)
+            return;
           tell(of.front, Note{id, static_cast<ServerId>(of.server), Note::About::share,
                               odds(0.5) ? 1.0 : 0.4 + 0.6 * part()});
           tell(of.front, Note{id, static_cast<ServerId>(of.server), Note::About::link_fill, 1.2 * part()});
@@ -567,9 +622,11 @@
   }
   void end(PlaybackId id, Outcome outcome, bool over) {
     auto& playback = playbacks_.at(id);
-    if (!playback.out || playback.over) return;
+    if (!playback.out || playback.over)
+      return;
     const auto& front = fronts_[static_cast<std::size_t>(playback.front)];
-    if (!front.alive || front.life != playback.life) return;
+    if (!front.alive || front.life != playback.life)
+      return;
     playback.out = playback.plays = false;
     auto ended = of(id);
     ended.what = What::ended;
@@ -578,10 +635,13 @@
         outcome == Outcome::full || outcome == Outcome::no_connection || outcome == Outcome::not_sent;
     ended.failed = outcome == Outcome::late || outcome == Outcome::reset || outcome == Outcome::no_connection;
     step(ended);
-    if (over || playback.withdrawn) playback.over = true;
+    if (over || playback.withdrawn)
+      playback.over = true;
     LoadReport load;
-    if (odds(0.3)) load.link_fill = 1.2 * part();
-    if (odds(0.1)) load.streams = 20 * part();
+    if (odds(0.3))
+      load.link_fill = 1.2 * part();
+    if (odds(0.1))
+      load.streams = 20 * part();
     tell(playback.front, TryEnded{id, static_cast<ServerId>(playback.server), outcome, over, load});
   }
 
--- a/tests/program/runtime_test.cpp
+++ b/tests/program/runtime_test.cpp
@@ -26,7 +26,8 @@
  public:
   bool gave_up = false;
   void handle(Span now, const IoEvent& what, std::vector<Action>& actions) final {
-    if (!began_) began_ = true, actions.push_back(WakeAt{limit});
+    if (!began_)
+      began_ = true, actions.push_back(WakeAt{limit});
     if (now >= limit) {
       gave_up = true;
       actions.push_back(Leave{});
@@ -52,32 +53,37 @@
     std::visit(Visit{
                    [&](const Woken&) {
                      if (sent.empty()) {
-                       for (int i = 0; i < 400'000; ++i) sent += static_cast<char>('a' + i % 23);
+                       for (int i = 0; i < 400'000; ++i)
+                         sent += static_cast<char>('a' + i % 23);
                        actions.push_back(Dial{1, "127.0.0.1", port});
                      }
                    },
                    [&](const Accepted& a) { server = a.link; },
                    [&](const Connected& c) {
-                     if (c.link == 1) actions.push_back(Send{1, sent});
+                     if (c.link == 1)
+                       actions.push_back(Send{1, sent});
                    },
                    [&](const Received& r) {
                      if (r.link == server) {
                        actions.push_back(Send{server, std::string(r.bytes)});
                        echoed_ += r.bytes.size();
-                       if (echoed_ == sent.size()) actions.push_back(Close{server, true});
+                       if (echoed_ == sent.size())
+                         actions.push_back(Close{server, true});
                      } else {
                        back += r.bytes;
                      }
                    },
                    [&](const HalfClosed& h) {
-                     if (h.link != 1) return;
+                     if (h.link != 1)
+                       return;
                      half_closed = true;
                      actions.push_back(Close{1, false});
                      actions.push_back(Shut{0});
                      actions.push_back(Dial{2, "127.0.0.1", port});
                    },
                    [&](const Ended& e) {
-                     if (e.link != 2) return;
+                     if (e.link != 2)
+                       return;
                      refused = e.how == Ending::refused;
                      actions.push_back(Leave{});
                    },
@@ -127,14 +133,17 @@
                      actions.push_back(WakeAt{resume_at_});
                    },
                    [&](const Flushed& f) {
-                     if (f.link < first_accepted) return;
+                     if (f.link < first_accepted)
+                       return;
                      flushed = true;
                      flushed_early = held_;
                    },
                    [&](const Received& r) {
-                     if (held_) got_while_held += r.bytes.size();
+                     if (held_)
+                       got_while_held += r.bytes.size();
                      got += r.bytes.size();
-                     if (got == size) actions.push_back(Leave{});
+                     if (got == size)
+                       actions.push_back(Leave{});
                    },
                    [&](const auto&) {},
                },
@@ -183,9 +192,12 @@
         due_ = now + 50ms;
         return;
       }
-      if (const auto* ended = std::get_if<Ended>(&what)) unable = ended->how == Ending::unable && !woken;
-      if (std::holds_alternative<Woken>(what) && now >= due_) woken = true;
-      if (woken) actions.push_back(Leave{});
+      if (const auto* ended = std::get_if<Ended>(&what))
+        unable = ended->how == Ending::unable && !woken;
+      if (std::holds_alternative<Woken>(what) && now >= due_)
+        woken = true;
+      if (woken)
+        actions.push_back(Leave{});
     }
 
    private:
@@ -206,11 +218,14 @@
     std::vector<Ending> ends;
     std::uint16_t nobody = 0;
     void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
-      if (!std::exchange(began_, true)) actions.push_back(Dial{1, "127.0.0.1", nobody});
+      if (!std::exchange(began_, true))
+        actions.push_back(Dial{1, "127.0.0.1", nobody});
       const auto* ended = std::get_if<Ended>(&what);
-      if (!ended) return;
+      if (!ended)
+        return;
       ends.push_back(ended->how);
-      if (ends.size() == 2) return actions.push_back(Leave{});
+      if (ends.size() == 2)
+        return actions.push_back(Leave{});
       rlimit limit{};
       getrlimit(RLIMIT_NOFILE, &limit);
       was_ = limit.rlim_cur;
@@ -248,12 +263,14 @@
     std::string order;
     std::function<void()> comes;
     void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
-      if (!std::exchange(began_, true)) comes();
+      if (!std::exchange(began_, true))
+        comes();
       if (std::holds_alternative<Received>(what)) {
         order += 'r';
         actions.push_back(Settle{});
       }
-      if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Ended>(what)) order += 'e';
+      if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Ended>(what))
+        order += 'e';
       if (std::holds_alternative<Settled>(what)) {
         order += 's';
         actions.push_back(Leave{});
@@ -274,7 +291,8 @@
       place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr*>(&place), sizeof place), 0);
       ASSERT_EQ(::send(socket, "?", 1, 0), 1);
-      if (reset) ::shutdown(socket, SHUT_WR);
+      if (reset)
+        ::shutdown(socket, SHUT_WR);
       ::close(socket);
     };
     loop.run();
@@ -291,14 +309,17 @@
     int woken = 0, early = 0;
     void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
       if (std::holds_alternative<Woken>(what)) {
-        if (at_ > 0s) ++woken, early += now < at_;
-        if (woken == 50) return actions.push_back(Leave{});
+        if (at_ > 0s)
+          ++woken, early += now < at_;
+        if (woken == 50)
+          return actions.push_back(Leave{});
         while (in_millisecond() < 800) {
         }
         turn_ = 0;
         return actions.push_back(Settle{});  // for a turn whose time is read now
       }
-      if (!std::holds_alternative<Settled>(what)) return;
+      if (!std::holds_alternative<Settled>(what))
+        return;
       if (turn_++ == 0) {
         at_ = now + 3ms;
         actions.push_back(WakeAt{at_});
@@ -327,10 +348,14 @@
     std::uint16_t port = 0;
     Span left_at{0};
     void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
-      if (!std::exchange(dialled_, true)) actions.push_back(Dial{1, "127.0.0.1", port});
-      if (std::holds_alternative<Connected>(what)) actions.push_back(Hold{1}), held_ = true;
-      if (const auto* accepted = std::get_if<Accepted>(&what)) to_ = accepted->link;
-      if (!held_ || to_ == 0) return;
+      if (!std::exchange(dialled_, true))
+        actions.push_back(Dial{1, "127.0.0.1", port});
+      if (std::holds_alternative<Connected>(what))
+        actions.push_back(Hold{1}), held_ = true;
+      if (const auto* accepted = std::get_if<Accepted>(&what))
+        to_ = accepted->link;
+      if (!held_ || to_ == 0)
+        return;
       actions.push_back(Send{to_, std::string(64 * 1024 * 1024, 'x')});
       actions.push_back(Close{to_, true});
       actions.push_back(Leave{100ms});
@@ -355,7 +380,8 @@
   static constexpr std::size_t size = 16 * 1024 * 1024;
   void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
     const auto* asked = std::get_if<Received>(&what);
-    if (!asked) return;
+    if (!asked)
+      return;
     actions.push_back(Send{asked->link, std::string(size, 'x')});
     actions.push_back(Close{asked->link, true});
     actions.push_back(Leave{});
@@ -372,7 +398,8 @@
   std::size_t came = 0;
   if (::connect(socket, reinterpret_cast<const sockaddr*>(&place), sizeof place) == 0 &&
       ::send(socket, "?", 1, 0) == 1) {
-    if (writes_no_more) ::shutdown(socket, SHUT_WR);
+    if (writes_no_more)
+      ::shutdown(socket, SHUT_WR);
     std::vector<char> bytes(64 * 1024);
     for (ssize_t got = 0; (got = ::recv(socket, bytes.data(), bytes.size(), 0)) > 0;)
       came += static_cast<std::size_t>(got);
@@ -405,7 +432,8 @@
   std::uint16_t port = 0;
   std::size_t came = 0;
   void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
-    if (!std::exchange(dialled_, true)) actions.push_back(Dial{1, "127.0.0.1", port});
+    if (!std::exchange(dialled_, true))
+      actions.push_back(Dial{1, "127.0.0.1", port});
     if (const auto* accepted = std::get_if<Accepted>(&what)) {
       actions.push_back(Send{accepted->link, std::string(size, 'x')});
       actions.push_back(Close{accepted->link, true});
@@ -420,7 +448,8 @@
       actions.push_back(Resume{1});
       actions.push_back(WakeAt{20s});  // the bound again
     }
-    if (const auto* received = std::get_if<Received>(&what)) came += received->bytes.size();
+    if (const auto* received = std::get_if<Received>(&what))
+      came += received->bytes.size();
     if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Ended>(what))
       actions.push_back(Leave{});
   }
@@ -458,9 +487,11 @@
           stopped = true, front->handle(now, StopAsked{}, actions);
         return;
       }
-      if (const auto* half = std::get_if<HalfClosed>(&what); half && half->link == 1000) return;
+      if (const auto* half = std::get_if<HalfClosed>(&what); half && half->link == 1000)
+        return;
       front->handle(now, what, actions);
-      if (!dialled_) dialled_ = true, actions.push_back(Dial{1000, "127.0.0.1", port});
+      if (!dialled_)
+        dialled_ = true, actions.push_back(Dial{1000, "127.0.0.1", port});
     }
 
    private:
--- a/tests/program/scripted.h
+++ b/tests/program/scripted.h
@@ -29,7 +29,8 @@
 std::vector<Kind> of_kind(const std::vector<Event>& told) {
   std::vector<Kind> all;
   for (const auto& event : told) {
-    if (const auto* kind = std::get_if<Kind>(&event)) all.push_back(*kind);
+    if (const auto* kind = std::get_if<Kind>(&event))
+      all.push_back(*kind);
   }
   return all;
 }
--- a/tests/program/seatlog_test.cpp
+++ b/tests/program/seatlog_test.cpp
@@ -22,7 +22,8 @@
     std::string bytes;
     for (const auto& record : records) {
       const auto one = bytes_of(record);
-      for (int shift = 24; shift >= 0; shift -= 8) bytes += static_cast<char>(one.size() >> shift & 0xff);
+      for (int shift = 24; shift >= 0; shift -= 8)
+        bytes += static_cast<char>(one.size() >> shift & 0xff);
       bytes += one;
     }
     return bytes;
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -49,8 +49,10 @@
       for (auto end = got.find("\r\n\r\n"); end != std::string::npos; end = got.find("\r\n\r\n")) {
         const auto head = got.substr(0, end);
         got.erase(0, end + 4);
-        if (head.starts_with("GET") && head.find("su") != std::string::npos) ++set_ups;
-        if (!mute) actions.push_back(Send{link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"});
+        if (head.starts_with("GET") && head.find("su") != std::string::npos)
+          ++set_ups;
+        if (!mute)
+          actions.push_back(Send{link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"});
       }
     };
     net.run(500ms);
@@ -94,7 +96,8 @@
     for (const auto& bytes : net.kept_by[m]) {
       for (std::size_t at = 0; at + 4 <= bytes.size();) {
         std::size_t size = 0;
-        for (int i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(bytes[at++]);
+        for (int i = 0; i < 4; ++i)
+          size = size << 8 | static_cast<unsigned char>(bytes[at++]);
         records.push_back(*entitlement::read_record(bytes.substr(at, size)));
         at += size;
       }
@@ -106,7 +109,8 @@
   }
   int owner() const {
     entitlement::LedgerTerms terms;
-    for (int p = 0; p < managers; ++p) terms.peers.push_back("m" + std::to_string(p));
+    for (int p = 0; p < managers; ++p)
+      terms.peers.push_back("m" + std::to_string(p));
     return static_cast<int>(entitlement::owner_of(terms, "red"));
   }
   Span wall() const { return wall_at_zero + net.now(); }
@@ -255,7 +259,8 @@
   }
   std::map<int, int> counts;
   net.run(net.now() + 500ms);
-  for (const auto link : all) ++counts[status(link, Span(0))];
+  for (const auto link : all)
+    ++counts[status(link, Span(0))];
   EXPECT_EQ(counts[200], 5);
   EXPECT_EQ(counts[503], 55);
   EXPECT_EQ(in_book(), 5u);
@@ -319,7 +324,8 @@
       issuer.rotate();
       serves(keys, issuer.key_set());
     }
-    if (chance() % 300 == 0) restart(static_cast<int>(chance() % managers));
+    if (chance() % 300 == 0)
+      restart(static_cast<int>(chance() % managers));
     if (chance() % 200 == 0) {
       const int cut = static_cast<int>(chance() % managers);
       net.lost = [cut](int from, int to) {
--- a/tests/program/serve_test.cpp
+++ b/tests/program/serve_test.cpp
@@ -40,7 +40,8 @@
     std::ifstream log(words.log);
     for (std::string line; std::getline(log, line);) {
       const auto said = nlohmann::json::parse(line);
-      if (said["event"] == "seeded") return said["seed"];
+      if (said["event"] == "seeded")
+        return said["seed"];
     }
     return "";
   }
--- a/tests/program/settings_test.cpp
+++ b/tests/program/settings_test.cpp
@@ -24,7 +24,8 @@
 Files files_of(std::map<std::string, std::string> texts) {
   return [texts](const std::string& path) -> std::optional<std::string> {
     const auto found = texts.find(path);
-    if (found == texts.end()) return std::nullopt;
+    if (found == texts.end())
+      return std::nullopt;
     return found->second;
   };
 }
@@ -37,7 +38,8 @@
 
 TEST(Deployment, SaysWhatTheScriptSays) {
   const auto read = read_deployment("d/f.star", files_of({{"d/f.star", without_semicolon()}}));
-  if (const auto* mistakes = std::get_if<Mistakes>(&read)) FAIL() << mistakes->front().text();
+  if (const auto* mistakes = std::get_if<Mistakes>(&read))
+    FAIL() << mistakes->front().text();
   const auto& made = std::get<Deployment>(read);
   EXPECT_EQ(made.front.site.rung_kb, (std::vector<double>{100, 300}));
   EXPECT_EQ(made.front.plans[1].abandon, std::chrono::seconds(5));
@@ -128,7 +130,8 @@
 
 TEST(Deployment, AnHlsAddressNamesAtMost256Plans) {
   auto text = without_semicolon();
-  for (int i = 0; i < 256; ++i) text += "plan(\"p" + std::to_string(i) + "\", ms(800), s(4))\n";
+  for (int i = 0; i < 256; ++i)
+    text += "plan(\"p" + std::to_string(i) + "\", ms(800), s(4))\n";
   EXPECT_TRUE(std::holds_alternative<Deployment>(read_deployment("f.star", files_of({{"f.star", text}}))));
   const auto read = read_deployment("f.star", files_of({{"f.star", text + "hls()\n"}}));
   ASSERT_TRUE(std::holds_alternative<Mistakes>(read));
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -19,7 +19,8 @@
 Words words_of(const std::string& line) {
   std::istringstream in(line);
   Words words;
-  for (std::string word; in >> word;) words.push_back(word);
+  for (std::string word; in >> word;)
+    words.push_back(word);
   return words;
 }
 
@@ -44,10 +45,12 @@
     return Span(static_cast<std::int64_t>(number(key, otherwise) * 1000));
   }
   std::vector<double> list(const std::string& key, std::vector<double> otherwise) const {
-    if (!has(key)) return otherwise;
+    if (!has(key))
+      return otherwise;
     std::vector<double> values;
     std::istringstream in(values_.at(key));
-    for (std::string part; std::getline(in, part, ',');) values.push_back(std::stod(part));
+    for (std::string part; std::getline(in, part, ',');)
+      values.push_back(std::stod(part));
     return values;
   }
   std::optional<double> maybe(const std::string& key) const {
@@ -101,13 +104,17 @@
   std::ostringstream out;
   if (const auto* o = std::get_if<SetUp>(&order))
     out << "setup " << o->playback << " on " << o->server << " within " << o->time_limit.count() / 1000;
-  if (const auto* o = std::get_if<SetRung>(&order)) out << "rung " << o->playback << " " << o->rung;
+  if (const auto* o = std::get_if<SetRung>(&order))
+    out << "rung " << o->playback << " " << o->rung;
   if (const auto* o = std::get_if<Reject>(&order)) {
     out << "reject " << o->playback << (o->come_back.count() > 0 ? " come back" : "");
   }
-  if (const auto* o = std::get_if<Abort>(&order)) out << "abort " << o->playback;
-  if (const auto* o = std::get_if<Probe>(&order)) out << "probe " << o->server;
-  if (std::get_if<FollowList>(&order)) out << "follow";
+  if (const auto* o = std::get_if<Abort>(&order))
+    out << "abort " << o->playback;
+  if (const auto* o = std::get_if<Probe>(&order))
+    out << "probe " << o->server;
+  if (std::get_if<FollowList>(&order))
+    out << "follow";
   return out.str();
 }
 
@@ -137,13 +144,15 @@
       pass(Span(std::stoll(words.at(1)) * 1000));
     else
       happen(event(words, named));
-    if (what != "expect") tell();
+    if (what != "expect")
+      tell();
   }
 
  private:
   static std::string rest(const Words& words, std::size_t from) {
     std::string text;
-    for (std::size_t i = from; i < words.size(); ++i) text += (i > from ? " " : "") + words[i];
+    for (std::size_t i = from; i < words.size(); ++i)
+      text += (i > from ? " " : "") + words[i];
     return text;
   }
 
@@ -154,7 +163,8 @@
   }
 
   void tell() const {
-    for (const auto& said : said_) std::cerr << "    said: " << said << "\n";
+    for (const auto& said : said_)
+      std::cerr << "    said: " << said << "\n";
   }
 
   void happen(const Event& event) {
@@ -163,7 +173,8 @@
   }
 
   void hand(const Event& event) {
-    if (!brain_) brain_.emplace(terms_, 1);
+    if (!brain_)
+      brain_.emplace(terms_, 1);
     for (const auto& order : brain_->handle(now_, event)) {
       if (const auto* timer = std::get_if<SetTimer>(&order))
         timers_.emplace(now_ + timer->delay, timer->token);
@@ -189,7 +200,8 @@
     std::vector<ServerId> ids;
     std::istringstream text(named.text("listed"));
     for (std::string id; std::getline(text, id, '+');) {
-      if (id != "none") ids.push_back(static_cast<ServerId>(std::stoul(id)));
+      if (id != "none")
+        ids.push_back(static_cast<ServerId>(std::stoul(id)));
     }
     return std::make_shared<const std::vector<ServerId>>(std::move(ids));
   }
@@ -200,11 +212,13 @@
     request.plan = named.whole("plan");
     request.title = static_cast<TitleId>(named.whole("title"));
     request.abandon_at = now_ + named.ms("wait", 4000);
-    if (named.has("length")) request.length = named.ms("length");
+    if (named.has("length"))
+      request.length = named.ms("length");
     request.first_cell = named.whole("first");
     request.holders = named.whole("holders", 1);
     request.top = named.whole("top", 2);
-    if (named.has("listed")) request.listed = listed(named);
+    if (named.has("listed"))
+      request.listed = listed(named);
     return request;
   }
 
@@ -213,15 +227,24 @@
     const auto first = [&] { return static_cast<std::uint32_t>(std::stoul(words.at(1))); };
     const auto on = static_cast<ServerId>(named.whole("on"));
     const LoadReport load{named.maybe("fill"), named.maybe("uplink"), named.maybe("streams")};
-    if (what == "servers" || what == "changes" || what == "cached") return list(words);
-    if (what == "list_failed") return ListFailed{};
-    if (what == "request") return request(words, named);
-    if (what == "holders") return HoldersChanged{static_cast<PlaybackId>(std::stoul(words.at(1))), listed(named)};
-    if (what == "carried") return CarriedOver{request(words, named), on};
-    if (what == "withdrawn") return Withdrawn{first()};
-    if (what == "started") return Started{first(), on, Span(0)};
-    if (what == "ended") return TryEnded{first(), on, outcomes.at(words.at(2)), named.has("over"), load};
-    if (what == "probed") return ProbeEnded{first(), !named.has("silent"), load};
+    if (what == "servers" || what == "changes" || what == "cached")
+      return list(words);
+    if (what == "list_failed")
+      return ListFailed{};
+    if (what == "request")
+      return request(words, named);
+    if (what == "holders")
+      return HoldersChanged{static_cast<PlaybackId>(std::stoul(words.at(1))), listed(named)};
+    if (what == "carried")
+      return CarriedOver{request(words, named), on};
+    if (what == "withdrawn")
+      return Withdrawn{first()};
+    if (what == "started")
+      return Started{first(), on, Span(0)};
+    if (what == "ended")
+      return TryEnded{first(), on, outcomes.at(words.at(2)), named.has("over"), load};
+    if (what == "probed")
+      return ProbeEnded{first(), !named.has("silent"), load};
     assert(what == "note");
     const auto about = named.has("share")  ? Note::About::share
                        : named.has("rung") ? Note::About::rung
@@ -244,10 +267,14 @@
       ServerEntry entry;
       entry.server = static_cast<ServerId>(std::stoul(words[i]));
       entry.cell = static_cast<int>(entry.server);
-      if (mark == "gone") entry.standing = Standing::gone;
-      if (mark == "draining") entry.standing = Standing::draining;
-      if (mark.starts_with("hall=")) entry.hall = std::stoi(mark.substr(5));
-      if (mark.starts_with("started=")) entry.started = Span(std::stoll(mark.substr(8)) * 1000);
+      if (mark == "gone")
+        entry.standing = Standing::gone;
+      if (mark == "draining")
+        entry.standing = Standing::draining;
+      if (mark.starts_with("hall="))
+        entry.hall = std::stoi(mark.substr(5));
+      if (mark.starts_with("started="))
+        entry.started = Span(std::stoll(mark.substr(8)) * 1000);
       list.entries.push_back(entry);
     }
     return list;
@@ -272,13 +299,15 @@
     } else if (line.front() == '<') {
       assert(complaint_.empty());
       try {
-        if (const auto reply = link_.take(text)) reply_.str(*reply), reply_.clear();
+        if (const auto reply = link_.take(text))
+          reply_.str(*reply), reply_.clear();
       } catch (const benchlink::Malformed& malformed) {
         complaint_ = malformed.what();
       }
     } else {
       std::string said;
-      while (std::getline(reply_, said) && !said.starts_with(text)) assert(text != "OK");
+      while (std::getline(reply_, said) && !said.starts_with(text))
+        assert(text != "OK");
       assert(said.starts_with(text));
     }
   }
@@ -301,7 +330,8 @@
   int number = 0;
   for (std::string line; std::getline(file, line);) {
     std::cerr << ++number << ": " << line << '\n';
-    if (line.empty() || line.front() == '#') continue;
+    if (line.empty() || line.front() == '#')
+      continue;
     if (line.find_first_of("<>!") == 0)
       wire.play(line);
     else
