--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -6,9 +6,9 @@
 #include <queue>
 #include <random>
 
-#include "brain.h"
 #include "hints/cmcd.h"
 #include "path.h"
+#include "policy/policy.h"
 #include "wheel/wheel.h"
 
 namespace violettide::bench {
@@ -105,34 +105,34 @@
 
 // The module alone: a request, its start and its end, over so many boxes and playing playbacks.
 void module_request(benchmark::State& state) {
-  SiteTerms terms;
+  PolicySettings terms;
   terms.rung_kb = {100, 300};
   terms.rung_revenue = {0.5, 1};
   terms.plans.resize(1);
   terms.plans[0].startup_target = 800ms;
   terms.plans[0].top = 1;
-  terms.kind_streams = {1e6};
-  terms.weights_told = true;
+  terms.streams_by_kind = {1e6};
+  terms.has_weights = true;
   terms.link_kb_per_weight = 1e9;
   terms.cells = 8;
-  terms.most_tries = 3;
-  Brain brain(terms, 1);
+  terms.max_tries = 3;
+  Policy policy(terms, 1);
   ServerList list;
   for (ServerId id = 0; id < 16; ++id)
-    list.entries.push_back({id, Standing::ready, 0, static_cast<int>(id % 8), 0, std::nullopt, 1});
-  Span now{0};
-  brain.handle(now, list);
+    list.entries.push_back({id, ServerState::ready, 0, static_cast<int>(id % 8), 0, std::nullopt, 1});
+  Duration now{0};
+  policy.handle(now, list);
   PlaybackId next = 0;
   const auto begin = [&] {
     const auto id = next++;
-    const auto orders = brain.handle(
+    const auto commands = policy.handle(
         now, Request{id, 0, id % 100, now + 4s, std::nullopt, static_cast<int>(id % 8), 3, 1, nullptr});
     ServerId server = 0;
-    for (const auto& order : orders) {
-      if (const auto* set_up = std::get_if<SetUp>(&order))
+    for (const auto& command : commands) {
+      if (const auto* set_up = std::get_if<SetUp>(&command))
         server = set_up->server;
     }
-    brain.handle(now, Started{id, server, 10ms});
+    policy.handle(now, PlaybackStarted{id, server, 10ms});
     return std::pair(id, server);
   };
   for (int i = 0; i < state.range(0); ++i)
@@ -140,7 +140,7 @@
   for (auto _ : state) {
     now += 1ms;
     const auto [id, server] = begin();
-    brain.handle(now, TryEnded{id, server, Outcome::served, true, {}});
+    policy.handle(now, TryEnded{id, server, Outcome::served, true, {}});
   }
 }
 BENCHMARK(module_request)->Arg(100)->Arg(10000);
--- a/bench/hls.cpp
+++ b/bench/hls.cpp
@@ -104,11 +104,11 @@
     terms.site.plans.resize(1);
     terms.site.plans[0].startup_target = 800ms;
     terms.site.plans[0].top = 1;
-    terms.site.kind_streams = {1e6};
-    terms.site.weights_told = true;
+    terms.site.streams_by_kind = {1e6};
+    terms.site.has_weights = true;
     terms.site.link_kb_per_weight = 1e9;
-    terms.site.most_tries = 3;
-    terms.site.fronts = 1;
+    terms.site.max_tries = 3;
+    terms.site.front_count = 1;
     terms.plans = {{"a", 4s}};
     terms.halls = {"h"};
     terms.viewer_links = players + 10;
@@ -199,7 +199,7 @@
   std::vector<Action> actions_;
   std::vector<std::string> media_;
   std::string lists_, list_;
-  Span now_ = 1ms;
+  Duration now_ = 1ms;
 };
 
 }  // namespace
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -28,7 +28,7 @@
 class Leaves : public Core {
  public:
   std::atomic<bool> leave{false};
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) final {
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) final {
     happened(now, what, actions);
     if (now >= look_at_) {
       look_at_ = now + 20ms;
@@ -38,10 +38,10 @@
     if (std::holds_alternative<Woken>(what) || !woken_)
       woken_ = true, actions.push_back(WakeAt{now + 20ms});
   }
-  virtual void happened(Span now, const IoEvent& what, std::vector<Action>& actions) = 0;
+  virtual void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
 
  private:
-  Span look_at_{0};
+  Duration look_at_{0};
   bool woken_ = false;
 };
 
@@ -50,7 +50,7 @@
  public:
   QuickBox(std::size_t bytes) : object_(bytes, 'v') {}
   std::uint16_t port = 0;
-  void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     if (const auto* ended = std::get_if<Ended>(&what))
       readers_.erase(ended->link);
     if (const auto* half = std::get_if<HalfClosed>(&what))
@@ -91,7 +91,7 @@
 class Relay : public Leaves {
  public:
   std::uint16_t box = 0;
-  void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     std::visit(Visit{
                    [&](const Accepted& a) { viewers_[a.link]; },
                    [&](const Connected& c) {
@@ -167,7 +167,7 @@
 class Fronted : public Leaves {
  public:
   explicit Fronted(manager::FrontTerms terms) : manager_(std::move(terms), 1, "", nullptr) {}
-  void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     manager_.handle(now, what, actions);
   }
 
@@ -182,7 +182,7 @@
       : port_(port), connections_(connections), left_(requests) {}
   std::vector<double> times_us;
   std::size_t failed = 0;
-  void handle(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     if (std::holds_alternative<Woken>(what) && links_.empty()) {
       for (Link link = 1; link <= connections_; ++link)
         links_[link], actions.push_back(Dial{link, "127.0.0.1", port_});
@@ -247,12 +247,12 @@
   terms.site.plans[0].startup_target = 800ms;
   terms.plans = {{"a", 4s}};
   terms.halls = {"h"};
-  terms.site.kind_streams = {static_cast<double>(2 * playbacks + 100)};
+  terms.site.streams_by_kind = {static_cast<double>(2 * playbacks + 100)};
   terms.site.link_kb_per_weight = 300.0 * static_cast<double>(2 * playbacks + 100);
-  terms.site.weights_told = true;
-  terms.site.may_probe = true;
-  terms.site.most_tries = 3;
-  terms.site.note_lag = 1s;
+  terms.site.has_weights = true;
+  terms.site.probes_enabled = true;
+  terms.site.max_tries = 3;
+  terms.site.measurement_delay = 1s;
   terms.copies = 1;
   terms.links_per_box = 2 * playbacks + 8;  // probes come beside the tries
   terms.idle_links_per_box = 2 * playbacks + 8;
@@ -324,7 +324,7 @@
       "\"state\":\"ready\",\"kind\":0,\"cell\":0,\"hall\":\"h\",\"weight\":1}]}",
       nullptr);
   std::vector<Action> actions;
-  Span now = 1ms;
+  Duration now = 1ms;
   front.handle(now, Woken{}, actions);
   const auto before = mallinfo2();
   const auto used_before = before.uordblks + before.hblkhd;
@@ -365,7 +365,7 @@
 SetUpTime set_up_time(std::size_t playbacks, std::size_t set_ups, std::size_t changes_each) {
   auto terms = terms_for(playbacks + set_ups);
   terms.catalogued = true;
-  terms.site.may_probe = false;
+  terms.site.probes_enabled = false;
   manager::Manager front(terms, 1,
                          "{\"revision\":1,\"clock_ms\":1,\"boxes\":[{\"name\":\"b\",\"address\":\"127.0.0."
                          "1\",\"port\":1,\"state\":"
@@ -379,7 +379,7 @@
                    {{"b", catalogue::LocationState::here, 0}}});
   front.catalogue().restore(1, all);
   std::vector<Action> actions;
-  Span now = 1ms;
+  Duration now = 1ms;
   front.handle(now, Woken{}, actions);
   std::vector<double> times;
   catalogue::Revision kept = 1;
--- a/bench/seats.cpp
+++ b/bench/seats.cpp
@@ -27,7 +27,7 @@
   for (const auto& [algorithm, name] :
        {std::pair(Algorithm::es256, "ES256"), std::pair(Algorithm::rs256, "RS256")}) {
     issuer.rotate(algorithm);
-    const Span now = 1'000'000s;
+    const Duration now = 1'000'000s;
     Gate gate({});
     gate.wants_fetch(now);
     std::vector<std::string> left_out;
@@ -35,7 +35,7 @@
     std::vector<std::string> tokens;
     for (int i = 0; i < 2000; ++i)
       tokens.push_back(issuer.token(
-          {"j" + std::to_string(i), "s" + std::to_string(i), "t", 5, now, now + 60s, Span(0), {}, {}}));
+          {"j" + std::to_string(i), "s" + std::to_string(i), "t", 5, now, now + 60s, Duration(0), {}, {}}));
     auto from = Clock::now();
     for (const auto& token : tokens)
       gate.judge(now, {token, "p", "t", "s"});
@@ -46,7 +46,7 @@
         gate.judge(now, {token, "p", "t", "s"});
     }
     const double again = 20.0 * static_cast<double>(tokens.size()) / since(from);
-    const auto bad = issuer.forged({"j", "s", "t", 5, now, now + 60s, Span(0), {}, {}});
+    const auto bad = issuer.forged({"j", "s", "t", 5, now, now + 60s, Duration(0), {}, {}});
     from = Clock::now();
     for (int i = 0; i < 100'000; ++i)
       gate.judge(now, {bad, "p", "t", "s"});
@@ -58,9 +58,9 @@
 // So many managers' ledgers under the same load as one central count; messages and disks take their time.
 void growth(Peer managers) {
   constexpr int teams = 20, seats = 50;
-  constexpr Span message = 500us, disk = 2ms, length = 60s;
+  constexpr Duration message = 500us, disk = 2ms, length = 60s;
   struct Due {
-    Span at;
+    Duration at;
     std::uint64_t order;
     Peer to;
     LedgerEvent event;
@@ -78,11 +78,11 @@
   std::minstd_rand chance(7);
   std::uint64_t order = 0, said = 0, kept = 0, admitted = 0, turned = 0, central = 0;
   std::vector<double> waits;
-  std::map<SeatKey, Span> asked;
+  std::map<SeatKey, Duration> asked;
   // 60 playbacks a second for 20 teams of 50 seats, of 15 to 25 s each: about a fifth more than there are.
-  std::vector<std::multiset<Span>> ideal(teams);
+  std::vector<std::multiset<Duration>> ideal(teams);
   for (int i = 0; i < 3600; ++i) {
-    const Span at = 1s + length * i / 3600, watch = 15s + Span(chance() % 10'000'000);
+    const Duration at = 1s + length * i / 3600, watch = 15s + Duration(chance() % 10'000'000);
     const SeatKey key{"team-" + std::to_string(chance() % teams), "viewer-" + std::to_string(i)};
     const Peer to = static_cast<Peer>(chance() % managers);
     due.push({at, order++, to, Claimed{key, seats, 1s, at + 300s}});
@@ -94,7 +94,7 @@
     if (held.size() < static_cast<std::size_t>(seats))
       held.insert(at + watch), ++central;
   }
-  for (Span at = 0s; at < length + 30s; at += 1s) {
+  for (Duration at = 0s; at < length + 30s; at += 1s) {
     for (Peer p = 0; p < managers; ++p)
       due.push({at, order++, p, Ticked{}});
   }
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t kept_slack_us = 500'000;    // a change is kept on the disk before it is in force
 constexpr double cold_slack = 2;                    // set-ups, for chance
 
-std::uint64_t micros(settings::Span span) {
+std::uint64_t micros(settings::Duration span) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, span.count()));
 }
 
@@ -133,7 +133,7 @@
   const manager::Plan& plan(const Passed& record) const {
     return day_.deployment.front.plans[plan_of_.at(record.plan())];
   }
-  const PlanTerms& plan_terms(const Passed& record) const {
+  const PlanSettings& plan_terms(const Passed& record) const {
     return day_.deployment.front.site.plans[plan_of_.at(record.plan())];
   }
 
@@ -236,7 +236,7 @@
 
   void cold_pace() {
     const auto& site = day_.deployment.front.site;
-    if (site.cold_time.count() <= 0)
+    if (site.warmup_time.count() <= 0)
       return;
     struct Cold {
       std::uint64_t started = 0, down = 0;
@@ -267,15 +267,15 @@
       if (record.kind() != Passed::SET_UP || box.number < 2 || !terms.contains(record.box()))
         continue;
       const double age =
-          static_cast<double>(record.at_us() - box.started) / static_cast<double>(micros(site.cold_time));
+          static_cast<double>(record.at_us() - box.started) / static_cast<double>(micros(site.warmup_time));
       if (age >= 1)
         continue;
       std::erase_if(box.set_ups,
                     [&](auto* r) { return r->at_us() + micros(day_.deployment.fall) <= record.at_us(); });
       box.set_ups.push_back(&record);
-      const double warmth = site.cold_from + (1 - site.cold_from) * age * age;
-      const double streams = site.kind_streams[static_cast<std::size_t>(terms[record.box()]->kind)];
-      const double most = streams / (static_cast<double>(micros(site.cold_time)) / 1e6) * warmth *
+      const double warmth = site.warmup_initial_share + (1 - site.warmup_initial_share) * age * age;
+      const double streams = site.streams_by_kind[static_cast<std::size_t>(terms[record.box()]->kind)];
+      const double most = streams / (static_cast<double>(micros(site.warmup_time)) / 1e6) * warmth *
                               site.overload_multiple *
                               (static_cast<double>(micros(day_.deployment.fall)) / 1e6) +
                           cold_slack;
@@ -349,7 +349,7 @@
 
   void budget() {
     const auto& site = day_.deployment.front.site;
-    const auto window = micros(site.budget_window);
+    const auto window = micros(site.retry_budget_window);
     if (window == 0)
       return;
     std::map<std::string, std::vector<std::uint64_t>> taken, further;
@@ -369,7 +369,7 @@
         const auto count = std::count_if(times.begin(), times.end(), within);
         const auto of = std::count_if(all.begin(), all.end(),
                                       [&](auto t) { return t + window + overlap_slack_us > at && t <= at; });
-        const double most = site.budget_free + site.budget_share * static_cast<double>(of);
+        const double most = site.retry_budget_base + site.retry_budget_share * static_cast<double>(of);
         if (static_cast<double>(count) > most + 1e-9)
           broke(6, at,
                 manager + " made " + std::to_string(count) + " further tries in one window, " +
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -31,22 +31,22 @@
   throw Malformed("outcome '" + std::string(code) + "': expected one of the wire's outcomes");
 }
 
-Note::About subject_of(std::int64_t sort) {
+Measurement::Kind subject_of(std::int64_t sort) {
   if (sort == 1)
-    return Note::About::share;
+    return Measurement::Kind::share;
   if (sort == 2)
-    return Note::About::rung;
+    return Measurement::Kind::rung;
   if (sort == 3)
-    return Note::About::link_fill;
+    return Measurement::Kind::link_fill;
   if (sort == 4)
-    return Note::About::uplink_fill;
+    return Measurement::Kind::uplink_fill;
   throw Malformed("note of kind " + std::to_string(sort) + ": expected 1 to 4");
 }
 
 }  // namespace
 
 Instance::Instance(std::int64_t clock, std::uint64_t seed, const Pairs& settings)
-    : start_(clock), brain_(site_terms(settings), seed) {}
+    : start_(clock), policy_(site_terms(settings), seed) {}
 
 ServerId Instance::server(std::string_view wire_id) {
   const auto [found, fresh] =
@@ -89,18 +89,18 @@
   doors_.erase(found);
 }
 
-void Instance::feed(int number, Span now, const Event& event, std::string& reply) {
+void Instance::feed(int number, Duration now, const Event& event, std::string& reply) {
   std::string lines;
   try {
-    for (const auto& order : brain_.handle(now, event))
-      lines += encode(number, order);
+    for (const auto& command : policy_.handle(now, event))
+      lines += encode(number, command);
   } catch (const std::exception& error) {
     lines = "DIE " + std::to_string(number) + " " + error.what() + "\n";
   }
   reply += lines;
 }
 
-std::string Instance::encode(int number, const Order& order) {
+std::string Instance::encode(int number, const Command& command) {
   const auto line = [&](const char* name, const std::string& rest) {
     return std::string(name) + " " + std::to_string(number) + (rest.empty() ? "" : " ") + rest + "\n";
   };
@@ -119,16 +119,16 @@
           },
           [&](const SetRung& o) { return line("PITCH", id(o.playback) + " " + std::to_string(o.rung)); },
           [&](const Reject& o) {
-            return final_answer("DECLINE", o.playback, " " + std::to_string(o.come_back.count()));
+            return final_answer("DECLINE", o.playback, " " + std::to_string(o.retry_after.count()));
           },
           [&](const Abort& o) { return final_answer("RESPOND_ERROR", o.playback, ""); },
           [&](const Probe& o) { return line("ASK_LOAD", server_names_.at(o.server)); },
           [&](const SetTimer& o) {
             return line("SET_TIMER", std::to_string(o.delay.count()) + " " + std::to_string(o.token));
           },
-          [&](const FollowList&) { return line("KEEP_INFORMED", "1"); },
+          [&](const SubscribeServerList&) { return line("KEEP_INFORMED", "1"); },
       },
-      order);
+      command);
 }
 
 std::optional<std::string> Link::take(std::string_view line) {
@@ -210,9 +210,9 @@
   if (standing < 0 || standing > 2) {
     throw Malformed("entry with standing " + std::to_string(standing) + ": expected 0, 1 or 2");
   }
-  entry.entry.standing = standing == 1   ? Standing::ready
-                         : standing == 2 ? Standing::draining
-                                         : Standing::gone;
+  entry.entry.state = standing == 1   ? ServerState::ready
+                      : standing == 2 ? ServerState::draining
+                                      : ServerState::gone;
   entry.wire_id = fields.text("a video server");
   entry.entry.kind = static_cast<int>(fields.maybe_integer("a kind").value_or(0));
   entry.entry.hall = static_cast<int>(fields.maybe_integer("a zone").value_or(0));
@@ -233,13 +233,13 @@
     throw Malformed("list of kind " + std::to_string(mode) + ": expected 0 to 3");
   const auto now = instance.since_start(clock_);
   if (mode == 3)
-    return instance.feed(number, now, ListFailed{}, reply_);
+    return instance.feed(number, now, ServerListFailed{}, reply_);
   if (page < 0 || page > 15)
     throw Malformed("list number " + std::to_string(page) + ": expected 0 to 15");
   ServerList list;
-  list.reach = mode == 0   ? ServerList::Reach::changes
-               : mode == 1 ? ServerList::Reach::complete
-                           : ServerList::Reach::cached;
+  list.kind = mode == 0   ? ServerList::Kind::changes
+              : mode == 1 ? ServerList::Kind::complete
+                          : ServerList::Kind::cached;
   for (const auto& entry : pages_[static_cast<std::size_t>(page)]) {
     list.entries.push_back(entry.entry);
     list.entries.back().server = instance.server(entry.wire_id);
@@ -261,11 +261,11 @@
   request.abandon_at = instance.since_start(fields.integer("a deadline"));
   const auto length = fields.maybe_integer("a length");
   request.first_cell = static_cast<int>(fields.maybe_number("a first cell").value_or(0));
-  request.holders = static_cast<int>(fields.maybe_number("a count of holders").value_or(1));
+  request.cell_count = static_cast<int>(fields.maybe_number("a count of holders").value_or(1));
   request.top = static_cast<int>(fields.maybe_number("the best rung").value_or(0));
   const auto options = fields.maybe_integer("options").value_or(0);
   if (length && (options & hint_is_valid))
-    request.length = Span(*length);
+    request.length = Duration(*length);
   request.playback = instance.admit(ref, tries_out);
   return request;
 }
@@ -276,10 +276,10 @@
     return request(instance, fields, 0);
   if (name == "CARRIED") {
     auto open = request(instance, fields, 1);
-    return CarriedOver{open, instance.server(fields.text("a video server"))};
+    return PlaybackAdopted{open, instance.server(fields.text("a video server"))};
   }
   if (name == "ALARM")
-    return TimerRang{static_cast<std::uint32_t>(fields.integer("a timer's token"))};
+    return TimerExpired{static_cast<std::uint32_t>(fields.integer("a timer's token"))};
   if (name == "WHISPER") {
     fields.integer("a sender");
     fields.text("a payload");
@@ -298,13 +298,13 @@
     if (!known)
       return std::nullopt;
     instance.end(*known);
-    return Withdrawn{*known};
+    return RequestCancelled{*known};
   }
   if (name == "NOTICE") {
-    Note note;
+    Measurement note;
     fields.integer("a try's number");
     note.server = instance.server(fields.text("a video server"));
-    note.about = subject_of(fields.integer("a kind of note"));
+    note.kind = subject_of(fields.integer("a kind of note"));
     note.value = fields.number("a value");
     if (!known)
       return std::nullopt;
@@ -313,9 +313,9 @@
   }
   if (name == "FIRST_BYTE") {
     fields.integer("a try's number");
-    Started started;
+    PlaybackStarted started;
     started.server = instance.server(fields.text("a video server"));
-    started.waited = Span(fields.integer("a time"));
+    started.startup_delay = Duration(fields.integer("a time"));
     if (!known)
       return std::nullopt;
     started.playback = *known;
@@ -323,7 +323,7 @@
   }
   if (name == "REPORT_BACK") {
     TryEnded ended;
-    ended.over = fields.flag("0 or 1");
+    ended.playback_over = fields.flag("0 or 1");
     ended.outcome = outcome_of(fields.text("an outcome"));
     fields.maybe_integer("a time");
     fields.integer("a try's number");
@@ -333,7 +333,7 @@
       return std::nullopt;
     ended.playback = *known;
     instance.try_ended(*known);
-    if (ended.over)
+    if (ended.playback_over)
       instance.end(*known);
     return ended;
   }
--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "benchlink/wire.h"
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide::benchlink {
 
@@ -19,7 +19,7 @@
  public:
   Instance(std::int64_t clock, std::uint64_t seed, const Pairs& settings);
 
-  Span since_start(std::int64_t clock) const { return Span(clock - start_); }
+  Duration since_start(std::int64_t clock) const { return Duration(clock - start_); }
   std::int64_t start() const { return start_; }
   ServerId server(std::string_view wire_id);
   TitleId title(std::string_view wire_id);
@@ -27,7 +27,7 @@
   std::optional<PlaybackId> known(std::string_view wire_id) const;
   void end(PlaybackId playback);
   void try_ended(PlaybackId playback);
-  void feed(int number, Span now, const Event& event, std::string& reply);
+  void feed(int number, Duration now, const Event& event, std::string& reply);
 
  private:
   struct Door {
@@ -35,11 +35,11 @@
     bool open = true;
     int tries_out = 0;
   };
-  std::string encode(int number, const Order& order);
+  std::string encode(int number, const Command& command);
   void forget_if_done(PlaybackId playback);
 
   std::int64_t start_;
-  Brain brain_;
+  Policy policy_;
   PlaybackId next_ = 0;
   std::unordered_map<std::string, PlaybackId> playbacks_;
   std::unordered_map<PlaybackId, Door> doors_;
--- a/src/boxlist/boxlist.cpp
+++ b/src/boxlist/boxlist.cpp
@@ -15,7 +15,7 @@
 constexpr double shrink_believed = 0.5;
 constexpr std::size_t small_fleet = 4;  // of which half may well go at once
 // A service whose count has been lower for so long has begun again: one that is behind catches up sooner.
-constexpr Span begins_again = std::chrono::seconds(30);
+constexpr Duration begins_again = std::chrono::seconds(30);
 constexpr std::int64_t latest_ms = 1'000'000'000'000'000;  // of a clock; later ones would run over
 
 struct Missing {
@@ -38,7 +38,7 @@
 struct BoxList::Entry {
   std::string name, address;
   std::uint16_t port = 0;
-  Standing standing = Standing::ready;
+  ServerState state = ServerState::ready;
   int kind = 0, cell = 0, hall = 0;
   double weight = 1;
   std::int64_t started = 0;  // on the list's clock, ms; 0: not told
@@ -102,11 +102,11 @@
       entry.port = static_cast<std::uint16_t>(port);
       const auto state = need<std::string>(box, "state", place, "ready, draining or gone", &Json::is_string);
       if (state == "ready")
-        entry.standing = Standing::ready;
+        entry.state = ServerState::ready;
       else if (state == "draining")
-        entry.standing = Standing::draining;
+        entry.state = ServerState::draining;
       else if (state == "gone")
-        entry.standing = Standing::gone;
+        entry.state = ServerState::gone;
       else
         return Fault{place + ".state", "expected ready, draining or gone"};
       entry.kind = need<int>(box, "kind", place, "a whole number", &Json::is_number_integer);
@@ -136,7 +136,7 @@
   }
 }
 
-void BoxList::put(Span now, const Entry& entry, std::int64_t clock, bool cached, News& news) {
+void BoxList::put(Duration now, const Entry& entry, std::int64_t clock, bool cached, News& news) {
   const auto id = index(entry.name);
   auto& box = boxes_[id];
   const bool fresh = box.port == 0;  // named by others at most
@@ -148,12 +148,12 @@
   // list's way here would read as a new start each time.
   if (anew && !cached)
     started_[id] = now - std::chrono::milliseconds(std::max<std::int64_t>(0, clock - entry.started));
-  box = {entry.name, entry.address, entry.port, entry.standing, cached ? 0 : entry.started, entry.cell};
+  box = {entry.name, entry.address, entry.port, entry.state, cached ? 0 : entry.started, entry.cell};
   news.list->entries.push_back(
-      {id, entry.standing, entry.kind, entry.cell, entry.hall, started_[id], entry.weight});
+      {id, entry.state, entry.kind, entry.cell, entry.hall, started_[id], entry.weight});
 }
 
-News BoxList::take(Span now, std::string_view json) {
+News BoxList::take(Duration now, std::string_view json) {
   News news;
   std::int64_t revision = 0, clock = 0;
   auto entries = read(json, revision, clock);
@@ -181,7 +181,7 @@
     named[entry.name] = true;
   std::size_t ready = 0, dropped = 0;
   for (const auto& box : boxes_) {
-    if (box.standing != Standing::ready)
+    if (box.state != ServerState::ready)
       continue;
     ++ready;
     if (!named.contains(box.name))
@@ -192,7 +192,7 @@
       ready > small_fleet && static_cast<double>(dropped) > shrink_believed * static_cast<double>(ready);
   const bool hold = shrinks && !shrink_held_;
   shrink_held_ = hold;
-  news.list = ServerList{hold ? ServerList::Reach::changes : ServerList::Reach::complete, {}};
+  news.list = ServerList{hold ? ServerList::Kind::changes : ServerList::Kind::complete, {}};
   if (hold)
     news.remark = "names under half of the boxes that were ready: held until the next list says the same";
   else
@@ -200,7 +200,7 @@
   if (!hold) {
     for (auto& box : boxes_) {
       if (!named.contains(box.name))
-        box.standing = Standing::gone;
+        box.state = ServerState::gone;
     }
   }
   for (const auto& entry : read_entries)
@@ -209,11 +209,11 @@
 }
 
 // Of boxes held to be ready, and of the very processes that they are.
-void BoxList::take_drains(Span now, const std::vector<Entry>& entries, std::int64_t clock, News& news) {
-  news.list = ServerList{ServerList::Reach::changes, {}};
+void BoxList::take_drains(Duration now, const std::vector<Entry>& entries, std::int64_t clock, News& news) {
+  news.list = ServerList{ServerList::Kind::changes, {}};
   for (const auto& entry : entries) {
     const auto known = find(entry.name);
-    if (!known || entry.standing == Standing::ready || boxes_[*known].standing != Standing::ready)
+    if (!known || entry.state == ServerState::ready || boxes_[*known].state != ServerState::ready)
       continue;
     if (entry.started == boxes_[*known].incarnation)
       put(now, entry, clock, false, news);
@@ -222,7 +222,7 @@
     news.list.reset();
 }
 
-News BoxList::take_cached(Span now, std::string_view json) {
+News BoxList::take_cached(Duration now, std::string_view json) {
   News news;
   std::int64_t revision = 0, clock = 0;
   auto entries = read(json, revision, clock);
@@ -230,7 +230,7 @@
     news.fault = *fault;
     return news;
   }
-  news.list = ServerList{ServerList::Reach::cached, {}};
+  news.list = ServerList{ServerList::Kind::cached, {}};
   for (const auto& entry : std::get<std::vector<Entry>>(entries))
     put(now, entry, clock, true, news);
   return news;
--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -47,7 +47,7 @@
   return found->second;
 }
 
-std::optional<Span> Entry::length() const {
+std::optional<Duration> Entry::length() const {
   std::uint32_t longest = 0;
   for (const auto& form : forms)
     longest = std::max(longest, form.length_ms);
--- a/src/catalogue/catalogue.h
+++ b/src/catalogue/catalogue.h
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide::catalogue {
 
@@ -27,7 +27,7 @@
   int rung = 0;
   std::string codec;
   double kb_per_s = 0;  // its true rate
-  Span length{0};
+  Duration length{0};
   bool operator==(const Rendition&) const = default;
 };
 enum class LocationState { here, leaving };  // leaving: takes nothing new, what plays goes on
@@ -110,7 +110,7 @@
   std::vector<Place> places;
   std::vector<Form> forms;
 
-  std::optional<Span> length() const;
+  std::optional<Duration> length() const;
   // The highest rung that exists, `most` at most and `least` at least; absent if there is none between.
   std::optional<int> rung_within(int least, int most) const;
   std::optional<double> kb_per_s(int rung) const;
--- a/src/catalogue/demand.cpp
+++ b/src/catalogue/demand.cpp
@@ -5,13 +5,13 @@
 
 namespace violettide::catalogue {
 
-Demand::Demand(std::size_t size, Span half_life)
+Demand::Demand(std::size_t size, Duration half_life)
     : most_(std::max<std::size_t>(1, size)), half_life_(half_life) {
   counters_.reserve(most_);
 }
 
 // All counts fade alike, so their order, and the heap, stay as they are.
-void Demand::fade(Span now) {
+void Demand::fade(Duration now) {
   if (now <= faded_at_)
     return;
   const double kept =
@@ -64,13 +64,13 @@
   return least;
 }
 
-void Demand::asked(Span now, RecordingId recording) {
+void Demand::asked(Duration now, RecordingId recording) {
   fade(now);
   counter(recording).count += 1;
   sink(places_.at(recording));
 }
 
-void Demand::turned_away(Span now, RecordingId recording) {
+void Demand::turned_away(Duration now, RecordingId recording) {
   fade(now);
   const auto found = places_.find(recording);
   if (found != places_.end())
@@ -82,8 +82,8 @@
   return found == places_.end() ? 0 : counters_[found->second].count;
 }
 
-std::vector<Wanted> Demand::wanting(Span now, const Snapshot& snapshot, double link_kb, double playback_kb,
-                                    Span life, double fill, std::size_t most) {
+std::vector<Wanted> Demand::wanting(Duration now, const Snapshot& snapshot, double link_kb,
+                                    double playback_kb, Duration life, double fill, std::size_t most) {
   fade(now);
   std::vector<Wanted> wanting;
   // A count that halves in each half-life stands for so many seconds of arrivals.
--- a/src/catalogue/demand.h
+++ b/src/catalogue/demand.h
@@ -22,13 +22,13 @@
 class Demand {
  public:
   // Keeps `size` recordings at the most; demand halves in each `half_life`.
-  Demand(std::size_t size, Span half_life);
-  void asked(Span now, RecordingId recording);
-  void turned_away(Span now, RecordingId recording);
+  Demand(std::size_t size, Duration half_life);
+  void asked(Duration now, RecordingId recording);
+  void turned_away(Duration now, RecordingId recording);
   // Those that fill over `fill` of their holders' links, or whose viewers were turned away, most wanting
   // first. `link_kb`: a holder's link; `playback_kb`: what one playback asks; `life`: how long it lasts.
-  std::vector<Wanted> wanting(Span now, const Snapshot& snapshot, double link_kb, double playback_kb,
-                              Span life, double fill, std::size_t most);
+  std::vector<Wanted> wanting(Duration now, const Snapshot& snapshot, double link_kb, double playback_kb,
+                              Duration life, double fill, std::size_t most);
   double asked_of(RecordingId recording) const;
   std::size_t size() const { return counters_.size(); }
 
@@ -37,14 +37,14 @@
     RecordingId recording = 0;
     double count = 0, doubt = 0, turned_away = 0;
   };
-  void fade(Span now);
+  void fade(Duration now);
   Counter& counter(RecordingId recording);
   void sink(std::size_t at);
   void swap(std::size_t a, std::size_t b);
 
   std::size_t most_;
-  Span half_life_;
-  Span faded_at_{0};
+  Duration half_life_;
+  Duration faded_at_{0};
   std::vector<Counter> counters_;  // a heap, the least asked first
   std::unordered_map<RecordingId, std::size_t> places_;
 };
--- a/src/cataloguewire/resource.h
+++ b/src/cataloguewire/resource.h
@@ -26,7 +26,7 @@
 };
 struct FeedWait {  // nothing yet: answer when a batch after it comes, or when the time is up
   catalogue::Revision after = 0;
-  Span wait{0};
+  Duration wait{0};
 };
 struct AskWanting {};
 using Meaning = std::variant<Reply, catalogue::Asked, FeedWait, AskWanting>;
--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -117,7 +117,7 @@
   std::function<bool(int status, const std::string& body)> take;
   std::string failed;
 
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     if (!began_) {
       began_ = true;
       actions.push_back(Dial{1, address, port});
@@ -150,7 +150,7 @@
   }
 
  private:
-  static constexpr Span limit = 60s;
+  static constexpr Duration limit = 60s;
   void ask(std::vector<Action>& actions) {
     const auto one = next();
     if (!one)
@@ -168,7 +168,7 @@
   http::ResponseReader reader_;
   bool began_ = false;
   int status_ = 0;
-  Span heard_{0};
+  Duration heard_{0};
   std::string body_;
 };
 
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -193,7 +193,7 @@
     Child viewers(watch, folder_ + "/viewers.err");
     std::vector<Deed> deeds = script();
     std::size_t next = 0;
-    Span longest{0};
+    Duration longest{0};
     for (const auto& plan : day_.deployment.front.plans)
       longest = std::max(longest, plan.abandon);
     const auto give_up = zero + static_cast<std::uint64_t>((day_.length + 4 * longest).count()) + 10'000'000;
@@ -239,7 +239,7 @@
   void look_for_leaks(std::chrono::system_clock::time_point stopped) {
     // A second for a stalled manager to catch up.
     const auto& skew = day_.deployment.front.entitlement.ledger.skew;
-    const auto at = std::chrono::duration_cast<Span>(stopped.time_since_epoch()) - skew - 1s;
+    const auto at = std::chrono::duration_cast<Duration>(stopped.time_since_epoch()) - skew - 1s;
     for (int i = 0; i < day_.managers; ++i) {
       for (const auto& odd :
            entitlement::odd_seats(entitlement::SeatLog::look(folder_ + "/" + name(i)), at)) {
@@ -254,7 +254,7 @@
   }
 
   struct Deed {
-    Span at;
+    Duration at;
     enum class What { kill, start, stop, go_on } what;
     int manager;
     double size = 0;
@@ -309,10 +309,10 @@
       for (std::int64_t k = 0; k < count; ++k) {
         const int whom = trouble.whom[static_cast<std::size_t>(k)];
         if (trouble.ill == standins::Ill::roll) {
-          const Span at = trouble.at + trouble.lasts * k / count;
+          const Duration at = trouble.at + trouble.lasts * k / count;
           deeds.push_back({at, Deed::What::kill, whom});
           deeds.push_back(
-              {at + Span(static_cast<std::int64_t>(trouble.size * 1e6)), Deed::What::start, whom});
+              {at + Duration(static_cast<std::int64_t>(trouble.size * 1e6)), Deed::What::start, whom});
         } else if (trouble.ill == standins::Ill::stall) {
           deeds.push_back(
               {trouble.at, Deed::What::stop, whom, std::chrono::duration<double>(trouble.lasts).count()});
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -44,7 +44,8 @@
       return wrong("GW_LISTEN: expected address:port");
     terms.listen = *place;
   }
-  terms.wall_at_zero = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
+  terms.wall_at_zero =
+      std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   try {
     const auto place = terms.listen;
     const auto name = terms.name;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-std::function<void(Span, const Say&)> log_to(const std::string& file, const std::string& who) {
+std::function<void(Duration, const Say&)> log_to(const std::string& file, const std::string& who) {
   auto logger =
       file.empty()
           ? std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_mt>())
           : std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::basic_file_sink_mt>(file));
   logger->set_pattern("%v");
   logger->flush_on(spdlog::level::warn);
-  return [logger, who](Span now, const Say& said) {
+  return [logger, who](Duration now, const Say& said) {
     nlohmann::ordered_json line{
         {"t", static_cast<double>(now.count()) / 1e6}, {"who", who}, {"event", said.event}};
     for (const auto& [name, value] : said.fields)
@@ -63,10 +63,10 @@
   std::rename((path + ".new").c_str(), path.c_str());
 }
 
-Span into_day(std::uint64_t origin_us, std::uint64_t zero_us) {
+Duration into_day(std::uint64_t origin_us, std::uint64_t zero_us) {
   if (zero_us == 0)
-    return Span(0);
-  return Span(static_cast<std::int64_t>(origin_us) - static_cast<std::int64_t>(zero_us));
+    return Duration(0);
+  return Duration(static_cast<std::int64_t>(origin_us) - static_cast<std::int64_t>(zero_us));
 }
 
 // Flushes a trace now and then, so that a reader finds it nearly whole at any time.
@@ -92,7 +92,7 @@
 // A core made after its loop, as it must know the ports that the loop bound.
 class Later : public Core {
  public:
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     if (core)
       core->handle(now, what, actions);
   }
@@ -249,7 +249,7 @@
   if (words.feed_port)
     front.feed_port = *words.feed_port;
   if (words.fronts)
-    front.site.fronts = *words.fronts;
+    front.site.front_count = *words.fronts;
   if (!words.keep_in.empty())
     deployment.keep_in = words.keep_in;
   if (!words.hall.empty()) {
@@ -273,18 +273,19 @@
   }
   if (!take_peers(words, deployment.peers_key_from, front.name, front.peers))
     return 2;
-  if (words.number && (*words.number < 0 || *words.number >= front.site.fronts)) {
-    std::cerr << "violettide: --number " << *words.number << ": expected 0 to " << front.site.fronts - 1
-              << ", as there are " << front.site.fronts << " managers\n";
+  if (words.number && (*words.number < 0 || *words.number >= front.site.front_count)) {
+    std::cerr << "violettide: --number " << *words.number << ": expected 0 to " << front.site.front_count - 1
+              << ", as there are " << front.site.front_count << " managers\n";
     return 2;
   }
   if (words.number)
-    front.site.own_number = *words.number;
-  if (!front.site.own_number && static_cast<int>(front.peers.all.size()) == front.site.fronts)
-    front.site.own_number = static_cast<int>(front.peers.own);
+    front.site.front_index = *words.number;
+  if (!front.site.front_index && static_cast<int>(front.peers.all.size()) == front.site.front_count)
+    front.site.front_index = static_cast<int>(front.peers.own);
   if (words.keys_port)
     front.entitlement.keys_port = *words.keys_port;
-  front.wall_at_zero = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
+  front.wall_at_zero =
+      std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   front.peer_door = front.catalogued ? 2 : 1;
   const auto kept = deployment.keep_in.empty()
                         ? std::string()
@@ -306,13 +307,13 @@
       front.entitlement.restart = seats->restart();
       front.entitlement.kept = present;
       seats->begin_with(present);
-      log(Span(0), Say{"seats_restored",
-                       {{"records", static_cast<std::int64_t>(present.size())},
-                        {"start", static_cast<std::int64_t>(seats->restart())}}});
+      log(Duration(0), Say{"seats_restored",
+                           {{"records", static_cast<std::int64_t>(present.size())},
+                            {"start", static_cast<std::int64_t>(seats->restart())}}});
     }
     // Guards against managers that were started alike drawing alike.
     const auto seed = words.seed ? *words.seed : drawn_seed();
-    log(Span(0), Say{"seeded", {{"seed", std::to_string(seed)}}});
+    log(Duration(0), Say{"seeded", {{"seed", std::to_string(seed)}}});
     manager::Manager manager(front, seed, kept, nullptr);
     std::vector<runtime::Listening> doors{{deployment.listen_address, deployment.listen_port}};
     std::unique_ptr<cataloguestore::Store> store;
@@ -321,8 +322,9 @@
       if (!deployment.keep_in.empty()) {
         store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
         const auto found = store->restore_to(manager.catalogue());
-        log(Span(0), Say{"catalogue_restored",
-                         {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
+        log(Duration(0),
+            Say{"catalogue_restored",
+                {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
         if (found.damaged)
           std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
       }
@@ -353,7 +355,8 @@
 int run_seats(const SeatsWords& words) {
   try {
     const auto records = entitlement::SeatLog::look(words.folder);
-    const auto now = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
+    const auto now =
+        std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
     // Owners wait the clocks' skew before they free a seat; ten seconds are more than any hall needs.
     const auto odd = entitlement::odd_seats(records, now - std::chrono::seconds(10));
     const auto tell_seat = [&](const entitlement::Record& record, const std::string& why) {
@@ -456,9 +459,10 @@
                                                      [&](const trace::Passed& record) { trace.put(record); });
     if (day.deployment.front.entitlement.on)
       static_cast<standins::Viewers&>(*later.core)
-          .licensed_by(issuer_in(words.folder, day),
-                       std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch()) -
-                           loop.now());
+          .licensed_by(
+              issuer_in(words.folder, day),
+              std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
+                  loop.now());
     loop.run();
     return 0;
   });
--- a/src/decider/decider.cpp
+++ b/src/decider/decider.cpp
@@ -4,19 +4,21 @@
 
 namespace {
 
-class ModuleDecider : public Decider {
+class PolicyDecider : public Decider {
  public:
-  ModuleDecider(const SiteTerms& terms, std::uint64_t seed) : brain_(terms, seed) {}
-  std::vector<Order> decide(Span now, const Event& event) override { return brain_.handle(now, event); }
+  PolicyDecider(const PolicySettings& terms, std::uint64_t seed) : policy_(terms, seed) {}
+  std::vector<Command> decide(Duration now, const Event& event) override {
+    return policy_.handle(now, event);
+  }
 
  private:
-  Brain brain_;
+  Policy policy_;
 };
 
 }  // namespace
 
-std::unique_ptr<Decider> module_decider(const SiteTerms& terms, std::uint64_t seed) {
-  return std::make_unique<ModuleDecider>(terms, seed);
+std::unique_ptr<Decider> make_policy_decider(const PolicySettings& terms, std::uint64_t seed) {
+  return std::make_unique<PolicyDecider>(terms, seed);
 }
 
 }  // namespace violettide
--- a/src/decider/decider.h
+++ b/src/decider/decider.h
@@ -4,15 +4,15 @@
 #include <memory>
 #include <vector>
 
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide {
 
 class Decider {
  public:
   virtual ~Decider() = default;
-  virtual std::vector<Order> decide(Span now, const Event& event) = 0;
+  virtual std::vector<Command> decide(Duration now, const Event& event) = 0;
 };
-std::unique_ptr<Decider> module_decider(const SiteTerms& terms, std::uint64_t seed);
+std::unique_ptr<Decider> make_policy_decider(const PolicySettings& terms, std::uint64_t seed);
 
 }  // namespace violettide
--- a/src/entitlement/gate/gate.cpp
+++ b/src/entitlement/gate/gate.cpp
@@ -25,7 +25,7 @@
     bad_order_.emplace_back(token);
 }
 
-Judged Gate::judge(Span now, const Shown& shown) {
+Judged Gate::judge(Duration now, const Shown& shown) {
   const auto refuse = [&](TokenFault fault) -> Judged { return Bad{fault}; };
   if (shown.token.size() > most_token_bytes)
     return refuse(TokenFault::malformed);
@@ -74,7 +74,7 @@
 }
 
 // What depends on the time and on what is played.
-Judged Gate::judge_token(Span now, const Shown& shown, const Token& token) {
+Judged Gate::judge_token(Duration now, const Shown& shown, const Token& token) {
   const auto refuse = [&](TokenFault fault) -> Judged { return Bad{fault}; };
   while (!forget_at_.empty() && forget_at_.begin()->first <= now) {
     const auto& [of_seat, name] = forget_at_.begin()->second;
@@ -114,7 +114,7 @@
   return Good{token.team, who, token.seats, token.issued, token.expires + terms_.grace};
 }
 
-bool Gate::wants_fetch(Span now) {
+bool Gate::wants_fetch(Duration now) {
   if (fetching_)
     return false;
   const bool due = !ever_ || now - fetched_at_ >= terms_.fetch_every ||
@@ -128,7 +128,7 @@
   return true;
 }
 
-void Gate::keys_came(Span now, std::string_view text, std::vector<std::string>& left_out) {
+void Gate::keys_came(Duration now, std::string_view text, std::vector<std::string>& left_out) {
   auto read = read_key_set(text);
   if (const auto* fault = std::get_if<std::string>(&read)) {
     left_out.push_back(*fault);
--- a/src/entitlement/gate/gate.h
+++ b/src/entitlement/gate/gate.h
@@ -13,21 +13,21 @@
 namespace violettide::entitlement {
 
 struct GateTerms {
-  std::string issuer, audience;    // empty: any
-  Span skew{5'000'000};            // issuers' clocks may differ by so much
-  Span grace{30'000'000};          // what plays when its token expires goes on for so long
-  Span fetch_every{300'000'000};   // keys are fetched again so often
-  Span fetch_least{10'000'000};    // and for a key that is not known, no sooner after the last time
-  Span keys_kept{3600'000'000};    // without any answer of the issuer, keys are good for so long
-  std::size_t most_good = 10'000;  // verified tokens remembered
-  std::size_t most_bad = 10'000;   // bad ones
+  std::string issuer, audience;       // empty: any
+  Duration skew{5'000'000};           // issuers' clocks may differ by so much
+  Duration grace{30'000'000};         // what plays when its token expires goes on for so long
+  Duration fetch_every{300'000'000};  // keys are fetched again so often
+  Duration fetch_least{10'000'000};   // and for a key that is not known, no sooner after the last time
+  Duration keys_kept{3600'000'000};   // without any answer of the issuer, keys are good for so long
+  std::size_t most_good = 10'000;     // verified tokens remembered
+  std::size_t most_bad = 10'000;      // bad ones
 };
 
 // What came of a token.
 struct Good {
   std::string team, who;  // `who`: subject and session: one count
   int seats = 0;
-  Span issued{0}, until{0};  // until: its expiry and the grace
+  Duration issued{0}, until{0};  // until: its expiry and the grace
 };
 struct Bad {
   TokenFault fault = TokenFault::malformed;
@@ -43,11 +43,11 @@
  public:
   explicit Gate(GateTerms terms) : terms_(std::move(terms)) {}
   // `now`: the machine's clock.
-  Judged judge(Span now, const Shown& shown);
-  void keys_came(Span now, std::string_view json, std::vector<std::string>& left_out);
+  Judged judge(Duration now, const Shown& shown);
+  void keys_came(Duration now, std::string_view json, std::vector<std::string>& left_out);
   void keys_failed();
   // Whether the keys are to be fetched now; then one of the two above is owed.
-  bool wants_fetch(Span now);
+  bool wants_fetch(Duration now);
   bool fetching() const { return fetching_; }
   std::size_t keys() const { return keys_.size(); }
 
@@ -58,23 +58,23 @@
   std::size_t remembered() const { return good_.size() + bad_.size(); }
 
  private:
-  Judged judge_token(Span now, const Shown& shown, const Token& token);
+  Judged judge_token(Duration now, const Shown& shown, const Token& token);
   void remember_bad(std::string_view token, TokenFault fault);
 
   GateTerms terms_;
   std::map<std::string, PublicKey, std::less<>> keys_;
-  std::map<std::string, Span, std::less<>>
+  std::map<std::string, Duration, std::less<>>
       retired_;  // keys that the set no longer has: until when they are good
   bool fetching_ = false, wanted_ = false, ever_ = false;
-  Span fetched_at_{0}, answered_at_{0};
+  Duration fetched_at_{0}, answered_at_{0};
   std::unordered_map<std::string, Token> good_;
   std::deque<std::string> good_order_;
   std::unordered_map<std::string, TokenFault> bad_;
   std::deque<std::string> bad_order_;
   // By token id: whose it is; by seat: the newest token shown.
-  std::map<std::string, std::pair<std::string, Span>> whose_;
-  std::map<std::string, std::pair<Span, Span>> newest_;
-  std::multimap<Span, std::pair<bool, std::string>> forget_at_;
+  std::map<std::string, std::pair<std::string, Duration>> whose_;
+  std::map<std::string, std::pair<Duration, Duration>> newest_;
+  std::multimap<Duration, std::pair<bool, std::string>> forget_at_;
   Counts counts_;
 };
 
--- a/src/entitlement/ledger/ledger.cpp
+++ b/src/entitlement/ledger/ledger.cpp
@@ -61,7 +61,7 @@
   return made;
 }
 
-std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Span now) {
+std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Duration now) {
   std::vector<OddSeat> odd;
   std::map<std::pair<Peer, ClaimNumber>, int> claims;
   for (const auto& [key, record] : replayed(records).given) {
@@ -73,7 +73,7 @@
   return odd;
 }
 
-Ledger::Ledger(LedgerTerms terms, std::uint32_t restart, Span now, const std::vector<Record>& kept)
+Ledger::Ledger(LedgerTerms terms, std::uint32_t restart, Duration now, const std::vector<Record>& kept)
     : terms_(std::move(terms)), now_(now), next_number_(static_cast<ClaimNumber>(restart) << 32 | 1) {
   const auto found = replayed(kept);
   for (const auto& [key, record] : found.asked) {
@@ -98,7 +98,7 @@
   }
 }
 
-std::vector<LedgerAct> Ledger::handle(Span now, const LedgerEvent& event) {
+std::vector<LedgerAct> Ledger::handle(Duration now, const LedgerEvent& event) {
   std::vector<LedgerAct> actions;
   actions_ = &actions;
   now_ = std::max(now_, now);
@@ -133,7 +133,7 @@
 
 void Ledger::on(const Claimed& what) {
   if (what.until <= now_) {
-    actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Span(0)});
+    actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Duration(0)});
     return;
   }
   const auto found = own_.find(what.key);
@@ -156,7 +156,7 @@
       case Own::State::held:
         // Its seat is here already: a retry, or a renewal.
         if (own.held_until <= now_) {
-          actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Span(0)});
+          actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Duration(0)});
           return;
         }
         actions_->push_back(Admit{what.key, own.held_until});
@@ -271,7 +271,7 @@
   if (own.state == Own::State::asking) {
     actions_->push_back(TurnAway{TurnAway::Why::no_seat, refused.key, refused.free_in});
     // The owner has nothing of it; that is kept, so that a restart does not ask about it.
-    keep({Record::What::gave_back, refused.key, terms_.own, own.number, 0, Span(0), own.until});
+    keep({Record::What::gave_back, refused.key, terms_.own, own.number, 0, Duration(0), own.until});
     own_.erase(found);
   } else if (own.state == Own::State::held) {
     own.renewing = false;  // it plays to the end of what it has
@@ -283,7 +283,7 @@
   if (found == own_.end() || found->second.number != back.number ||
       found->second.state != Own::State::returning || from != owner_of(terms_, back.key.team))
     return;
-  keep({Record::What::gave_back, back.key, terms_.own, back.number, 0, Span(0), found->second.until});
+  keep({Record::What::gave_back, back.key, terms_.own, back.number, 0, Duration(0), found->second.until});
   own_.erase(found);
 }
 
@@ -294,8 +294,8 @@
   if (found->second.state == Own::State::held)
     actions_->push_back(EndPlayback{EndPlayback::Why::elsewhere, taken.key});
   else if (found->second.state == Own::State::asking || found->second.state == Own::State::keeping)
-    actions_->push_back(TurnAway{TurnAway::Why::no_seat, taken.key, Span(0)});
-  keep({Record::What::gave_back, taken.key, terms_.own, taken.number, 0, Span(0), found->second.until});
+    actions_->push_back(TurnAway{TurnAway::Why::no_seat, taken.key, Duration(0)});
+  keep({Record::What::gave_back, taken.key, terms_.own, taken.number, 0, Duration(0), found->second.until});
   own_.erase(found);
 }
 
@@ -313,7 +313,7 @@
           it->second.holder,
           it->second.number,
           0,
-          Span(0),
+          Duration(0),
           it->second.until});
     it = team.held.erase(it);
   }
@@ -326,10 +326,10 @@
   auto& team = team_of(ask.key.team);
   free_lapsed(team, ask.key.team);
   const auto refuse = [&] {
-    Span first = Span::max();
+    Duration first = Duration::max();
     for (const auto& [who, seat] : team.held)
       first = std::min(first, seat.until + terms_.skew - now_);
-    tell(from, SeatRefused{ask.key, ask.number, first == Span::max() ? Span(0) : first});
+    tell(from, SeatRefused{ask.key, ask.number, first == Duration::max() ? Duration(0) : first});
   };
   // Guards against a copy of a claim that is over: it was given back, or its token is past its time.
   const auto over = team.over.find({ask.key.who, from});
@@ -371,7 +371,7 @@
   seat.ticket = keep({Record::What::given, ask.key, from, seat.number, team.seats, team.issued, seat.until});
   // Behind it, so that no crash between them frees what may still be played.
   if (went)
-    keep({Record::What::freed, ask.key, went->first, went->second, 0, Span(0), seat.until});
+    keep({Record::What::freed, ask.key, went->first, went->second, 0, Duration(0), seat.until});
   if (terms_.planted.answers_unkept)
     tell(from, SeatGiven{ask.key, seat.number, seat.until});
 }
@@ -381,11 +381,11 @@
     return;
   auto& team = team_of(back.key.team);
   const auto seat = team.held.find(back.key.who);
-  Span until = back.until;
+  Duration until = back.until;
   if (seat != team.held.end() && ((seat->second.holder == from && seat->second.number <= back.number) ||
                                   terms_.planted.release_by_key)) {
     until = seat->second.until;
-    keep({Record::What::freed, back.key, seat->second.holder, seat->second.number, 0, Span(0), until});
+    keep({Record::What::freed, back.key, seat->second.holder, seat->second.number, 0, Duration(0), until});
     team.held.erase(seat);
   }
   // The claim itself may still be on its way, or a copy of it.
@@ -444,7 +444,7 @@
     }
   }
   for (const auto& key : over) {
-    keep({Record::What::gave_back, key, terms_.own, own_[key].number, 0, Span(0), own_[key].until});
+    keep({Record::What::gave_back, key, terms_.own, own_[key].number, 0, Duration(0), own_[key].until});
     own_.erase(key);
   }
 }
@@ -470,7 +470,7 @@
           {Record::What::given, {name, who}, seat.holder, seat.number, team.seats, team.issued, seat.until});
     for (const auto& [at, over] : team.over)
       records.push_back(
-          {Record::What::freed, {name, at.first}, at.second, over.first, 0, Span(0), over.second});
+          {Record::What::freed, {name, at.first}, at.second, over.first, 0, Duration(0), over.second});
   }
   return records;
 }
--- a/src/entitlement/ledger/ledger.h
+++ b/src/entitlement/ledger/ledger.h
@@ -17,17 +17,17 @@
 
 namespace violettide::entitlement {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 using Peer = std::uint32_t;         // a manager, as it is numbered in the settings
 using ClaimNumber = std::uint64_t;  // rises with each claim of a manager, over its restarts too
 
 struct LedgerTerms {
   Peer own = 0;
   std::vector<std::string> peers;     // names of all managers, in the order that gives their numbers
-  Span ask_again{200'000};            // a message without an answer is sent again so much later
-  Span ask_limit{1'000'000};          // a claim without an answer is refused after so much
-  Span skew{2'000'000};               // managers' clocks may differ by so much
-  Span resume{15'000'000};            // after a restart a viewer has so long to come back to its seat
+  Duration ask_again{200'000};        // a message without an answer is sent again so much later
+  Duration ask_limit{1'000'000};      // a claim without an answer is refused after so much
+  Duration skew{2'000'000};           // managers' clocks may differ by so much
+  Duration resume{15'000'000};        // after a restart a viewer has so long to come back to its seat
   std::size_t most_claims = 100'000;  // held, asked or being released; more are refused
   // Faults to be found by tests: nothing else sets them.
   struct Planted {
@@ -49,24 +49,24 @@
 struct AskSeat {
   SeatKey key;
   ClaimNumber number = 0;
-  int seats = 0;   // that the team has, by this token
-  Span issued{0};  // of the token: the newest says how many seats there are
-  Span until{0};   // by the machines' clock
+  int seats = 0;       // that the team has, by this token
+  Duration issued{0};  // of the token: the newest says how many seats there are
+  Duration until{0};   // by the machines' clock
 };
 struct SeatGiven {
   SeatKey key;
   ClaimNumber number = 0;
-  Span until{0};
+  Duration until{0};
 };
 struct SeatRefused {
   SeatKey key;
   ClaimNumber number = 0;
-  Span free_in{0};  // when the first of those held lapses, if nothing is given back
+  Duration free_in{0};  // when the first of those held lapses, if nothing is given back
 };
 struct GiveBack {
   SeatKey key;
   ClaimNumber number = 0;
-  Span until{0};  // of the claim: no copy of it can be good for longer
+  Duration until{0};  // of the claim: no copy of it can be good for longer
 };
 struct GivenBack {
   SeatKey key;
@@ -90,7 +90,7 @@
   Peer holder = 0;
   ClaimNumber number = 0;
   int seats = 0;
-  Span issued{0}, until{0};
+  Duration issued{0}, until{0};
 };
 
 // What records in the order kept come to.
@@ -105,14 +105,14 @@
   Record record;
   std::string why;
 };
-std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Span now);
+std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Duration now);
 
 // ---- what happened ----
 struct Claimed {  // a playback with a good token is to be admitted, or its token was renewed
   SeatKey key;
   int seats = 0;
-  Span issued{0};
-  Span until{0};  // the token's expiry and grace
+  Duration issued{0};
+  Duration until{0};  // the token's expiry and grace
 };
 struct Left {  // the playback is over
   SeatKey key;
@@ -130,12 +130,12 @@
 // ---- what to do ----
 struct Admit {
   SeatKey key;
-  Span until{0};
+  Duration until{0};
 };
 struct TurnAway {
   enum class Why { no_seat, owner_silent, too_many, too_late } why = Why::no_seat;
   SeatKey key;
-  Span come_back{0};
+  Duration come_back{0};
 };
 struct EndPlayback {  // it has no seat any more
   enum class Why { lapsed, elsewhere } why = Why::lapsed;
@@ -154,9 +154,10 @@
 class Ledger {
  public:
   // `restart`: rises with each process of this manager; the upper half of its claims' numbers.
-  Ledger(LedgerTerms terms, std::uint32_t restart, Span now = Span(0), const std::vector<Record>& kept = {});
+  Ledger(LedgerTerms terms, std::uint32_t restart, Duration now = Duration(0),
+         const std::vector<Record>& kept = {});
   // `now`: the machine's clock, which may differ from others' by the skew.
-  std::vector<LedgerAct> handle(Span now, const LedgerEvent& event);
+  std::vector<LedgerAct> handle(Duration now, const LedgerEvent& event);
 
   struct Sums {
     std::size_t held = 0;     // by playbacks of this manager
@@ -173,24 +174,24 @@
     enum class State : std::uint8_t { keeping, asking, held, restored, returning } state = State::keeping;
     ClaimNumber number = 0;
     int seats = 0;
-    Span issued{0}, until{0}, asked_at{0}, sent_at{0};
+    Duration issued{0}, until{0}, asked_at{0}, sent_at{0};
     std::uint64_t ticket = 0;  // of the record that must be kept first
     bool renewing = false;     // held, and a later expiry is asked for
-    Span held_until{0};
+    Duration held_until{0};
   };
   struct Seat {  // in the owner's book
     Peer holder = 0;
     ClaimNumber number = 0;
-    Span until{0};
+    Duration until{0};
     std::uint64_t ticket = 0;  // of the record that must be kept before it is answered; 0: it is
     std::vector<std::pair<Peer, ClaimNumber>> taken_from;  // to be told once that is kept
   };
   struct Team {
     int seats = 0;
-    Span issued{0};
+    Duration issued{0};
     std::map<std::string, Seat> held;
     // Claims given back, until they could not be granted any more: a late copy of one must find it so.
-    std::map<std::pair<std::string, Peer>, std::pair<ClaimNumber, Span>> over;
+    std::map<std::pair<std::string, Peer>, std::pair<ClaimNumber, Duration>> over;
   };
 
   void on(const Claimed& what);
@@ -213,7 +214,7 @@
   Team& team_of(const std::string& name);
 
   LedgerTerms terms_;
-  Span now_{0};
+  Duration now_{0};
   std::uint64_t next_ticket_ = 1;
   ClaimNumber next_number_ = 0;
   std::map<SeatKey, Own> own_;
--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -112,7 +112,7 @@
 }
 
 // NumericDate (RFC 7519, 2): seconds, a fraction allowed.
-bool date(const json& claims, const char* name, Span& into) {
+bool date(const json& claims, const char* name, Duration& into) {
   if (!claims.contains(name))
     return true;
   if (!claims[name].is_number())
@@ -120,7 +120,7 @@
   const double seconds = claims[name];
   if (!(seconds >= 0 && seconds < 1e11))
     return false;
-  into = Span(static_cast<std::int64_t>(seconds * 1e6));
+  into = Duration(static_cast<std::int64_t>(seconds * 1e6));
   return true;
 }
 
@@ -267,7 +267,7 @@
     made.seats = claims["seats"];
   }
   // Without these nothing can be counted, ended or told apart.
-  if (made.id.empty() || made.subject.empty() || made.team.empty() || made.expires == Span(0) ||
+  if (made.id.empty() || made.subject.empty() || made.team.empty() || made.expires == Duration(0) ||
       made.id.size() > 256 || made.subject.size() > 256 || made.team.size() > 256)
     return TokenFault::malformed;
   if (!audience.empty() && std::find(audiences.begin(), audiences.end(), audience) == audiences.end())
--- a/src/entitlement/tokens/tokens.h
+++ b/src/entitlement/tokens/tokens.h
@@ -13,7 +13,7 @@
 
 namespace violettide::entitlement {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 enum class Algorithm : std::uint8_t { es256, es384, rs256 };
 std::optional<Algorithm> algorithm_of(std::string_view name);
@@ -36,7 +36,7 @@
   std::string issuer, subject, team;
   int seats = 0;
   std::vector<std::string> plans, titles;  // empty: any; a title may end in '*'
-  Span issued{0}, not_before{0}, expires{0};
+  Duration issued{0}, not_before{0}, expires{0};
 };
 struct Unsigned {  // what is read before any key is known
   std::string key_id, algorithm;
--- a/src/entitlement/words/words.cpp
+++ b/src/entitlement/words/words.cpp
@@ -58,13 +58,13 @@
     return std::nullopt;
   switch (word.kind()) {
     case SeatWord::ASK:
-      return AskSeat{key, word.number(), word.seats(), Span(word.issued_us()), Span(word.until_us())};
+      return AskSeat{key, word.number(), word.seats(), Duration(word.issued_us()), Duration(word.until_us())};
     case SeatWord::GIVEN:
-      return SeatGiven{key, word.number(), Span(word.until_us())};
+      return SeatGiven{key, word.number(), Duration(word.until_us())};
     case SeatWord::REFUSED:
-      return SeatRefused{key, word.number(), Span(word.free_in_us())};
+      return SeatRefused{key, word.number(), Duration(word.free_in_us())};
     case SeatWord::GIVE_BACK:
-      return GiveBack{key, word.number(), Span(word.until_us())};
+      return GiveBack{key, word.number(), Duration(word.until_us())};
     case SeatWord::GIVEN_BACK:
       return GivenBack{key, word.number()};
     case SeatWord::TAKEN:
@@ -96,8 +96,8 @@
                 read.holder(),
                 read.number(),
                 read.seats(),
-                Span(read.issued_us()),
-                Span(read.until_us())};
+                Duration(read.issued_us()),
+                Duration(read.until_us())};
 }
 
 }  // namespace violettide::entitlement
--- a/src/hints/weighing/weighing.cpp
+++ b/src/hints/weighing/weighing.cpp
@@ -19,14 +19,14 @@
 constexpr double usable_throughput = 0.8;  // part of a measured throughput that a rung may ask
 constexpr double kbit_per_kb = 8;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 }  // namespace
 
-Weighing::Weighing(Span spacing, std::vector<double> rung_kb)
-    : spacing_(std::max<Span>(spacing, std::chrono::milliseconds(100))), rung_kb_(std::move(rung_kb)) {}
+Weighing::Weighing(Duration spacing, std::vector<double> rung_kb)
+    : spacing_(std::max<Duration>(spacing, std::chrono::milliseconds(100))), rung_kb_(std::move(rung_kb)) {}
 
-Weighed Weighing::handle(Span now, const Heard& heard) {
+Weighed Weighing::handle(Duration now, const Heard& heard) {
   now_ = std::max(now_, now);
   Weighed out;
   std::visit([&](const auto& what) { on(what, out); }, heard);
@@ -180,7 +180,8 @@
     return;
   if (box.seen.empty())
     return;  // a note is heard on a playback
-  out.notes.push_back(Note{box.seen.begin()->first, server, Note::About::share, is_short ? share : 1.0});
+  out.notes.push_back(
+      Measurement{box.seen.begin()->first, server, Measurement::Kind::share, is_short ? share : 1.0});
   box.was_short = is_short;
   box.noted = now_;
   box.ever_noted = true;
--- a/src/hints/weighing/weighing.h
+++ b/src/hints/weighing/weighing.h
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
 #include "hints/cmcd.h"
 #include "hints/cmsd.h"
+#include "policy/policy.h"
 
 namespace violettide::hints {
 
@@ -45,7 +45,7 @@
 using Heard = std::variant<Delivered, BoxSaid, ViewerSaid, PlaybackLeft, TimePassed>;
 
 struct Weighed {
-  std::vector<Note> notes;
+  std::vector<Measurement> notes;
   std::optional<LoadReport> report;     // of the box that spoke
   std::optional<PlaybackId> last_mile;  // a viewer that starves while nobody else does
 };
@@ -53,9 +53,9 @@
 class Weighing {
  public:
   // `spacing`: the time between two notes on one box; `rung_kb`: the ladder.
-  Weighing(Span spacing, std::vector<double> rung_kb);
+  Weighing(Duration spacing, std::vector<double> rung_kb);
 
-  Weighed handle(Span now, const Heard& heard);
+  Weighed handle(Duration now, const Heard& heard);
 
   // The highest rung that a viewer can use by its own hints: its top bitrate, and its measured throughput
   // while its buffer runs low; never below `floor`.
@@ -68,18 +68,18 @@
   struct Measure {
     double mean = 1;
     double weight = 0;
-    Span at{0};
+    Duration at{0};
   };
   struct Box {
     Measure relay;
     double fill_trust = 0;
     double share_trust = 0;
     std::optional<double> told_share;
-    Span told_at{0};
-    std::map<PlaybackId, Span> starving;  // who felt it, and when last
-    std::map<PlaybackId, Span> seen;      // who had objects from there of late
+    Duration told_at{0};
+    std::map<PlaybackId, Duration> starving;  // who felt it, and when last
+    std::map<PlaybackId, Duration> seen;      // who had objects from there of late
     bool was_short = false;
-    Span noted{0};
+    Duration noted{0};
     bool ever_noted = false;
   };
   void on(const Delivered& what, Weighed& out);
@@ -94,9 +94,9 @@
   void note_if_due(ServerId server, Box& box, Weighed& out);
   LoadReport believed(Box& box, const CmsdDynamic& hop, double rate_kb);
 
-  Span spacing_;
+  Duration spacing_;
   std::vector<double> rung_kb_;
-  Span now_{0};
+  Duration now_{0};
   std::map<ServerId, Box> boxes_;
 };
 
--- a/src/hls/continuity/continuity.cpp
+++ b/src/hls/continuity/continuity.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::uint32_t begun_anew_with = 3;  // segments from a list's end (RFC 8216, 6.3.3)
 
-std::int64_t half(Span duration) { return std::max<std::int64_t>(1, duration.count() / 2); }
-bool near(std::int64_t a, std::int64_t b, Span duration) { return std::abs(a - b) < half(duration); }
+std::int64_t half(Duration duration) { return std::max<std::int64_t>(1, duration.count() / 2); }
+bool near(std::int64_t a, std::int64_t b, Duration duration) { return std::abs(a - b) < half(duration); }
 
 }  // namespace
 
@@ -175,16 +175,16 @@
   return media.media_sequence;
 }
 
-Course Continuity::take(Span now, const Fresh& fresh, const Continuity* beside) {
+Course Continuity::take(Duration now, const Fresh& fresh, const Continuity* beside) {
   const auto& media = *fresh.media;
   if (window_.pieces.empty()) {
     news_at_ = now;
     if (media.segments.empty())
-      return {Course::Step::stood, Span(0)};
+      return {Course::Step::stood, Duration(0)};
     window_.media_sequence = first_number(media, beside);
     window_.discontinuity_sequence = media.discontinuity_sequence;
     append(fresh, 0, false);
-    return {Course::Step::began, Span(0)};
+    return {Course::Step::began, Duration(0)};
   }
   const auto stood = [&] { return Course{Course::Step::stood, now - news_at_}; };
   const bool same_rung = window_.pieces.back().rung == fresh.rung;
@@ -204,7 +204,7 @@
     append(fresh, *at + 1, (!same_rung || hole) && !next.discontinuity);
     if (media.type != "EVENT")
       trim(media.segments.size());
-    return {hole ? Course::Step::skipped : Course::Step::went_on, Span(0)};
+    return {hole ? Course::Step::skipped : Course::Step::went_on, Duration(0)};
   }
   switch (lies(fresh)) {
     case Lies::behind:
@@ -226,7 +226,7 @@
       append(fresh, from, !follows && !next.discontinuity);
       if (media.type != "EVENT")
         trim(media.segments.size());
-      return {follows ? Course::Step::went_on : Course::Step::skipped, Span(0)};
+      return {follows ? Course::Step::went_on : Course::Step::skipped, Duration(0)};
     }
     case Lies::unknown:
       break;
@@ -237,7 +237,7 @@
   append(fresh, from, !media.segments[from].discontinuity);
   if (media.type != "EVENT")
     trim(std::max<std::size_t>(media.segments.size(), begun_anew_with));
-  return {Course::Step::began_anew, Span(0)};
+  return {Course::Step::began_anew, Duration(0)};
 }
 
 std::uint64_t Continuity::at_box(std::uint64_t shown) const {
--- a/src/hls/continuity/continuity.h
+++ b/src/hls/continuity/continuity.h
@@ -24,13 +24,13 @@
     began_anew  // nothing says how it follows what was shown
   };
   Step step = Step::began;
-  Span stood_for{0};  // how long nothing new has come
+  Duration stood_for{0};  // how long nothing new has come
 };
 
 class Continuity {
  public:
   // `beside`: another rendition's course of the same player, to begin with its numbers; null where none is.
-  Course take(Span now, const Fresh& fresh, const Continuity* beside = nullptr);
+  Course take(Duration now, const Fresh& fresh, const Continuity* beside = nullptr);
   // As it was shown last; no pieces before the first take().
   const Window& window() const { return window_; }
   // The number that the newest box gives to what the player calls `shown`; for requests that name one.
@@ -48,7 +48,7 @@
   void drop_first(Piece& piece);
 
   Window window_;
-  Span news_at_{0};
+  Duration news_at_{0};
 };
 
 }  // namespace violettide::hls
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Span span_of(double s) { return Span(std::llround(s * 1e6)); }
+Duration span_of(double s) { return Duration(std::llround(s * 1e6)); }
 
 struct Line {
   Range whole;             // with its end
@@ -278,7 +278,7 @@
         media_.part_target = span_of(*attributes_.number("PART-TARGET"));
         return;
       case Tag::server_control: {
-        const auto spanned = [&](const char* name) -> std::optional<Span> {
+        const auto spanned = [&](const char* name) -> std::optional<Duration> {
           const auto value = attributes_.number(name);
           return value ? std::optional(span_of(*value)) : std::nullopt;
         };
@@ -485,8 +485,8 @@
   return {static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n')) + 1, std::move(cause)};
 }
 
-Span Media::length() const {
-  Span sum{0};
+Duration Media::length() const {
+  Duration sum{0};
   for (const auto& segment : segments)
     sum += segment.duration;
   return sum;
--- a/src/hls/playlist.h
+++ b/src/hls/playlist.h
@@ -15,7 +15,7 @@
 
 namespace violettide::hls {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 struct Fault {
   std::size_t line = 0;  // from 1; 0: of the whole
@@ -60,7 +60,7 @@
 struct Segment {
   Range lines;  // from behind the segment before to the end of its URI's line
   Range uri;
-  Span duration{0};
+  Duration duration{0};
   std::int64_t wall = no_wall;  // when it begins, by EXT-X-PROGRAM-DATE-TIME here or before; microseconds
   std::uint64_t range_length = 0, range_offset = no_offset;
   std::uint32_t before = 0, state = 0;  // in force before its own tags and with them
@@ -70,11 +70,11 @@
 struct Media {
   std::string text;
   std::uint64_t version = 1;
-  Span target{0};
+  Duration target{0};
   std::uint64_t media_sequence = 0, discontinuity_sequence = 0;
   std::string type;  // VOD, EVENT or empty
   bool i_frames_only = false, independent = false, ended = false;
-  std::optional<Span> part_target, skip_until, hold_back, part_hold_back;
+  std::optional<Duration> part_target, skip_until, hold_back, part_hold_back;
   bool blocks_reload = false;
   Range head, tail;  // lines before the first segment and behind the last
   std::vector<Segment> segments;
@@ -87,7 +87,7 @@
 
   std::string_view uri(std::size_t i) const { return segments[i].uri.of(text); }
   std::uint64_t end_sequence() const { return media_sequence + segments.size(); }
-  Span length() const;
+  Duration length() const;
 };
 
 struct Variant {
--- a/src/hls/showing/showing.cpp
+++ b/src/hls/showing/showing.cpp
@@ -7,28 +7,29 @@
 
 namespace {
 
-Span times(Span span, double factor) {
-  return Span(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
+Duration times(Duration span, double factor) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
 }
 
 }  // namespace
 
-Span Showing::steady() const { return times(target_, terms_.steady_targets) * patience_; }
+Duration Showing::steady() const { return times(target_, terms_.steady_targets) * patience_; }
 
-Span Showing::silence() const {
-  const Span least = times(target_, terms_.silent_targets);
+Duration Showing::silence() const {
+  const Duration least = times(target_, terms_.silent_targets);
   return live_ ? least + buffer_ : std::max(terms_.silence, least) + buffer_;
 }
 
 // A fall is shown at once, as room is gone; a rise once it has stood, and later each time that one did not
 // last, so that a word that goes up and down moves no player up and down.
-void Showing::settle(Span now) {
+void Showing::settle(Duration now) {
   if (word_ < shown_) {
-    if (rose_at_ > Span(0) && now - rose_at_ < 2 * steady())
+    if (rose_at_ > Duration(0) && now - rose_at_ < 2 * steady())
       patience_ = std::min(terms_.most_patience, 2 * patience_);
     else if (now - std::max(rose_at_, fell_at_) > 4 * steady())
       patience_ = 1;
-    left_at_.resize(std::max<std::size_t>(left_at_.size(), static_cast<std::size_t>(shown_) + 1), Span(0));
+    left_at_.resize(std::max<std::size_t>(left_at_.size(), static_cast<std::size_t>(shown_) + 1),
+                    Duration(0));
     for (int rung = word_ + 1; rung <= shown_; ++rung)
       left_at_[static_cast<std::size_t>(rung)] = now;
     shown_ = word_;
@@ -48,7 +49,7 @@
   }
 }
 
-ShowVerdict Showing::handle(Span now, const ShowEvent& event) {
+ShowVerdict Showing::handle(Duration now, const ShowEvent& event) {
   if (const auto* word = std::get_if<RungIs>(&event)) {
     const int before = word_;
     word_ = std::max(floor_, word->rung);
@@ -86,13 +87,13 @@
   if (segment.rung <= shown_)
     return Deliver{};
   const auto rung = static_cast<std::size_t>(segment.rung);
-  if (rung < left_at_.size() && left_at_[rung] > Span(0) &&
+  if (rung < left_at_.size() && left_at_[rung] > Duration(0) &&
       now - left_at_[rung] <= times(target_, terms_.grace_targets))
     return Deliver{};
   return TooHigh{shown_};
 }
 
-void Departures::note(Span now, const std::string& key, Ending how, Span come_back) {
+void Departures::note(Duration now, const std::string& key, Ending how, Duration come_back) {
   while (!order_.empty() && (order_.size() >= most_ || known_.size() >= most_)) {
     const auto& [oldest, number] = order_.front();
     // One noted again since has a later place in the order.
@@ -104,7 +105,7 @@
   order_.emplace_back(key, next_++);
 }
 
-std::optional<Departures::Departed> Departures::find(Span now, const std::string& key) const {
+std::optional<Departures::Departed> Departures::find(Duration now, const std::string& key) const {
   const auto found = known_.find(key);
   if (found == known_.end() || now - found->second.first.at > kept_)
     return std::nullopt;
@@ -114,7 +115,7 @@
 void Departures::forget(const std::string& key) { known_.erase(key); }
 
 // No path of these sends a set-up for a plan that is paid at set-up: its address proves that one was sent.
-OrphanVerdict judge(Span now, const Orphan& orphan) {
+OrphanVerdict judge(Duration now, const Orphan& orphan) {
   if (orphan.departed && orphan.departed->how == Ending::refused && orphan.departed->come_back_at > now)
     return ComeBack{orphan.departed->come_back_at - now};
   if (orphan.expired)
--- a/src/hls/showing/showing.h
+++ b/src/hls/showing/showing.h
@@ -13,14 +13,14 @@
 
 namespace violettide::hls {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 struct ShowTerms {
-  Span silence{10'000'000};   // a recorded playback that asks nothing for so long, and its buffer, is over
-  double steady_targets = 3;  // a higher rung must have stood for so many target durations to be shown
-  double grace_targets = 3;   // what was listed stays good for so long after its rung is shown no more
-  int most_patience = 8;      // rises that did not last make the next one wait up to so many times longer
-  double silent_targets = 3;  // a live playback that reloads nothing for so long is over
+  Duration silence{10'000'000};  // a recorded playback that asks nothing for so long, and its buffer, is over
+  double steady_targets = 3;     // a higher rung must have stood for so many target durations to be shown
+  double grace_targets = 3;      // what was listed stays good for so long after its rung is shown no more
+  int most_patience = 8;         // rises that did not last make the next one wait up to so many times longer
+  double silent_targets = 3;     // a live playback that reloads nothing for so long is over
 };
 
 // ---- one playback ----
@@ -35,10 +35,10 @@
 };
 struct SegmentAsked {
   int rung = 0;
-  Span buffer{0};  // as the player said
+  Duration buffer{0};  // as the player said
 };
 struct TargetIs {
-  Span target{0};
+  Duration target{0};
   bool live = false;
 };
 using ShowEvent = std::variant<RungIs, ListsAsked, MediaAsked, SegmentAsked, TargetIs>;
@@ -59,26 +59,26 @@
 class Showing {
  public:
   Showing(ShowTerms terms, int floor) : terms_(terms), floor_(floor), word_(floor), shown_(floor) {}
-  ShowVerdict handle(Span now, const ShowEvent& event);
+  ShowVerdict handle(Duration now, const ShowEvent& event);
   int shown() const { return shown_; }
   // Nothing asked for so long means that it is over.
-  Span silence() const;
+  Duration silence() const;
 
  private:
-  void settle(Span now);
-  Span steady() const;
+  void settle(Duration now);
+  Duration steady() const;
 
   ShowTerms terms_;
   int floor_ = 0;
   int word_ = 0;   // the module's
   int shown_ = 0;  // what players may see of it
   bool began_ = false, live_ = false;
-  Span target_{2'000'000}, buffer_{0};
-  Span higher_since_{0};  // since when the word has stood above what is shown
-  Span rose_at_{0}, fell_at_{0};
+  Duration target_{2'000'000}, buffer_{0};
+  Duration higher_since_{0};  // since when the word has stood above what is shown
+  Duration rose_at_{0}, fell_at_{0};
   int lowest_since_ = 0;  // of the words since then
   int patience_ = 1;
-  std::vector<Span> left_at_;  // by rung: since when it is not shown
+  std::vector<Duration> left_at_;  // by rung: since when it is not shown
 };
 
 // ---- addresses of playbacks that are not known ----
@@ -87,20 +87,20 @@
 // What became of playbacks, for as long as an old address may still be asked for it. Bounded.
 class Departures {
  public:
-  explicit Departures(std::size_t most = 4096, Span kept = std::chrono::minutes(10))
+  explicit Departures(std::size_t most = 4096, Duration kept = std::chrono::minutes(10))
       : most_(most), kept_(kept) {}
-  void note(Span now, const std::string& key, Ending how, Span come_back = Span(0));
+  void note(Duration now, const std::string& key, Ending how, Duration come_back = Duration(0));
   struct Departed {
     Ending how = Ending::silent;
-    Span at{0}, come_back_at{0};
+    Duration at{0}, come_back_at{0};
   };
-  std::optional<Departed> find(Span now, const std::string& key) const;
+  std::optional<Departed> find(Duration now, const std::string& key) const;
   void forget(const std::string& key);
   std::size_t size() const { return known_.size(); }
 
  private:
   std::size_t most_;
-  Span kept_;
+  Duration kept_;
   std::map<std::string, std::pair<Departed, std::uint64_t>> known_;
   std::deque<std::pair<std::string, std::uint64_t>> order_;
   std::uint64_t next_ = 0;
@@ -120,9 +120,9 @@
   std::string cause;
 };
 struct ComeBack {
-  Span in{0};
+  Duration in{0};
 };
 using OrphanVerdict = std::variant<CarryOver, BeginAnew, Over, ComeBack>;
-OrphanVerdict judge(Span now, const Orphan& orphan);
+OrphanVerdict judge(Duration now, const Orphan& orphan);
 
 }  // namespace violettide::hls
--- a/src/hls/writing.cpp
+++ b/src/hls/writing.cpp
@@ -171,7 +171,7 @@
     const auto& newest = *window_.pieces.back().from;
     if (!newest.skip_until || newest.ended)
       return 0;
-    Span behind{0};
+    Duration behind{0};
     std::size_t kept = 0;
     for (auto piece = window_.pieces.rbegin(); piece != window_.pieces.rend(); ++piece) {
       for (auto i = piece->count; i > 0; --i) {
--- a/src/manager/catalogue_door.cpp
+++ b/src/manager/catalogue_door.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr std::size_t most_feed = 512 * 1024 * 1024;
 constexpr double wanting_fill = 0.7;  // of its holders' links: a recording beyond it wants copies
-constexpr Span usual_life{30'000'000};
+constexpr Duration usual_life{30'000'000};
 constexpr std::size_t most_wanting = 100;
 }  // namespace
 
@@ -116,7 +116,7 @@
                 say("catalogue_feed", {{"after", static_cast<std::int64_t>(a.after)}, {"cause", a.cause}});
               feed_whole_ = feed_whole_ || a.whole;
               if (!feed_out_ && terms_.feed_port != 0)
-                arm(a.cause.empty() ? Span(0) : spread(terms_.list_every), Ring::feed, 0);
+                arm(a.cause.empty() ? Duration(0) : spread(terms_.list_every), Ring::feed, 0);
             },
         },
         act);
@@ -209,14 +209,14 @@
   const auto body = std::move(link.body);
   const int status = link.head_seen ? link.status : 0;
   hang_box(link.link);
-  const auto again = [this](Span in) { arm(in, Ring::feed, 0); };
+  const auto again = [this](Duration in) { arm(in, Ring::feed, 0); };
   if (!whole || (status != 200 && status != 410) || body.size() > most_feed) {
     say("catalogue_feed_failed", {{"status", std::int64_t{status}}});
     return again(spread(terms_.list_every));
   }
   if (status == 410) {  // the log no longer reaches back to us
     feed_whole_ = true;
-    return again(Span(0));
+    return again(Duration(0));
   }
   auto read = cataloguewire::read_feed(body);
   if (const auto* bad = std::get_if<cataloguewire::BadJson>(&read)) {
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -214,7 +214,7 @@
   orphan.counted_seats = plan.seats > 0 || ledger_ != nullptr;
   orphan.departed = departures_.find(now_, key);
   const auto server = list_.find(pass.box);
-  orphan.box_ready = server && list_.box(*server).standing == Standing::ready;
+  orphan.box_ready = server && list_.box(*server).state == ServerState::ready;
   const auto verdict = hls::judge(now_, orphan);
   if (const auto* over = std::get_if<hls::Over>(&verdict)) {
     say("address_orphaned", {{"sid", pass.sid}, {"cause", over->cause}});
@@ -249,7 +249,7 @@
                                 {"sid", playback.sid},
                                 {"title", playback.title},
                                 {"box", pass.box}});
-  tell(CarriedOver{*request, *server});
+  tell(PlaybackAdopted{*request, *server});
   return true;
 }
 
@@ -271,7 +271,7 @@
 }
 
 // The playback is over here, but its player may not know: its numbers and its address are remembered.
-void Manager::part(Playback& playback, hls::Ending how, Span come_back) {
+void Manager::part(Playback& playback, hls::Ending how, Duration come_back) {
   if (!playback.hls)
     return;
   departures_.note(now_, playback.key, how, come_back);
@@ -322,7 +322,7 @@
   auto& side = *playback.hls;
   auto& readers = side.readers;
   const auto told = viewer.hints.hints.buffer_length;
-  const Span buffer = std::chrono::milliseconds(std::clamp<std::int64_t>(told.value_or(0), 0, 600'000));
+  const Duration buffer = std::chrono::milliseconds(std::clamp<std::int64_t>(told.value_or(0), 0, 600'000));
   if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.reader)) {
     std::erase_if(readers,
                   [&](const auto& entry) { return now_ - entry.second.seen > side.showing.silence(); });
@@ -591,7 +591,7 @@
     viewer.pass.reader = std::exchange(side.next_reader, side.next_reader % 250 + 1);
   side.readers[viewer.pass.reader].seen = now_;
   // Given out now, whatever address the lists were read at.
-  viewer.pass.expires = Span(0);
+  viewer.pass.expires = Duration(0);
   viewer.pass.box.clear();
   const auto address_for = [&](std::string_view uri, hls::Tag of, std::size_t index) -> hls::Address {
     if (of == hls::Tag::session_data || of == hls::Tag::session_key)
@@ -709,7 +709,7 @@
 
 // Signed as of now, or as the pass says that it was copied from.
 std::string Manager::address(passes::Pass pass) {
-  const Span at = pass.expires > Span(0) ? pass.expires - terms_.hls.passes.lifetime : wall();
+  const Duration at = pass.expires > Duration(0) ? pass.expires - terms_.hls.passes.lifetime : wall();
   const auto name = std::string(file_of(pass.place));
   return std::string(pass_path) + keys_.write(at, std::move(pass)) + "/" + name;
 }
--- a/src/manager/inside.h
+++ b/src/manager/inside.h
@@ -26,7 +26,7 @@
   bool busy = false, waits = false, head_sent = false, chunked = false;
   bool close_after = false, half_closed = false, reading_held = false;
   bool retried = false;  // on another connection, after a kept one had died
-  Span asked_at{0};
+  Duration asked_at{0};
   std::size_t unsent = 0;
   Bells::Handle stuck;
 };
@@ -44,7 +44,7 @@
   std::optional<PlaybackId> playback;
   Link viewer = 0;
   Bells::Handle limit, connect;
-  Span asked_at{0}, head_at{0}, measured_at{0};
+  Duration asked_at{0}, head_at{0}, measured_at{0};
   int rung = 0, status = 0;
   double object_rate = 0;  // bytes a second that deliver it in its own duration
   std::uint64_t bytes = 0, measured_bytes = 0;
@@ -57,7 +57,7 @@
 struct Manager::HlsSide {
   HlsSide(const hls::ShowTerms& terms, int floor) : showing(terms, floor) {}
   struct Reader {
-    Span seen{0};
+    Duration seen{0};
     std::map<std::string, hls::Continuity> courses;  // by the place of the media playlist
   };
   hls::Showing showing;
@@ -67,7 +67,7 @@
   hls::Variables variables;
   std::map<int, Reader> readers;
   int next_reader = 1;
-  Span target{0};
+  Duration target{0};
 };
 
 struct Manager::Playback {
@@ -81,12 +81,12 @@
   ServerId server = 0;
   int rung = 0;
   int tries = 0;
-  Span asked_at{0};
+  Duration asked_at{0};
   std::vector<Link> askers;  // viewers' links that wait for the set-up
   Link try_link = 0;
   bool last_late = false;
   std::size_t objects_out = 0;
-  Span buffered{0};
+  Duration buffered{0};
   std::string sid;
   std::unique_ptr<HlsSide> hls;
   std::optional<Request> request;  // to be told to the module once it is entitled
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -15,17 +15,18 @@
 constexpr std::size_t most_list = 4 * 1024 * 1024;
 constexpr std::uint64_t most_batch = 64 * 1024 * 1024;
 constexpr std::size_t most_askers = 16;  // requests that one set-up may answer
-constexpr Span stands_still{500'000};  // no happening for so long: the module's timer alone rings twice in it
-constexpr Span catches_up{100'000};    // after it, for what came meanwhile to be read
-constexpr int stuck_abandons = 3;      // a viewer may read nothing for so many abandon times
-constexpr Span measure_every{1'000'000};
-constexpr Span least_measured{5'000};  // shorter deliveries measure the loopback, not the box
+constexpr Duration stands_still{
+    500'000};  // no happening for so long: the module's timer alone rings twice in it
+constexpr Duration catches_up{100'000};  // after it, for what came meanwhile to be read
+constexpr int stuck_abandons = 3;        // a viewer may read nothing for so many abandon times
+constexpr Duration measure_every{1'000'000};
+constexpr Duration least_measured{5'000};  // shorter deliveries measure the loopback, not the box
 constexpr double kbit_per_kb = 8;
 constexpr Link peer_links = 1u << 30;  // links to other managers are numbered from there
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-Span part_of(Span span, double part) {
-  return Span(static_cast<std::int64_t>(static_cast<double>(span.count()) * part));
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+Duration part_of(Duration span, double part) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(span.count()) * part));
 }
 
 // Fields that end at each hop (RFC 9110, 7.6.1), and those that this hop writes itself.
@@ -58,9 +59,9 @@
 Manager::Manager(FrontTerms terms, std::uint64_t seed, std::string cached_list,
                  std::unique_ptr<Decider> decider)
     : terms_(std::move(terms)),
-      decider_(decider ? std::move(decider) : module_decider(terms_.site, seed)),
+      decider_(decider ? std::move(decider) : make_policy_decider(terms_.site, seed)),
       list_(terms_.halls),
-      weighing_(std::max<Span>(terms_.site.note_lag, terms_.object_length), terms_.site.rung_kb),
+      weighing_(std::max<Duration>(terms_.site.measurement_delay, terms_.object_length), terms_.site.rung_kb),
       cached_list_(std::move(cached_list)),
       keeper_(
           terms_.keeper, [this](std::string_view name) { return list_.index(name); },
@@ -81,7 +82,7 @@
   actions_->push_back(Say{std::move(event), std::move(fields)});
 }
 
-void Manager::handle(Span now, const IoEvent& what, std::vector<Action>& actions) {
+void Manager::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
   if (began_ && now - now_ > stands_still) {
     still_until_ = now + catches_up;
     say_stood_still_ = now - now_;
@@ -90,7 +91,7 @@
   actions_ = &actions;
   if (!began_)
     first_moment();
-  if (const auto still = std::exchange(say_stood_still_, Span(0)); still > Span(0))
+  if (const auto still = std::exchange(say_stood_still_, Duration(0)); still > Duration(0))
     say("stood_still", {{"ms", still.count() / 1000}});
   std::visit([this](const auto& happened) { on(happened); }, what);
   carry_out();
@@ -112,10 +113,10 @@
   if (!cached_list_.empty())
     take_list(list_.take_cached(now_, cached_list_), "kept");
   // One that knows no box asks at once; others of a hall that starts together ask apart.
-  arm(cached_list_.empty() ? Span(0) : terms_.list_every * static_cast<int>(chance_() % 100) / 100,
+  arm(cached_list_.empty() ? Duration(0) : terms_.list_every * static_cast<int>(chance_() % 100) / 100,
       Ring::list, 0);
   if (terms_.catalogued && terms_.feed_port != 0)
-    arm(Span(0), Ring::feed, 0);
+    arm(Duration(0), Ring::feed, 0);
   arm(terms_.object_length, Ring::weigh, 0);
   if (!terms_.peers.all.empty())
     peers_ = std::make_unique<peers::Peers>(terms_.peers, peer_links);
@@ -131,13 +132,13 @@
                                                     terms_.entitlement.kept);
   }
   if (peers_ || ledger_)
-    arm(Span(0), Ring::seats, 0);
+    arm(Duration(0), Ring::seats, 0);
 }
 
 void Manager::ring(const Bell& bell) {
   switch (bell.ring) {
     case Ring::module:
-      return tell(TimerRang{bell.of});
+      return tell(TimerExpired{bell.of});
     case Ring::list:
       return poll_list();
     case Ring::feed:
@@ -163,7 +164,7 @@
         return;
       auto& playback = *found->second;
       say("answered_by_guard", {{"playback", said_id(playback.id)}});
-      tell(Withdrawn{playback.id});
+      tell(RequestCancelled{playback.id});
       if (playback.try_link) {
         hang_box(playback.try_link);
         tell(TryEnded{playback.id, playback.server, Outcome::cancelled, true, {}});
@@ -322,7 +323,7 @@
     }
     viewer.waits = true;
     playback.askers.push_back(viewer.link);
-    if (playback.askers.size() == 1 && playback.tries == 0 && playback.asked_at == Span(-1))
+    if (playback.askers.size() == 1 && playback.tries == 0 && playback.asked_at == Duration(-1))
       ask(playback);
     return;
   }
@@ -342,7 +343,7 @@
 }
 
 http::Fields Manager::come_back_soon() {
-  const auto longest = std::chrono::floor<std::chrono::seconds>(terms_.site.longest_come_back).count();
+  const auto longest = std::chrono::floor<std::chrono::seconds>(terms_.site.max_retry_after).count();
   const auto most = static_cast<std::uint64_t>(std::clamp<std::int64_t>(longest, 1, 3));
   return {{"Retry-After", std::to_string(1 + chance_() % most)}};
 }
@@ -368,7 +369,7 @@
   playback.title = viewer.path.title;
   playback.tied_to_link = !sid;
   playback.sid = sid ? *sid : terms_.name + "-" + std::to_string(viewer.link);
-  playback.asked_at = Span(-1);
+  playback.asked_at = Duration(-1);
   auto [title, unknown] = titles_.try_emplace(playback.title, 0);
   if (unknown) {
     if (free_titles_.empty())
@@ -387,7 +388,7 @@
 std::optional<Request> Manager::request_for(Playback& playback, const ViewerLink& viewer) {
   const auto& plan = terms_.site.plans[playback.plan];
   Holders holders;
-  violettide::Holders listed;
+  violettide::HolderList listed;
   int top = plan.top;
   if (terms_.catalogued) {
     const auto id = keeper_.present()->id(playback.title);
@@ -408,7 +409,7 @@
     holders = holders_of(terms_, playback.title);
   }
   // One asked anew after a loss has what is left of its viewer's time, not a time of its own.
-  const Span abandon = terms_.plans[playback.plan].abandon - (now_ - viewer.asked_at);
+  const Duration abandon = terms_.plans[playback.plan].abandon - (now_ - viewer.asked_at);
   Request request;
   request.playback = playback.id;
   request.plan = playback.plan;
@@ -416,8 +417,8 @@
   request.abandon_at = now_ + part_of(abandon, answer_part);
   request.length = holders.length;
   request.first_cell = holders.first_cell;
-  request.holders = holders.cells;
-  request.listed = listed;
+  request.cell_count = holders.cells;
+  request.listed_holders = listed;
   request.top = weighing_.top_for(viewer.hints.hints, plan.floor, top, plan.rate_scale);
   playback.rung = plan.floor;
   return request;
@@ -429,7 +430,7 @@
   const auto request = request_for(playback, viewer);
   if (!request)
     return;
-  const Span abandon = terms_.plans[playback.plan].abandon - (now_ - viewer.asked_at);
+  const Duration abandon = terms_.plans[playback.plan].abandon - (now_ - viewer.asked_at);
   playback.abandon = arm(part_of(abandon, guard_part), Ring::abandon, playback.id);
   say("playback_asked", {{"playback", said_id(playback.id)},
                          {"plan", terms_.plans[playback.plan].name},
@@ -521,7 +522,7 @@
   if (!playback.askers.empty())
     return;
   say("playback_withdrawn", {{"playback", said_id(id)}});
-  tell(Withdrawn{id});
+  tell(RequestCancelled{id});
   if (playback.try_link) {
     hang_box(playback.try_link);
     tell(TryEnded{id, playback.server, Outcome::cancelled, true, {}});
@@ -694,8 +695,9 @@
   bells_.disarm(playback.silence);
   if (playback.objects_out > 0)
     return;
-  const Span silence = playback.hls ? playback.hls->showing.silence()
-                                    : std::max(terms_.silence, playback.buffered + 2 * terms_.object_length);
+  const Duration silence = playback.hls
+                               ? playback.hls->showing.silence()
+                               : std::max(terms_.silence, playback.buffered + 2 * terms_.object_length);
   playback.silence = arm(silence, Ring::silence, playback.id);
 }
 
@@ -777,30 +779,30 @@
   link.waiting.clear();
 }
 
-void Manager::start_try(const SetUp& order) {
-  const auto found = playbacks_.find(order.playback);
+void Manager::start_try(const SetUp& command) {
+  const auto found = playbacks_.find(command.playback);
   // Guards against a set-up for a playback whose viewers are all gone: nothing is sent, and the module hears.
   if (found == playbacks_.end() || found->second->askers.empty())
-    return tell(TryEnded{order.playback, order.server, Outcome::not_sent, true, {}});
+    return tell(TryEnded{command.playback, command.server, Outcome::not_sent, true, {}});
   auto& playback = *found->second;
   ++playback.tries;
-  playback.server = order.server;
+  playback.server = command.server;
   playback.last_late = false;
   auto& viewer = *viewers_.at(playback.askers.front());
   // A kept connection may die with the request in it, and then nobody knows whether it ran: a plan that
   // is paid at set-up gets a connection of its own, whose failure to open proves that nothing ran.
   const bool anew = terms_.site.plans[playback.plan].pay_at_setup;
-  auto* link = box_link(order.server, Use::set_up, anew);
+  auto* link = box_link(command.server, Use::set_up, anew);
   if (!link)
-    return tell(TryEnded{playback.id, order.server, Outcome::not_sent, false, {}});
+    return tell(TryEnded{playback.id, command.server, Outcome::not_sent, false, {}});
   link->playback = playback.id;
   link->viewer = viewer.link;
   const auto target = box_target(viewer, playback, *link);
-  link->limit = arm(order.time_limit, Ring::try_limit, link->link);
+  link->limit = arm(command.time_limit, Ring::try_limit, link->link);
   playback.try_link = link->link;
   viewer.box = link->link;
   say("try_sent", {{"playback", said_id(playback.id)},
-                   {"box", list_.box(order.server).name},
+                   {"box", list_.box(command.server).name},
                    {"rung", std::int64_t{link->rung}},
                    {"try", std::int64_t{playback.tries}}});
   link->reader.expect(false);
@@ -836,7 +838,7 @@
   const auto target = box_target(viewer, playback, *link);
   // A box that is silent for as long as a set-up should take leaves time to ask another. One that was asked
   // to wait for a segment to come waits for that too.
-  Span limit = terms_.site.plans[playback.plan].startup_target;
+  Duration limit = terms_.site.plans[playback.plan].startup_target;
   if (viewer.blocks && playback.hls)
     limit += 3 * playback.hls->target;
   link->limit = arm(limit, Ring::box_limit, link->link);
@@ -980,7 +982,7 @@
                          {"rung", std::int64_t{link.rung}},
                          {"tries", std::int64_t{playback.tries}},
                          {"waited_ms", (now_ - playback.asked_at).count() / 1000}});
-  tell(Started{playback.id, link.server, now_ - link.asked_at});
+  tell(PlaybackStarted{playback.id, link.server, now_ - link.asked_at});
   ++playback.objects_out;
   const auto askers = std::move(playback.askers);
   playback.askers.clear();
@@ -1079,7 +1081,7 @@
 
 // Tells the weighing how the box kept up since the last measure.
 void Manager::measure(BoxLink& link, bool whole) {
-  const Span took = now_ - link.measured_at;
+  const Duration took = now_ - link.measured_at;
   const auto bytes = static_cast<double>(link.bytes - link.measured_bytes);
   if (link.object_rate <= 0 || (whole && bytes == 0) || link.status >= 300)
     return;
@@ -1212,7 +1214,7 @@
   link.viewer = 0;
   link.collects = false;
   const bool wanted = reusable && link.keep_alive && !stopping_ &&
-                      list_.box(link.server).standing != Standing::gone &&
+                      list_.box(link.server).state != ServerState::gone &&
                       idle_[link.server].size() < terms_.idle_links_per_box;
   if (!wanted)
     return hang_box(link.link);
@@ -1251,7 +1253,7 @@
 
 // One request of a service that is no box, on a connection of its own.
 Manager::BoxLink& Manager::service_link(Use use, const std::string& address, std::uint16_t port,
-                                        const std::string& target, const std::string& etag, Span limit) {
+                                        const std::string& target, const std::string& etag, Duration limit) {
   auto fresh = std::make_unique<BoxLink>();
   auto& link = *fresh;
   link.link = next_link_;
@@ -1278,7 +1280,7 @@
   if (!whole || status != 200) {
     list_etag_.clear();
     say("list_failed", {{"status", std::int64_t{status}}});
-    return tell(ListFailed{});
+    return tell(ServerListFailed{});
   }
   auto news = list_.take(now_, body);
   // Only a list that is taken whole is one to begin with after a restart.
@@ -1294,7 +1296,7 @@
     list_etag_.clear();
     say("list_malformed",
         {{"source", std::string(source)}, {"place", news.fault->place}, {"cause", news.fault->cause}});
-    return tell(ListFailed{});
+    return tell(ServerListFailed{});
   }
   if (!news.remark.empty())
     say("list_passed_over", {{"source", std::string(source)}, {"cause", news.remark}});
@@ -1319,7 +1321,7 @@
     if (link->use != Use::set_up || link->connected || !link->playback)
       continue;
     const bool moved = std::find(news.moved.begin(), news.moved.end(), link->server) != news.moved.end();
-    if (moved || list_.box(link->server).standing != Standing::ready)
+    if (moved || list_.box(link->server).state != ServerState::ready)
       unsent.push_back(*link->playback);
   }
   std::sort(unsent.begin(), unsent.end());
@@ -1340,9 +1342,9 @@
     return;
   const auto& report = *weighed.report;
   if (report.link_fill)
-    tell(Note{~PlaybackId{0}, server, Note::About::link_fill, *report.link_fill});
+    tell(Measurement{~PlaybackId{0}, server, Measurement::Kind::link_fill, *report.link_fill});
   if (report.uplink_fill)
-    tell(Note{~PlaybackId{0}, server, Note::About::uplink_fill, *report.uplink_fill});
+    tell(Measurement{~PlaybackId{0}, server, Measurement::Kind::uplink_fill, *report.uplink_fill});
 }
 
 // Everything waits in line, so that no order is carried out in the middle of another matter.
@@ -1351,8 +1353,8 @@
     while (!events_.empty()) {
       const auto event = std::move(events_.front());
       events_.pop_front();
-      for (const auto& order : decider_->decide(now_, event))
-        carry_out(order);
+      for (const auto& command : decider_->decide(now_, event))
+        carry_out(command);
     }
     if (reread_.empty())
       return;
@@ -1363,7 +1365,7 @@
   }
 }
 
-void Manager::carry_out(const Order& order) {
+void Manager::carry_out(const Command& command) {
   std::visit(Visit{
                  [this](const SetUp& o) { start_try(o); },
                  [this](const SetRung& o) {
@@ -1385,10 +1387,10 @@
                      return;
                    http::Fields more;
                    // Those turned away together are not told to come back together.
-                   const auto whole = (spread(o.come_back).count() + 999'999) / 1'000'000;
+                   const auto whole = (spread(o.retry_after).count() + 999'999) / 1'000'000;
                    if (whole > 0)
                      more.emplace_back("Retry-After", std::to_string(whole));
-                   part(*found->second, hls::Ending::refused, o.come_back);
+                   part(*found->second, hls::Ending::refused, o.retry_after);
                    if (found->second->recording)
                      demand_.turned_away(now_, *found->second->recording);
                    settle(*found->second, 503, "rejected: no box has room\n", more);
@@ -1402,9 +1404,9 @@
                  },
                  [this](const Probe& o) { start_probe(o.server); },
                  [this](const SetTimer& o) { arm(o.delay, Ring::module, o.token); },
-                 [this](const FollowList&) {},  // the list is followed in any case
+                 [this](const SubscribeServerList&) {},  // the list is followed in any case
              },
-             order);
+             command);
 }
 
 // ---- stopping ----
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -14,7 +14,6 @@
 #include <vector>
 
 #include "boxlist/boxlist.h"
-#include "brain.h"
 #include "catalogue/demand.h"
 #include "catalogue/keeper.h"
 #include "cataloguewire/resource.h"
@@ -28,6 +27,7 @@
 #include "manager/terms.h"
 #include "passes/passes.h"
 #include "peers/peers.h"
+#include "policy/policy.h"
 #include "seams/seams.h"
 #include "wheel/wheel.h"
 
@@ -45,7 +45,7 @@
   // `cached_list`: the list kept from before, empty if there is none.
   Manager(FrontTerms terms, std::uint64_t seed, std::string cached_list, std::unique_ptr<Decider> decider);
   ~Manager() override;
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override;
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   Held held() const;
   // The catalogue, to be restored before the first happening.
   catalogue::Keeper& catalogue() { return keeper_; }
@@ -120,7 +120,7 @@
   double rate_kb(const Playback& playback, int rung) const;
 
   // ---- boxes ----
-  void start_try(const SetUp& order);
+  void start_try(const SetUp& command);
   void start_probe(ServerId server);
   void fetch(ViewerLink& viewer, Playback& playback);
   BoxLink* box_link(ServerId server, Use use, bool anew);
@@ -156,7 +156,7 @@
   Read read_hls(ViewerLink& viewer);
   Read read_pass(ViewerLink& viewer, std::string_view path, std::string_view query);
   bool adopt(ViewerLink& viewer);
-  void part(Playback& playback, hls::Ending how, Span come_back = Span(0));
+  void part(Playback& playback, hls::Ending how, Duration come_back = Duration(0));
   void hls_side(Playback& playback);
   std::string box_target(ViewerLink& viewer, Playback& playback, BoxLink& link);
   bool steer(ViewerLink& viewer, Playback& playback);
@@ -182,7 +182,7 @@
   std::string address(passes::Pass pass);
   int rung_of(const Playback& playback, std::uint64_t bandwidth) const;
   void answer_list(ViewerLink& viewer, const Playback& playback, const std::string& text);
-  Span wall() const { return terms_.wall_at_zero + now_; }
+  Duration wall() const { return terms_.wall_at_zero + now_; }
 
   // ---- the list ----
   void poll_list();
@@ -203,19 +203,19 @@
   void feed_answered(BoxLink& link, bool whole);
   const catalogue::Entry* entry_of(const Playback& playback) const;
   BoxLink& service_link(Use use, const std::string& address, std::uint16_t port, const std::string& target,
-                        const std::string& etag, Span limit);
+                        const std::string& etag, Duration limit);
   std::vector<catalogue::Wanted> wanting();
 
   // ---- the module ----
   void tell(const Event& event);
   void carry_out();
-  void carry_out(const Order& order);
+  void carry_out(const Command& command);
   void heed(hints::Weighed weighed, ServerId server);
 
-  Bells::Handle arm(Span in, Ring ring, std::uint32_t of) { return bells_.arm(now_ + in, {ring, of}); }
+  Bells::Handle arm(Duration in, Ring ring, std::uint32_t of) { return bells_.arm(now_ + in, {ring, of}); }
   void say(std::string event, std::vector<Field> fields = {});
   // Guards against fronts, and viewers turned away together, falling into step: a quarter off, either way.
-  Span spread(Span period) { return period * (75 + static_cast<int>(chance_() % 51)) / 100; }
+  Duration spread(Duration period) { return period * (75 + static_cast<int>(chance_() % 51)) / 100; }
   http::Fields come_back_soon();
   std::int64_t said_id(PlaybackId id) const { return static_cast<std::int64_t>(id); }
 
@@ -227,11 +227,11 @@
   std::string cached_list_;
   Bells bells_;
   std::vector<Bell> rung_;
-  Span now_{0};
+  Duration now_{0};
   std::vector<Action>* actions_ = nullptr;
-  Span still_until_{0}, say_stood_still_{0};
+  Duration still_until_{0}, say_stood_still_{0};
   bool began_ = false, stopping_ = false;
-  std::optional<Span> wake_at_;
+  std::optional<Duration> wake_at_;
   std::deque<Event> events_;
   std::set<Link> reread_;  // viewers whose pipelined requests may be read now
   std::unordered_map<Link, std::unique_ptr<ViewerLink>> viewers_;
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -145,8 +145,9 @@
     if (!playback || playback->playing)
       return;
     using Why = entitlement::TurnAway::Why;
-    const Span longest = terms_.entitlement.longest_come_back;
-    const Span come_back = std::clamp(away->come_back, Span(1'000'000), std::max(Span(1'000'000), longest));
+    const Duration longest = terms_.entitlement.longest_come_back;
+    const Duration come_back =
+        std::clamp(away->come_back, Duration(1'000'000), std::max(Duration(1'000'000), longest));
     const auto* cause = away->why == Why::no_seat        ? "its team has no free seat"
                         : away->why == Why::owner_silent ? "its team's seats can't be counted now"
                         : away->why == Why::too_many     ? "too many seats are asked for"
@@ -169,7 +170,7 @@
       part(*playback, hls::Ending::silent);
       return forget(id);
     }
-    tell(Withdrawn{id});
+    tell(RequestCancelled{id});
     if (playback->try_link) {
       hang_box(playback->try_link);
       playback->try_link = 0;
@@ -224,7 +225,7 @@
   const auto& terms = terms_.entitlement;
   if (terms.keys_port == 0 || !gate_.wants_fetch(wall()))
     return;
-  service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Span(2'000'000));
+  service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Duration(2'000'000));
 }
 
 void Manager::keys_answered(BoxLink& link, bool whole) {
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -6,7 +6,6 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
 #include "catalogue/keeper.h"
 #include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
@@ -15,19 +14,20 @@
 #include "http/http.h"
 #include "passes/passes.h"
 #include "peers/peers.h"
+#include "policy/policy.h"
 
 namespace violettide::manager {
 
 struct Plan {
   std::string name;
-  Span abandon{0};  // a viewer waits so long for a set-up
+  Duration abandon{0};  // a viewer waits so long for a set-up
 };
 
 // Where a recording lies: the boxes of so many cells in a row.
 struct Holders {
   int first_cell = 0;
   int cells = 1;
-  std::optional<Span> length;
+  std::optional<Duration> length;
 };
 struct Recording {
   std::string title;
@@ -55,44 +55,44 @@
   entitlement::LedgerTerms ledger;  // its peers are those of `peers`
   std::uint32_t restart = 1;        // of this process
   std::vector<entitlement::Record> kept;
-  Span longest_come_back{30'000'000};  // where no seat is free
-  Span every{100'000};                 // time passes for seats, keys and peers
+  Duration longest_come_back{30'000'000};  // where no seat is free
+  Duration every{100'000};                 // time passes for seats, keys and peers
 };
 
 struct FrontTerms {
   std::string name = "front";  // in Via and CMSD
-  SiteTerms site;              // what the module reads
+  PolicySettings site;         // what the module reads
   std::vector<Plan> plans;     // in the order of site.plans
   std::vector<std::string> halls;
   std::vector<Recording> recordings;  // sorted by title; others lie where their name's hash says
   int copies = 3;                     // cells in a row that hold a title without an entry
-  Span object_length{1'000'000};      // where a box doesn't say
+  Duration object_length{1'000'000};  // where a box doesn't say
   std::string list_address = "127.0.0.1";
   std::uint16_t list_port = 0;
-  Span list_every{500'000};
-  Span probe_limit{250'000};
-  Span connect_limit{250'000};
-  Span silence{
+  Duration list_every{500'000};
+  Duration probe_limit{250'000};
+  Duration connect_limit{250'000};
+  Duration silence{
       10'000'000};  // a playback that asks nothing for so long, and what it has in its buffer, is over
   std::size_t links_per_box = 256;
   std::size_t idle_links_per_box = 16;
   std::size_t viewer_links = 10'000;
   std::size_t most_unsent = 256 * 1024;  // bytes to one viewer before its box is held
-  Span stop_limit{5'000'000};
+  Duration stop_limit{5'000'000};
   http::Limits http;
   HlsTerms hls;
   EntitlementTerms entitlement;
-  peers::PeerTerms peers;  // none: this manager is alone
-  int peer_door = 2;       // where other managers come in
-  Span wall_at_zero{0};    // the machine's clock at the core's time 0
+  peers::PeerTerms peers;    // none: this manager is alone
+  int peer_door = 2;         // where other managers come in
+  Duration wall_at_zero{0};  // the machine's clock at the core's time 0
   // With a catalogue, holders come from it alone; without, from `recordings` and names' hashes.
   bool catalogued = false;
   catalogue::KeeperTerms keeper;
   std::string feed_address = "127.0.0.1";
-  std::uint16_t feed_port = 0;  // 0: changes come by this front's own resource only
-  Span feed_wait{10'000'000};   // a feed may keep us waiting so long for news
+  std::uint16_t feed_port = 0;     // 0: changes come by this front's own resource only
+  Duration feed_wait{10'000'000};  // a feed may keep us waiting so long for news
   std::size_t demand_kept = 512;
-  Span demand_half_life{60'000'000};
+  Duration demand_half_life{60'000'000};
 };
 
 Holders holders_of(const FrontTerms& terms, std::string_view title);
--- a/src/passes/passes.cpp
+++ b/src/passes/passes.cpp
@@ -84,7 +84,7 @@
   return signing::hmac(key(secret, period), bytes).substr(0, signature_bytes);
 }
 
-std::string KeyRing::write(Span wall, Pass pass) {
+std::string KeyRing::write(Duration wall, Pass pass) {
   const auto expires = static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::seconds>(wall + terms_.lifetime).count());
   const auto period = static_cast<std::uint32_t>(wall / terms_.period);
@@ -102,7 +102,7 @@
   return signing::base64url(put.text);
 }
 
-std::variant<Pass, Refused> KeyRing::read(Span wall, std::string_view token) {
+std::variant<Pass, Refused> KeyRing::read(Duration wall, std::string_view token) {
   if (token.empty() || token.size() > most_token)
     return Refused{};
   const auto bytes = signing::from_base64url(token);
--- a/src/passes/passes.h
+++ b/src/passes/passes.h
@@ -14,7 +14,7 @@
 
 namespace violettide::passes {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 struct Pass {
   enum class Names : std::uint8_t {
@@ -31,9 +31,9 @@
   int reader = 0;  // which player of the playback
   std::string title;
   std::string sid;
-  std::string box;    // where it was placed when the pass was given out
-  std::string place;  // path and query at the box
-  Span expires{0};    // by the machine's clock, in whole seconds
+  std::string box;      // where it was placed when the pass was given out
+  std::string place;    // path and query at the box
+  Duration expires{0};  // by the machine's clock, in whole seconds
 
   bool operator==(const Pass&) const = default;
 };
@@ -50,17 +50,17 @@
 
 struct PassTerms {
   std::vector<std::string> secrets;  // the first signs, all are accepted; one at least
-  Span period{3600'000'000};         // of each derived key
-  Span lifetime{6 * 3600'000'000ll};
-  Span skew{60'000'000};  // clocks of managers may differ by so much
+  Duration period{3600'000'000};     // of each derived key
+  Duration lifetime{6 * 3600'000'000ll};
+  Duration skew{60'000'000};  // clocks of managers may differ by so much
 };
 
 class KeyRing {
  public:
   explicit KeyRing(PassTerms terms);
   // `wall`: the machine's clock. Expires a lifetime later.
-  std::string write(Span wall, Pass pass);
-  std::variant<Pass, Refused> read(Span wall, std::string_view token);
+  std::string write(Duration wall, Pass pass);
+  std::variant<Pass, Refused> read(Duration wall, std::string_view token);
 
  private:
   using Key = std::string;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -41,7 +41,7 @@
   return signing::hmac(terms_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
 }
 
-void Peers::send(Span now, PeerIndex to, std::uint32_t kind, std::string payload,
+void Peers::send(Duration now, PeerIndex to, std::uint32_t kind, std::string payload,
                  std::vector<Action>& actions) {
   if (to >= out_.size() || to == terms_.own)
     return;
@@ -57,14 +57,14 @@
   flush(to, actions);
 }
 
-void Peers::dial(Span now, PeerIndex to, std::vector<Action>& actions) {
+void Peers::dial(Duration now, PeerIndex to, std::vector<Action>& actions) {
   auto& out = out_[to];
   out.link = next_link_++;
   out.challenged = false;
   out.got.clear();
   out.count = 0;
   // Until it is seen to work, the next attempt waits.
-  out.pause = out.pause == Span(0) ? terms_.dial_again : std::min(terms_.dial_longest, 2 * out.pause);
+  out.pause = out.pause == Duration(0) ? terms_.dial_again : std::min(terms_.dial_longest, 2 * out.pause);
   out.dial_at = now + out.pause;
   dialed_[out.link] = to;
   actions.push_back(Dial{out.link, terms_.all[to].address, terms_.all[to].port});
@@ -90,7 +90,7 @@
   }
 }
 
-void Peers::accepted(Span now, Link link, std::vector<Action>& actions) {
+void Peers::accepted(Duration now, Link link, std::vector<Action>& actions) {
   auto& in = came_[link];
   // Never the same twice, nor to be told before: by the key, the time and a count.
   in.challenge =
@@ -116,7 +116,7 @@
     if (frame && frame->size() == challenge_bytes) {
       out.challenge = *frame;
       out.challenged = true;
-      out.pause = Span(0);
+      out.pause = Duration(0);
       out.told_full = false;
       flush(dialed->second, actions);
     } else if (too_long || out.challenged || frame) {
@@ -168,7 +168,7 @@
   return heard;
 }
 
-void Peers::ended(Span now, Link link) {
+void Peers::ended(Duration now, Link link) {
   came_.erase(link);
   const auto dialed = dialed_.find(link);
   if (dialed == dialed_.end())
@@ -180,7 +180,7 @@
   dialed_.erase(dialed);
 }
 
-void Peers::time_passed(Span now, std::vector<Action>& actions) {
+void Peers::time_passed(Duration now, std::vector<Action>& actions) {
   for (PeerIndex to = 0; to < out_.size(); ++to) {
     if (out_[to].link == 0 && !out_[to].waiting.empty() && now >= out_[to].dial_at)
       dial(now, to, actions);
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -25,9 +25,9 @@
   std::vector<Address> all;  // every manager of the hall, this one too
   PeerIndex own = 0;
   std::string key;
-  Span dial_again{200'000};         // after a connection that failed, doubled up to
-  Span dial_longest{5'000'000};     // this
-  std::size_t most_waiting = 4096;  // messages to one peer
+  Duration dial_again{200'000};      // after a connection that failed, doubled up to
+  Duration dial_longest{5'000'000};  // this
+  std::size_t most_waiting = 4096;   // messages to one peer
   std::size_t most_frame = 64 * 1024;
 };
 
@@ -41,12 +41,13 @@
  public:
   // `links`: where the numbers of links that this dials begin; they rise from there.
   Peers(PeerTerms terms, Link links) : terms_(std::move(terms)), next_link_(links), out_(terms_.all.size()) {}
-  void send(Span now, PeerIndex to, std::uint32_t kind, std::string payload, std::vector<Action>& actions);
-  void accepted(Span now, Link link, std::vector<Action>& actions);
+  void send(Duration now, PeerIndex to, std::uint32_t kind, std::string payload,
+            std::vector<Action>& actions);
+  void accepted(Duration now, Link link, std::vector<Action>& actions);
   bool knows(Link link) const { return dialed_.contains(link) || came_.contains(link); }
   std::vector<Heard> received(Link link, std::string_view bytes, std::vector<Action>& actions);
-  void ended(Span now, Link link);
-  void time_passed(Span now, std::vector<Action>& actions);  // dials what is due
+  void ended(Duration now, Link link);
+  void time_passed(Duration now, std::vector<Action>& actions);  // dials what is due
 
   // What was refused or dropped since the last call, and why.
   std::vector<std::string> take_remarks() { return std::exchange(remarks_, {}); }
@@ -58,7 +59,7 @@
     std::string challenge, got;
     std::uint64_t count = 0;
     std::deque<std::pair<std::uint32_t, std::string>> waiting;
-    Span dial_at{0}, pause{0};
+    Duration dial_at{0}, pause{0};
     bool told_full = false;
   };
   struct In {
@@ -68,7 +69,7 @@
   };
   std::string mac(std::string_view challenge, std::string_view body) const;
   void flush(PeerIndex to, std::vector<Action>& actions);
-  void dial(Span now, PeerIndex to, std::vector<Action>& actions);
+  void dial(Duration now, PeerIndex to, std::vector<Action>& actions);
   void refuse(Link link, const std::string& cause, std::vector<Action>& actions);
 
   PeerTerms terms_;
--- a/src/platform/channel/channel.cpp
+++ b/src/platform/channel/channel.cpp
@@ -13,18 +13,18 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t line_most = 4 * 1024 * 1024;  // a whole list of many thousand servers
-constexpr Span first_backoff{200ms};
-constexpr Span longest_backoff{500ms};  // what is told is owed within seconds of its being back
-constexpr Span dial_limit{1s};
-constexpr Span silence_limit{1600ms};  // its word comes every second
+constexpr Duration first_backoff{200ms};
+constexpr Duration longest_backoff{500ms};  // what is told is owed within seconds of its being back
+constexpr Duration dial_limit{1s};
+constexpr Duration silence_limit{1600ms};  // its word comes every second
 
-std::optional<Standing> standing_of(const std::string& status) {
+std::optional<ServerState> standing_of(const std::string& status) {
   if (status == "Ready")
-    return Standing::ready;
+    return ServerState::ready;
   if (status == "Terminating")
-    return Standing::draining;
+    return ServerState::draining;
   if (status == "Gone")
-    return Standing::gone;
+    return ServerState::gone;
   return std::nullopt;
 }
 
@@ -61,9 +61,9 @@
   if (!name || name->empty() || !status)
     return std::nullopt;
   server.name = *name;
-  server.standing = *status;
+  server.state = *status;
   const auto place = read_place(get<std::string>(json, "address").value_or(""));
-  if (!place && *status != Standing::gone)
+  if (!place && *status != ServerState::gone)
     return std::nullopt;  // one that is gone needs no place
   if (place)
     server.place = *place;
@@ -140,13 +140,13 @@
   place_ = std::move(place);
   if (state_ != State::away)
     give_up("its address is another now");
-  look_at_ = Span(0);
+  look_at_ = Duration(0);
   in_vain_ = 0;
 }
 
-Channel::Wish Channel::wish(Span now) {
+Channel::Wish Channel::wish(Duration now) {
   if (!place_)
-    return look_at_ = Span::max(), Wish::none;
+    return look_at_ = Duration::max(), Wish::none;
   if (state_ == State::away) {
     if (now < look_at_)
       return Wish::none;
@@ -163,7 +163,7 @@
   return Wish::none;
 }
 
-void Channel::dialled(Span now) {
+void Channel::dialled(Duration now) {
   state_ = State::dialling;
   useless_ = false;
   held_.clear();
@@ -171,13 +171,13 @@
   look_at_ = now + dial_limit + 1ms;
 }
 
-std::string Channel::connected(Span now) {
+std::string Channel::connected(Duration now) {
   state_ = State::following;
   heard_at_ = now;
   return "resume " + std::to_string(last_) + "\n";
 }
 
-void Channel::ended(Span now) {
+void Channel::ended(Duration now) {
   state_ = State::away;
   useless_ = false;
   held_.clear();
@@ -186,11 +186,11 @@
 
 // Guards against managers whose channels broke at one moment dialling in step from then on, and against a
 // place that hangs up on everybody at once: from the first, drawn; doubling in vain.
-Span Channel::backoff() {
+Duration Channel::backoff() {
   const auto most = std::min(longest_backoff, first_backoff * (1 << std::min(in_vain_, 4)));
-  const auto least = in_vain_ == 0 ? Span(0) : most / 2;
+  const auto least = in_vain_ == 0 ? Duration(0) : most / 2;
   ++in_vain_;
-  return std::uniform_int_distribution<Span::rep>(least.count(), most.count())(chance_) * Span(1);
+  return std::uniform_int_distribution<Duration::rep>(least.count(), most.count())(chance_) * Duration(1);
 }
 
 void Channel::give_up(std::string why) {
@@ -198,7 +198,7 @@
   remark_ = std::move(why);
 }
 
-std::vector<ListNews> Channel::received(Span now, std::string_view bytes) {
+std::vector<ListNews> Channel::received(Duration now, std::string_view bytes) {
   std::vector<ListNews> news;
   while (!useless_ && !bytes.empty()) {
     const auto cut = bytes.find('\n');
@@ -217,7 +217,7 @@
   return news;
 }
 
-void Channel::take_line(Span now, std::string_view line, std::vector<ListNews>& news) {
+void Channel::take_line(Duration now, std::string_view line, std::vector<ListNews>& news) {
   if (line.empty() || line == "\r")
     return;
   const auto json = Json::parse(line.begin(), line.end(), nullptr, false);
--- a/src/platform/channel/channel.h
+++ b/src/platform/channel/channel.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide::platform {
 
@@ -25,7 +25,7 @@
   Place place;
   std::string hall, kind;
   int cell = 0;
-  Standing standing = Standing::ready;
+  ServerState state = ServerState::ready;
   double weight = 1;
   std::int64_t started_ms = 0;  // Unix; 0: long ago
 };
@@ -43,22 +43,22 @@
 
   // What its one connection is to do now.
   enum class Wish { none, dial, hang };
-  Wish wish(Span now);
-  Span look_at() const { return look_at_; }  // ask again by then
+  Wish wish(Duration now);
+  Duration look_at() const { return look_at_; }  // ask again by then
   const std::optional<Place>& place() const { return place_; }
 
-  void dialled(Span now);
-  std::string connected(Span now);  // to be sent
-  std::vector<ListNews> received(Span now, std::string_view bytes);
-  void ended(Span now);  // by either side
+  void dialled(Duration now);
+  std::string connected(Duration now);  // to be sent
+  std::vector<ListNews> received(Duration now, std::string_view bytes);
+  void ended(Duration now);  // by either side
 
   std::int64_t last() const { return last_; }
   const std::string& remark() const { return remark_; }  // why the connection is given up
 
  private:
-  void take_line(Span now, std::string_view line, std::vector<ListNews>& news);
+  void take_line(Duration now, std::string_view line, std::vector<ListNews>& news);
   void give_up(std::string why);
-  Span backoff();
+  Duration backoff();
 
   std::optional<Place> place_;
   std::int64_t last_ = 0;
@@ -66,8 +66,8 @@
   bool useless_ = false;
   std::string held_;
   std::string remark_;
-  Span heard_at_{0};
-  Span look_at_{0};
+  Duration heard_at_{0};
+  Duration look_at_{0};
   std::minstd_rand chance_;
   int in_vain_ = 0;  // dials since anything was heard
 };
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -12,27 +12,27 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span sweep_every{100ms};
-constexpr Span first_word_limit{2s};   // for a viewer's connection to bring a whole message
-constexpr Span reading_time{20ms};     // from a viewer's connection being chosen to end to its end
-constexpr Span stood_still{60ms};      // a wait so long says that this process stood still meanwhile
-constexpr Span at_rest{250ms};         // a viewer who comes has written by then, and read its answer
-constexpr Span idle_viewer_limit{6s};  // for one that carries nothing; viewers close theirs after 4 s
-constexpr Span sign_wanted_after{2s};  // a server where playbacks play is dialled after such silence
-constexpr Span sign_limit{5500ms};     // and given up after so much, if no dial came up since
-constexpr Span between_signs{500ms};
-constexpr Span retired_stays{1s};       // for what the server says on the old connection meanwhile
-constexpr Span turned_off_every{1s};    // said so often at most, against floods in the log
-constexpr Span stop_at_most{3s};        // what a longer abandon time counts as
-constexpr Span stop_quiet{800ms};       // requests still come for so long after the word
-constexpr Span stop_answers_in{400ms};  // beyond the longest abandon time all have their answers
-constexpr Span stop_reads_in{200ms};    // and viewers have so long to read them; killed 0.1 s later
+constexpr Duration sweep_every{100ms};
+constexpr Duration first_word_limit{2s};   // for a viewer's connection to bring a whole message
+constexpr Duration reading_time{20ms};     // from a viewer's connection being chosen to end to its end
+constexpr Duration stood_still{60ms};      // a wait so long says that this process stood still meanwhile
+constexpr Duration at_rest{250ms};         // a viewer who comes has written by then, and read its answer
+constexpr Duration idle_viewer_limit{6s};  // for one that carries nothing; viewers close theirs after 4 s
+constexpr Duration sign_wanted_after{2s};  // a server where playbacks play is dialled after such silence
+constexpr Duration sign_limit{5500ms};     // and given up after so much, if no dial came up since
+constexpr Duration between_signs{500ms};
+constexpr Duration retired_stays{1s};       // for what the server says on the old connection meanwhile
+constexpr Duration turned_off_every{1s};    // said so often at most, against floods in the log
+constexpr Duration stop_at_most{3s};        // what a longer abandon time counts as
+constexpr Duration stop_quiet{800ms};       // requests still come for so long after the word
+constexpr Duration stop_answers_in{400ms};  // beyond the longest abandon time all have their answers
+constexpr Duration stop_reads_in{200ms};    // and viewers have so long to read them; killed 0.1 s later
 constexpr std::size_t most_unsent = 256 * 1024;
 constexpr std::size_t description_most = 8 * 1024;
 constexpr std::size_t name_most = 256;
 constexpr std::size_t most_unsaid = 4096;
 constexpr std::size_t most_released = 4096;
-constexpr Span handed_over_in{10s};  // from a server's release of what is not known yet
+constexpr Duration handed_over_in{10s};  // from a server's release of what is not known yet
 constexpr int refused_is_gone = 2;
 constexpr int most_leave_turns = 4;
 constexpr double most_left = 2;              // of a plan's abandon time
@@ -41,7 +41,7 @@
 
 constexpr unsigned ring_shift = 56;
 
-std::int64_t ms_of(Span span) { return span.count() / 1000; }
+std::int64_t ms_of(Duration span) { return span.count() / 1000; }
 
 bool plain_name(const std::string& text) {
   if (text.empty() || text.size() > name_most)
@@ -85,7 +85,7 @@
 Platform::Platform(StartTerms terms, std::unique_ptr<Decider> decider)
     : terms_(std::move(terms)), decider_(std::move(decider)), channel_(~terms_.seed) {
   if (!decider_)
-    decider_ = module_decider(terms_.site, terms_.seed);
+    decider_ = make_policy_decider(terms_.site, terms_.seed);
   next_test_ = terms_.seed * 0x9E3779B97F4A7C15u;  // far from the viewers' ids, as those are drawn as well
 }
 Platform::~Platform() = default;
@@ -94,7 +94,7 @@
   return {viewers_.size(), links_.size(), playbacks_.size(), titles_.size(), wheel_.armed()};
 }
 
-void Platform::handle(Span now, const IoEvent& what, std::vector<Action>& actions) {
+void Platform::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
   // Guards against blaming others for this process's own standstill: what came meanwhile is read before any
   // timer rings.
   if (begun_ && now - now_ > sweep_every + stood_still)
@@ -122,14 +122,14 @@
   }
 }
 
-Wheel<std::uint64_t>::Handle Platform::arm(Span in, Ring ring, std::uint64_t of) {
+Wheel<std::uint64_t>::Handle Platform::arm(Duration in, Ring ring, std::uint64_t of) {
   return wheel_.arm(now_ + in, static_cast<std::uint64_t>(ring) << ring_shift | of);
 }
 
 void Platform::ring(const Bell& bell) {
   switch (bell.ring) {
     case Ring::module:
-      return feed(TimerRang{static_cast<std::uint32_t>(bell.of)});
+      return feed(TimerExpired{static_cast<std::uint32_t>(bell.of)});
     case Ring::try_limit: {
       const auto id = static_cast<PlaybackId>(bell.of);
       auto* playback = find(id);
@@ -178,7 +178,7 @@
   }
 }
 
-void Platform::on(const Woken&) { woken_for_ = Span(-1); }
+void Platform::on(const Woken&) { woken_for_ = Duration(-1); }
 
 // Guards against connections that say nothing, or nothing whole, or stay for good: they would hold every
 // descriptor. And against servers that went without a sign while playbacks play there.
@@ -201,7 +201,7 @@
     released_.pop_front();
   // Guards against a server's idle timeout crossing a set-up on its way, which may then have run for all that
   // is known; and against connections that nobody needs, which are scarce at servers.
-  if (terms_.idle_limit > Span(0)) {
+  if (terms_.idle_limit > Duration(0)) {
     for (auto& [number, link] : links_) {
       const bool busy = !link.up || link.retired_at || !link.tries.empty() || !link.tests.empty();
       if (!busy && now_ - link.used_at >= idle_part * terms_.idle_limit)
@@ -225,7 +225,7 @@
   if (stop_asked_)
     return;
   stop_asked_ = now_;
-  Span longest{0};
+  Duration longest{0};
   for (const auto abandon : terms_.abandon)
     longest = std::max(longest, abandon);
   arm(std::min(longest, stop_at_most) + stop_answers_in, Ring::stop);
@@ -324,7 +324,7 @@
 // Guards against floods of connections shutting the usual viewers out: the silent ones go first, then
 // those that carry nothing, the longest unheard of each; none that has just come or just been answered.
 void Platform::make_place() {
-  std::vector<std::tuple<bool, Span, Link>> idle;
+  std::vector<std::tuple<bool, Duration, Link>> idle;
   const auto surplus =
       viewers_.size() - most_viewers() - std::min(parting_.size(), viewers_.size() - most_viewers());
   for (const auto& [link, viewer] : viewers_) {
@@ -522,7 +522,7 @@
 // it: those are owed their answers.
 void Platform::turn_off(Link link, std::optional<CallId> call, const std::string& cause) {
   ++turned_off_;
-  if (turned_off_said_ < Span(0) || now_ - turned_off_said_ >= turned_off_every) {
+  if (turned_off_said_ < Duration(0) || now_ - turned_off_said_ >= turned_off_every) {
     say("turned_off", {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(turned_off_)}});
     turned_off_ = 0;
     turned_off_said_ = now_;
@@ -554,7 +554,7 @@
     const auto hint = figure(field("hint"));
     if (!hint || *hint > 1e10)
       return "with.hint: expected milliseconds";
-    request.length = Span(static_cast<std::int64_t>(*hint * 1000));
+    request.length = Duration(static_cast<std::int64_t>(*hint * 1000));
   }
   std::map<std::string, std::string> extras;
   const auto text = field("extras");
@@ -573,7 +573,7 @@
   if (!home || !copies || !top)
     return "with.extras: expected home, copies and top within their bounds";
   request.first_cell = *home;
-  request.holders = *copies;
+  request.cell_count = *copies;
   request.top = *top;
   at = extras["at"];
   if (!at.empty() && !plain_name(at))
@@ -585,7 +585,7 @@
   const auto most_ms = at.empty() ? most_left * plan_ms : 1e12;
   if (!left || *left <= 0 || *left > most_ms)
     return "with.left: expected milliseconds";
-  request.abandon_at = now_ + Span(static_cast<std::int64_t>(*left * 1000));
+  request.abandon_at = now_ + Duration(static_cast<std::int64_t>(*left * 1000));
   if (!message.description || message.description->empty() || message.description->size() > description_most)
     return "desc: expected a description";
   return std::nullopt;
@@ -645,7 +645,7 @@
   servers_[server].playing.insert(id);
   ++viewer.standing;
   last_viewer_ = link;
-  feed(CarriedOver{request, server});
+  feed(PlaybackAdopted{request, server});
   care_for(server);
 }
 
@@ -666,7 +666,7 @@
   auto* playback = find(id);
   if (!playback)
     return;
-  feed(Withdrawn{id});
+  feed(RequestCancelled{id});
   playback = find(id);
   if (!playback)
     return;
@@ -734,7 +734,7 @@
   if (links_.size() < most_server_links())
     return true;
   Link longest = 0;
-  std::tuple<bool, Span, Link> least;
+  std::tuple<bool, Duration, Link> least;
   for (const auto& [number, link] : links_) {
     if (!link.up || !link.tries.empty() || !link.tests.empty())
       continue;
@@ -792,7 +792,7 @@
   // own.
   const bool refused = server.refused >= refused_is_gone &&
                        now_ - server.first_refused >= between_signs / 2 && !connected_to(id);
-  const bool replaced = server.standing == Standing::gone && server.place.port != 0 && !connected_to(id);
+  const bool replaced = server.state == ServerState::gone && server.place.port != 0 && !connected_to(id);
   if (lost || refused || replaced)
     return cut_all(id, lost ? "no sign" : refused ? "refused" : "gone");
   if (server.dialled || now_ < server.next_dial)
@@ -882,17 +882,17 @@
     return;
   auto& playback = playbacks_.at(known->second);
   if (message.kind == ServerMessage::Kind::note) {
-    Note note;
+    Measurement note;
     note.playback = known->second;
     note.server = id;
     if (message.note == "kept_up")
-      note.about = Note::About::share;
+      note.kind = Measurement::Kind::share;
     else if (message.note == "tier")
-      note.about = Note::About::rung;
+      note.kind = Measurement::Kind::rung;
     else if (message.note == "wire")
-      note.about = Note::About::link_fill;
+      note.kind = Measurement::Kind::link_fill;
     else if (message.note == "trunk")
-      note.about = Note::About::uplink_fill;
+      note.kind = Measurement::Kind::uplink_fill;
     else
       return;
     if (!message.value)
@@ -916,7 +916,7 @@
     last_viewer_ = playback.viewer;
     to_viewer(playback.viewer, accept_line(message.call, *message.description));
   }
-  feed(Started{known->second, id, now_ - playback.tried_at});
+  feed(PlaybackStarted{known->second, id, now_ - playback.tried_at});
 }
 
 void Platform::release_heard(Link number, ServerMessage& message) {
@@ -996,28 +996,28 @@
   playbacks_.erase(found);
 }
 
-void Platform::start_try(const SetUp& order) {
-  auto* playback = find(order.playback);
+void Platform::start_try(const SetUp& command) {
+  auto* playback = find(command.playback);
   // Guards against the module waiting for good for a try of a viewer who left while it was decided.
   if (!playback || playback->state != Playback::State::waiting)
-    return feed(TryEnded{order.playback, order.server, Outcome::not_sent, true, {}});
+    return feed(TryEnded{command.playback, command.server, Outcome::not_sent, true, {}});
   playback->state = Playback::State::trying;
-  playback->server = order.server;
+  playback->server = command.server;
   playback->sent = false;
   playback->tried_at = now_;
-  playback->try_until = now_ + order.time_limit;
-  playback->link = link_for(order.server);
-  if (playback->link == 0 && servers_[order.server].place.port == 0)
-    return end_try(order.playback, Outcome::no_connection, {}, false);
+  playback->try_until = now_ + command.time_limit;
+  playback->link = link_for(command.server);
+  if (playback->link == 0 && servers_[command.server].place.port == 0)
+    return end_try(command.playback, Outcome::no_connection, {}, false);
   // With no descriptor left it waits as for a dial: ended at once, it would be tried again at once.
-  const auto limit = playback->link ? order.time_limit : std::min(order.time_limit, terms_.dial_limit);
-  playback->limit = arm(limit, Ring::try_limit, order.playback);
+  const auto limit = playback->link ? command.time_limit : std::min(command.time_limit, terms_.dial_limit);
+  playback->limit = arm(limit, Ring::try_limit, command.playback);
   if (playback->link == 0)
     return;
   auto& link = links_.at(playback->link);
-  link.tries.insert(order.playback);
+  link.tries.insert(command.playback);
   if (link.up)
-    send_when_settled(order.playback);
+    send_when_settled(command.playback);
 }
 
 void Platform::send_when_settled(PlaybackId id) {
@@ -1088,14 +1088,14 @@
   while (!events_.empty()) {
     const auto next = std::move(events_.front());
     events_.pop_front();
-    for (const auto& order : decider_->decide(now_, next))
-      carry_out(order);
+    for (const auto& command : decider_->decide(now_, next))
+      carry_out(command);
   }
   deciding_ = false;
 }
 
-void Platform::carry_out(const Order& order) {
-  const auto final_answer = [&](PlaybackId id, int why, Span come_back) {
+void Platform::carry_out(const Command& command) {
+  const auto final_answer = [&](PlaybackId id, int why, Duration come_back) {
     auto* playback = find(id);
     if (!playback || playback->state != Playback::State::waiting)
       return;
@@ -1118,8 +1118,8 @@
                    if (link)
                      to_server(link, rung_bytes(playback->call, o.rung));
                  },
-                 [&](const Reject& o) { final_answer(o.playback, cause::rejected, o.come_back); },
-                 [&](const Abort& o) { final_answer(o.playback, cause::reset, Span(0)); },
+                 [&](const Reject& o) { final_answer(o.playback, cause::rejected, o.retry_after); },
+                 [&](const Abort& o) { final_answer(o.playback, cause::reset, Duration(0)); },
                  [&](const Probe& o) {
                    const auto number = link_for(o.server);
                    if (number == 0)
@@ -1132,9 +1132,9 @@
                      to_server(number, test_bytes(test));
                  },
                  [&](const SetTimer& o) { arm(o.delay, Ring::module, o.token); },
-                 [&](const FollowList&) {},  // the channel is followed in any case
+                 [&](const SubscribeServerList&) {},  // the channel is followed in any case
              },
-             order);
+             command);
 }
 
 // ---- the list ----
@@ -1142,12 +1142,12 @@
 void Platform::take_lists(const std::vector<ListNews>& lists, bool at_start) {
   for (const auto& news : lists) {
     ServerList list;
-    list.reach = !news.whole ? ServerList::Reach::changes
-                 : at_start  ? ServerList::Reach::cached
-                             : ServerList::Reach::complete;
+    list.kind = !news.whole ? ServerList::Kind::changes
+                : at_start  ? ServerList::Kind::cached
+                            : ServerList::Kind::complete;
     if (news.whole) {
       for (auto& server : servers_)
-        server.standing = Standing::gone;
+        server.state = ServerState::gone;
     }
     std::vector<Link> stale;
     for (const auto& told : news.servers) {
@@ -1155,7 +1155,7 @@
       auto& server = servers_[id];
       const bool anew = told.started_ms > server.started_ms && server.started_ms != 0;
       const bool moved = told.place.port != 0 && server.place.port != 0 && told.place != server.place;
-      server.standing = told.standing;
+      server.state = told.state;
       if (told.place.port != 0)
         server.place = told.place;
       if (told.started_ms != 0)
@@ -1166,13 +1166,13 @@
         stale.push_back(server.dialled);
       ServerEntry entry;
       entry.server = id;
-      entry.standing = told.standing;
+      entry.state = told.state;
       entry.kind = place_in(terms_.kinds, told.kind);
       entry.cell = told.cell;
       entry.hall = place_in(terms_.halls, told.hall);
       entry.weight = told.weight;
       if (told.started_ms != 0)
-        entry.started = Span(told.started_ms * 1000) - terms_.wall_at_zero;
+        entry.started = Duration(told.started_ms * 1000) - terms_.wall_at_zero;
       list.entries.push_back(entry);
       if (anew)
         cut_all(id, "started anew");
@@ -1192,7 +1192,7 @@
 void Platform::take_back_unsent() {
   std::vector<PlaybackId> unsent;
   for (const auto& [number, link] : links_) {
-    if (servers_[link.server].standing == Standing::ready && !link.retired_at)
+    if (servers_[link.server].state == ServerState::ready && !link.retired_at)
       continue;
     for (const auto id : link.tries) {
       if (!playbacks_.at(id).sent)
@@ -1210,7 +1210,7 @@
 // Guards against viewers being led to a process that can serve none of them.
 bool Platform::ready() const {
   return !stop_asked_ && std::any_of(servers_.begin(), servers_.end(),
-                                     [](const auto& server) { return server.standing == Standing::ready; });
+                                     [](const auto& server) { return server.state == ServerState::ready; });
 }
 
 void Platform::tend_channel() {
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -33,43 +33,43 @@
   // `decider`: the module, if none is given.
   Platform(StartTerms terms, std::unique_ptr<Decider> decider);
   ~Platform() override;
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override;
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   Held held() const;
 
  private:
   struct ViewerLink {
     ViewerReader reader;
-    Span since{0};
-    Span heard_at{0};
+    Duration since{0};
+    Duration heard_at{0};
     bool spoke = false;         // a message that could be read
     std::set<PlaybackId> open;  // set-ups without an answer
     std::size_t standing = 0;
     std::size_t unsent = 0;
-    std::optional<Span> parts_at;  // chosen to end then, unless it says something whole
+    std::optional<Duration> parts_at;  // chosen to end then, unless it says something whole
   };
   struct ServerLink {
     ServerId server = 0;
     ServerReader reader;
     bool up = false;
-    Span heard_at{0};
-    std::optional<Span> retired_at;  // takes no new set-ups
-    std::set<PlaybackId> tries;      // sent, or to be sent once it is up
+    Duration heard_at{0};
+    std::optional<Duration> retired_at;  // takes no new set-ups
+    std::set<PlaybackId> tries;          // sent, or to be sent once it is up
     std::set<CallId> tests;
-    Span used_at{0};  // bytes last went either way
+    Duration used_at{0};  // bytes last went either way
   };
   struct VideoServer {
     std::string name;
     Place place;
-    Standing standing = Standing::gone;
+    ServerState state = ServerState::gone;
     std::int64_t started_ms = 0;
     Link link = 0;  // the one that takes new set-ups; 0: none
     Link dialled = 0;
     std::set<PlaybackId> playing;
     std::vector<std::string> unsaid;  // releases for the next connection
-    Span heard_at{0};
-    Span next_dial{0};
+    Duration heard_at{0};
+    Duration next_dial{0};
     int refused = 0;  // in a row
-    Span first_refused{0};
+    Duration first_refused{0};
   };
   struct Playback {
     enum class State { waiting, trying, playing };
@@ -81,8 +81,8 @@
     ServerId server = 0;
     Link link = 0;
     bool sent = false;
-    Span tried_at{0};
-    Span try_until{0};
+    Duration tried_at{0};
+    Duration try_until{0};
     int rung = 0;
     bool rung_unsaid = false;
     Wheel<std::uint64_t>::Handle limit;
@@ -91,7 +91,7 @@
     CallId call = 0;
     ServerId server = 0;
     int why = 0;
-    Span at{0};
+    Duration at{0};
   };
   enum class Ring { module, try_limit, dial, probe, sweep, part, channel, stop };
   struct Bell {
@@ -155,13 +155,13 @@
   Playback* find(PlaybackId id);
   PlaybackId admit(CallId call, Link viewer, const Request& request, std::string title);
   TitleId title(const std::string& name);
-  void start_try(const SetUp& order);
+  void start_try(const SetUp& command);
   void end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool over);
   void stop_playing(PlaybackId id, Outcome outcome, const LoadReport& load, std::optional<int> tell);
   void tell_end(const Playback& playback, int why);
   void forget(PlaybackId id);
   void feed(Event event);
-  void carry_out(const Order& order);
+  void carry_out(const Command& command);
 
   // ---- the list ----
   void take_lists(const std::vector<ListNews>& lists, bool at_start);
@@ -169,7 +169,7 @@
   bool ready() const;
   void tend_channel();
 
-  Wheel<std::uint64_t>::Handle arm(Span in, Ring ring, std::uint64_t of = 0);
+  Wheel<std::uint64_t>::Handle arm(Duration in, Ring ring, std::uint64_t of = 0);
   void say(std::string event, std::vector<Field> fields) {
     actions_->push_back(Say{std::move(event), std::move(fields)});
   }
@@ -181,9 +181,9 @@
   StartTerms terms_;
   std::unique_ptr<Decider> decider_;
   std::vector<Action>* actions_ = nullptr;
-  Span now_{0};
+  Duration now_{0};
   bool begun_ = false;
-  std::optional<Span> stop_asked_;
+  std::optional<Duration> stop_asked_;
   enum class Leaving { no, when_empty, at_once } leaving_ = Leaving::no;  // once settled
   bool accepted_ = false;  // somebody, since it was looked at last
   int leave_turns_ = 0;
@@ -191,7 +191,7 @@
   bool still_ = false;                // stood still, and what came meanwhile is not read yet
   std::vector<PlaybackId> settling_;  // whose tries go out then
   Wheel<std::uint64_t> wheel_;
-  Span woken_for_{-1};
+  Duration woken_for_{-1};
   std::deque<Event> events_;
   bool deciding_ = false;
 
@@ -215,7 +215,7 @@
   Link channel_link_ = 0;
   Wheel<std::uint64_t>::Handle channel_look_;
   std::size_t turned_off_ = 0;  // since it was said last
-  Span turned_off_said_{-1};
+  Duration turned_off_said_{-1};
 };
 
 }  // namespace violettide::platform
--- a/src/platform/start.cpp
+++ b/src/platform/start.cpp
@@ -87,12 +87,12 @@
     for (std::size_t i = 0; i < terms.site.plans.size(); ++i) {
       const auto path = "Classes." + std::to_string(i) + ".";
       terms.plans.push_back(pairs.text(path + "Name"));
-      terms.abandon.push_back(Span(pairs.integer(path + "GiveUp", 0)));
+      terms.abandon.push_back(Duration(pairs.integer(path + "GiveUp", 0)));
       if (terms.plans.back().empty())
         throw SettingFault(path + "Name: expected a name");
-      if (terms.site.plans[i].startup_target <= Span(0))
+      if (terms.site.plans[i].startup_target <= Duration(0))
         throw SettingFault(path + "Aim: expected a time above 0");
-      if (terms.abandon.back() <= Span(0))
+      if (terms.abandon.back() <= Duration(0))
         throw SettingFault(path + "GiveUp: expected a time above 0");
     }
     if (terms.plans.empty())
@@ -103,8 +103,8 @@
     terms.kinds = pairs.texts("Models");
     const auto dial = pairs.integer("Limits.DialTimeout", 0);
     if (dial > 0)
-      terms.dial_limit = Span(dial);
-    terms.idle_limit = Span(std::max<std::int64_t>(0, pairs.integer("Limits.ConnIdle", 0)));
+      terms.dial_limit = Duration(dial);
+    terms.idle_limit = Duration(std::max<std::int64_t>(0, pairs.integer("Limits.ConnIdle", 0)));
     const auto tries = pairs.integer("Limits.StreamsPerConn", 0);
     if (tries > 0)
       terms.tries_per_link = static_cast<std::size_t>(tries);
--- a/src/platform/start.h
+++ b/src/platform/start.h
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
 #include "platform/channel/channel.h"
+#include "policy/policy.h"
 
 namespace violettide::platform {
 
@@ -18,14 +18,14 @@
   std::size_t sockets = 1024;
   std::optional<Place> channel;
   std::string known;  // events of the command channel up to now, JSON
-  SiteTerms site;
+  PolicySettings site;
   std::vector<std::string> plans;  // names, in the order of site.plans
-  std::vector<Span> abandon;       // a plan's viewers wait so long at most
+  std::vector<Duration> abandon;   // a plan's viewers wait so long at most
   std::vector<std::string> halls, kinds;
-  Span dial_limit{250'000};
-  Span idle_limit{0};  // servers close connections unused for so long; 0: never
+  Duration dial_limit{250'000};
+  Duration idle_limit{0};  // servers close connections unused for so long; 0: never
   std::size_t tries_per_link = 1'000'000;
-  Span wall_at_zero{0};  // the machine's clock at the core's time 0
+  Duration wall_at_zero{0};  // the machine's clock at the core's time 0
 };
 struct StartFault {
   std::string cause;  // with its place
--- a/src/brain.cpp
+++ b/src/policy/policy.cpp
@@ -1,8 +1,8 @@
-// The decision module. Its caller hands Brain::handle the time (a span since this session manager
+// The decision module. Its caller hands Policy::handle the time (a span since this session manager
 // started) and one thing that happened, and carries out the orders returned, in their order. The
-// interface is in brain.h; all decisions, tables and tuned values are here. docs/design.md tells what
+// interface is in policy.h; all decisions, tables and tuned values are here. docs/design.md tells what
 // is kept of Sunstar.
-#include "brain.h"
+#include "policy/policy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -50,21 +50,21 @@
 constexpr double first_try_share = 0.45;  // part of the time to the startup target that one try may take
 constexpr double first_rest = 1;          // a failing server rests so many startup targets, doubling
 constexpr double come_back_part = 0.5;    // of the longest come-back time
-constexpr Span first_life = 30s;          // how long playbacks last until this front knows
+constexpr Duration first_life = 30s;      // how long playbacks last until this front knows
 constexpr double first_lives = 10;        // so many lives of its own count as much as that
 constexpr double fill_most = 20;          // of a link or an uplink: a report beyond says no more
-constexpr Span tick = 250ms;
+constexpr Duration tick = 250ms;
 constexpr std::uint32_t tick_token = 1;
 
 std::size_t wrapped(int place, std::size_t count) {
   const int most = static_cast<int>(count);
   return static_cast<std::size_t>((place % most + most) % most);
 }
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 // Bounded, as nonsensical settings can make a span endless.
-Span span_of(double seconds) {
+Duration span_of(double seconds) {
   constexpr double most = 1e9;
-  return Span(static_cast<std::int64_t>((seconds < most ? std::max(seconds, -most) : most) * 1e6));
+  return Duration(static_cast<std::int64_t>((seconds < most ? std::max(seconds, -most) : most) * 1e6));
 }
 
 // Guards against figures that are none, or beyond all sense: one would stay in a mean for good.
@@ -82,26 +82,26 @@
 // Mean and variance of the delivered share over time; between notes a server counts as it last sounded.
 class ShareMeter {
  public:
-  void note(Span now, double share, Span silence) {
+  void note(Duration now, double share, Duration silence) {
     settle(now, silence);
     current_ = share;
     noted_ = now;
   }
-  double mean(Span now, Span silence) { return settle(now, silence), mean_; }
-  double spread(Span now, Span silence) {
+  double mean(Duration now, Duration silence) { return settle(now, silence), mean_; }
+  double spread(Duration now, Duration silence) {
     settle(now, silence);
     return std::min(1.0, chebyshev_gap * std::sqrt(std::max(0.0, square_ - mean_ * mean_)));
   }
 
  private:
-  void settle(Span now, Span silence) {
+  void settle(Duration now, Duration silence) {
     if (current_ < full_share && now - noted_ > 2 * silence) {
       pull(noted_ + 2 * silence, silence);
       current_ = 1;  // no note for so long: full share again
     }
     pull(now, silence);
   }
-  void pull(Span until, Span silence) {
+  void pull(Duration until, Duration silence) {
     const double gone = seconds(until - settled_) / (share_memory * seconds(silence));
     const double kept = std::exp(-std::max(0.0, gone));
     mean_ = kept * mean_ + (1 - kept) * current_;
@@ -111,15 +111,15 @@
   double mean_ = 1;
   double square_ = 1;
   double current_ = 1;
-  Span noted_{0};
-  Span settled_{0};
+  Duration noted_{0};
+  Duration settled_{0};
 };
 
 // A sum that fades: brought up to date when read.
 class FadingSum {
  public:
-  void add(Span now, double value, Span memory) { sum_ = read(now, memory) + value; }
-  double read(Span now, Span memory) {
+  void add(Duration now, double value, Duration memory) { sum_ = read(now, memory) + value; }
+  double read(Duration now, Duration memory) {
     sum_ *= std::exp(-seconds(now - read_at_) / seconds(memory));
     read_at_ = now;
     return sum_;
@@ -127,19 +127,19 @@
 
  private:
   double sum_ = 0;
-  Span read_at_{0};
+  Duration read_at_{0};
 };
 
 // What the others ask of a link or an uplink, by reports; it counts less the older it is.
 struct OthersUse {
   std::optional<double> kb;
-  Span heard_at = -24h;
+  Duration heard_at = -24h;
 
-  void hear(double heard, Span now) {
+  void hear(double heard, Duration now) {
     kb = heard;
     heard_at = now;
   }
-  double trust(Span now, Span memory) const {
+  double trust(Duration now, Duration memory) const {
     return kb ? std::exp(-seconds(now - heard_at) / seconds(memory)) : 0;
   }
 };
@@ -151,12 +151,12 @@
   FadingSum squares;
   FadingSum count;
 
-  void hear(double fill, Span now, Span memory) {
+  void hear(double fill, Duration now, Duration memory) {
     fills.add(now, fill, memory);
     squares.add(now, fill * fill, memory);
     count.add(now, 1, memory);
   }
-  double read(Span now, Span memory, double unheard) {
+  double read(Duration now, Duration memory, double unheard) {
     const double heard = 1 + count.read(now, memory);
     const double mean = (unheard + fills.read(now, memory)) / heard;
     const double square = (unheard * unheard + squares.read(now, memory)) / heard;
@@ -167,77 +167,77 @@
 // A CUBIC window: cut on a loss, regrown by the cubic.
 struct Window {
   double peak = 0;
-  Span lost_at{0};
+  Duration lost_at{0};
 
-  double size(Span now) const {
+  double size(Duration now) const {
     const double to_peak = std::cbrt((1 - window_kept) * peak / cubic_scale);
     return cubic_scale * std::pow(seconds(now - lost_at) - to_peak, 3) + peak;
   }
-  void open_at(double first, Span now) { *this = {first / window_kept, now}; }
+  void open_at(double first, Duration now) { *this = {first / window_kept, now}; }
   // A front that holds less than its window allows has not tested it (RFC 8312, application-limited).
-  void cut(double held, Span now) { *this = {std::max(1.0, std::min(size(now), held)), now}; }
+  void cut(double held, Duration now) { *this = {std::max(1.0, std::min(size(now), held)), now}; }
 };
 
 struct Server {
   bool listed = false;
-  Standing standing = Standing::gone;
+  ServerState state = ServerState::gone;
   int kind = 0;
   int cell = 0;
   int hall = 0;
   double weight = 1;
-  std::optional<Span> started;
+  std::optional<Duration> started;
 
   Window window;
   bool window_cut = false;
   ShareMeter shares;
   double mean_at_loss = 1;
-  std::optional<Span> last_short;  // the last note of the train of shortfall notes that runs
-  std::optional<Span> last_drop;
+  std::optional<Duration> last_short;  // the last note of the train of shortfall notes that runs
+  std::optional<Duration> last_drop;
 
   double own_kb = 0;  // rungs of this front's playbacks there, set-ups included
   int held = 0;
-  OthersUse others;     // ladder errors included
-  Span asked_at = -1h;  // by a probe for a rise
-  bool news = false;    // of room, by which no rise has been weighed yet
+  OthersUse others;         // ladder errors included
+  Duration asked_at = -1h;  // by a probe for a rise
+  bool news = false;        // of room, by which no rise has been weighed yet
 
   int strikes = 0;
-  Span rests_until{0};
-  std::optional<Span> cold_since;
-  Span last_set_up = -24h;  // as the cold pace counts
+  Duration rests_until{0};
+  std::optional<Duration> cold_since;
+  Duration last_set_up = -24h;  // as the cold pace counts
 };
 
 struct Playback {
   enum class State { waiting, setting_up, playing };
   Request request;
   State state = State::waiting;
-  Span since{0};
-  Span target_at{0};
+  Duration since{0};
+  Duration target_at{0};
   ServerId server = 0;
   int rung = 0;
   int tries = 0;
   int probes = 0;                 // made for this playback before it was placed
   std::optional<ServerId> asked;  // the probe that it waits for
-  Span asked_at{0};
+  Duration asked_at{0};
   bool may_have_run = false;
   bool withdrawn = false;
-  std::optional<Span> chosen_at;  // when this front last chose its rung
-  std::optional<Span> ends_at;
+  std::optional<Duration> chosen_at;  // when this front last chose its rung
+  std::optional<Duration> ends_at;
 };
 
 struct Rack {
   std::vector<ServerId> servers;
-  std::optional<Span> reckoned_at;  // when asked_kb was, if nothing has changed since
+  std::optional<Duration> reckoned_at;  // when asked_kb was, if nothing has changed since
   double asked_kb = 0;
   OthersUse others;               // from reports of the uplink, where there are any
   std::optional<double> gave_kb;  // what an uplink without reports was last seen to give when short
-  Span gave_at{0};
+  Duration gave_at{0};
 };
 
 }  // namespace
 
-class Brain::Mind {
+class Policy::Impl {
  public:
-  Mind(SiteTerms terms, std::uint64_t seed) : terms_(std::move(terms)) {
+  Impl(PolicySettings terms, std::uint64_t seed) : terms_(std::move(terms)) {
     chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
     // Absent or nonsensical settings still give one of each, and floors on the ladder.
     if (terms_.rung_kb.empty())
@@ -248,36 +248,36 @@
     for (auto& plan : terms_.plans)
       plan.floor = std::clamp(plan.floor, 0, last);
     terms_.rung_revenue.resize(terms_.rung_kb.size(), 1);
-    terms_.fronts = std::max(1, terms_.fronts);
-    const auto fronts = static_cast<std::size_t>(terms_.fronts);
-    number_ = terms_.own_number ? wrapped(*terms_.own_number, fronts) : chance_() % fronts;
+    terms_.front_count = std::max(1, terms_.front_count);
+    const auto fronts = static_cast<std::size_t>(terms_.front_count);
+    number_ = terms_.front_index ? wrapped(*terms_.front_index, fronts) : chance_() % fronts;
     terms_.cells = std::max(1, terms_.cells);
     cells_.resize(static_cast<std::size_t>(terms_.cells));  // a request may come before any list
     racks_.resize(static_cast<std::size_t>(std::max(1, terms_.racks)));
   }
 
-  std::vector<Order> handle(Span now, const Event& event) {
+  std::vector<Command> handle(Duration now, const Event& event) {
     now_ = now;
-    orders_.clear();
+    commands_.clear();
     if (!ticking_)
       start_ticking();
     std::visit([this](const auto& what) { on(what); }, event);
-    return std::move(orders_);
+    return std::move(commands_);
   }
 
  private:
   // ---- what happened ----
   void on(const ServerList& list) {
-    if (list.reach != ServerList::Reach::changes) {
+    if (list.kind != ServerList::Kind::changes) {
       for (auto& server : servers_)
-        server.standing = Standing::gone;
+        server.state = ServerState::gone;
     }
     for (const auto& entry : list.entries)
       take_entry(entry);
     arrange();
   }
 
-  void on(const ListFailed&) { ask_for_list_ = terms_.list_on_request; }
+  void on(const ServerListFailed&) { ask_for_list_ = terms_.list_needs_subscription; }
 
   // Guards against a playback taken twice: its account would be opened twice and closed once.
   bool is_known(const Request& request) const { return playbacks_.contains(request.playback); }
@@ -285,13 +285,13 @@
   void on(const Request& request) {
     if (is_known(request))
       return;
-    if (terms_.budget_window > 0s)
+    if (terms_.retry_budget_window > 0s)
       taken_.push_back(now_);
     forget_old_tries();
     probes_due_ = std::min(probes_due_ + probes_per_playback(), most_probes_due);
     auto& playback = admit(request);
     // Guards against holding a viewer who leaves before the startup target.
-    const Span target = terms_.plans.at(playback.request.plan).startup_target;
+    const Duration target = terms_.plans.at(playback.request.plan).startup_target;
     playback.target_at = std::min(now_ + target, request.abandon_at);
     place(playback);
   }
@@ -301,12 +301,12 @@
     const auto found = playbacks_.find(what.playback);
     if (found == playbacks_.end())
       return;
-    found->second.request.listed = what.listed;
+    found->second.request.listed_holders = what.listed_holders;
     if (found->second.state == Playback::State::waiting)
       place(found->second);
   }
 
-  void on(const CarriedOver& carried) {
+  void on(const PlaybackAdopted& carried) {
     if (is_known(carried.request))
       return;
     auto& playback = admit(carried.request);
@@ -316,7 +316,7 @@
     attach(playback, carried.server);
   }
 
-  void on(const Withdrawn& what) {
+  void on(const RequestCancelled& what) {
     const auto found = playbacks_.find(what.playback);
     if (found == playbacks_.end())
       return;
@@ -325,7 +325,7 @@
     found->second.withdrawn = true;
   }
 
-  void on(const Started& what) {
+  void on(const PlaybackStarted& what) {
     const auto found = playbacks_.find(what.playback);
     if (found == playbacks_.end() || found->second.state != Playback::State::setting_up)
       return;
@@ -344,48 +344,48 @@
     auto& playback = found->second;
     // Guards against a second set-up: what ends here is the try that is out there, and no other.
     const bool of_this = playback.state != Playback::State::waiting && playback.server == what.server;
-    if (!of_this && !what.over)
+    if (!of_this && !what.playback_over)
       return;
     detach(playback);
     judge_outcome(server_at(what.server), playback, what.outcome);
     if (what.outcome == Outcome::served && !playback.request.length)
       learn_life(now_ - playback.since);
-    if (what.over || playback.withdrawn)
+    if (what.playback_over || playback.withdrawn)
       return forget(what.playback);
     place(playback);
   }
 
   void on(const ProbeEnded& what) {
     take_report(what.server, what.load);
-    if (!what.answered && what.left)
+    if (!what.answered && what.sent)
       strike(server_at(what.server));
     place_waiting([&](const Playback& playback) { return playback.asked == what.server; });
   }
 
-  void on(const Note& note) {
+  void on(const Measurement& note) {
     const auto found = playbacks_.find(note.playback);
-    switch (note.about) {
-      case Note::About::rung:
+    switch (note.kind) {
+      case Measurement::Kind::rung:
         if (found != playbacks_.end())
           take_rung(found->second, note.value);
         return;
-      case Note::About::link_fill:
+      case Measurement::Kind::link_fill:
         return take_report(note.server, {note.value, {}, {}});
-      case Note::About::uplink_fill:
+      case Measurement::Kind::uplink_fill:
         return take_report(note.server, {{}, note.value, {}});
-      case Note::About::share:
+      case Measurement::Kind::share:
         if (const auto share = sane(note.value, 1))
           take_share(server_at(note.server), *share);
         return;
     }
   }
 
-  void on(const TimerRang& timer) {
+  void on(const TimerExpired& timer) {
     if (timer.token != tick_token)
       return;
-    orders_.push_back(SetTimer{tick, tick_token});
+    commands_.push_back(SetTimer{tick, tick_token});
     if (std::exchange(ask_for_list_, false))
-      orders_.push_back(FollowList{});
+      commands_.push_back(SubscribeServerList{});
     // A probe that stays out must not hold its playback: it is placed by what is known.
     place_waiting([&](Playback& playback) {
       if (now_ - playback.asked_at <= tick)
@@ -400,8 +400,8 @@
   // ---- servers and what is known of them ----
   void start_ticking() {
     ticking_ = true;
-    ask_for_list_ = terms_.list_on_request;
-    orders_.push_back(SetTimer{tick * (1 + static_cast<int>(chance_() % 100)) / 100, tick_token});
+    ask_for_list_ = terms_.list_needs_subscription;
+    commands_.push_back(SetTimer{tick * (1 + static_cast<int>(chance_() % 100)) / 100, tick_token});
   }
 
   Server& server_at(ServerId id) {
@@ -420,7 +420,7 @@
     int count = 0;
     for (ServerId id = 0; id < servers_.size(); ++id) {
       const auto& server = servers_[id];
-      if (server.standing == Standing::gone)
+      if (server.state == ServerState::gone)
         continue;
       cells_[wrapped(server.cell, cells_.size())].push_back(id);
       rack_of(server).servers.push_back(id);
@@ -438,7 +438,7 @@
     server.cell = entry.cell;
     server.hall = entry.hall;
     server.weight = std::isfinite(entry.weight) && entry.weight > 0 ? entry.weight : 1;
-    server.standing = entry.standing;
+    server.state = entry.state;
     server.started = std::max(server.started, entry.started);
     if (restarted)
       begin_anew(server);
@@ -457,7 +457,7 @@
     fresh.cell = server.cell;
     fresh.hall = server.hall;
     fresh.weight = server.weight;
-    fresh.standing = server.standing;
+    fresh.state = server.state;
     fresh.started = server.started;
     fresh.own_kb = server.own_kb;
     fresh.held = server.held;
@@ -468,12 +468,12 @@
 
   double streams_of(const Server& server) const {
     const auto kind = static_cast<std::size_t>(server.kind);
-    return kind < terms_.kind_streams.size() ? terms_.kind_streams[kind] : 1;
+    return kind < terms_.streams_by_kind.size() ? terms_.streams_by_kind[kind] : 1;
   }
 
   // Where weights say nothing, a machine's kind does: links go with the streams it runs.
   double link_of(const Server& server) const {
-    if (terms_.weights_told)
+    if (terms_.has_weights)
       return terms_.link_kb_per_weight * server.weight;
     return mean_streams_ > 0 ? terms_.link_kb_per_weight * streams_of(server) / mean_streams_ : 0;
   }
@@ -511,13 +511,13 @@
   // front has playbacks there; does harm where the others' use is steady and far from usual.
   double others_of(const OthersUse& others, double whole, UsualFill& usual) {
     const double trust = others.trust(now_, memory());
-    const double even = static_cast<double>(terms_.fronts - 1) / terms_.fronts;
+    const double even = static_cast<double>(terms_.front_count - 1) / terms_.front_count;
     const double guess = usual.read(now_, memory(), std::min(even, unheard_fill)) * whole;
     return trust * others.kb.value_or(0) + (1 - trust) * guess;
   }
   double others_on(const Server& server) { return others_of(server.others, link_of(server), usual_link_); }
 
-  Span memory() const { return report_memory * silence(); }
+  Duration memory() const { return report_memory * silence(); }
 
   double own_in(const Rack& rack) {
     double own = 0;
@@ -526,7 +526,7 @@
     return own;
   }
 
-  Span silence() const { return std::max<Span>(terms_.note_lag, 500ms) + 500ms; }
+  Duration silence() const { return std::max<Duration>(terms_.measurement_delay, 500ms) + 500ms; }
 
   // The page's room: told link times mean share, less own rungs and the others' use.
   double room(Server& server, double filled) {
@@ -553,7 +553,7 @@
     rack.asked_kb = 0;
     for (const auto id : rack.servers) {
       const auto& server = servers_[id];
-      if (server.standing == Standing::ready)
+      if (server.state == ServerState::ready)
         rack.asked_kb += server.own_kb + others_on(server);
     }
     return rack.asked_kb;
@@ -614,7 +614,7 @@
   // Steps playbacks down until this front's part of the shortfall is covered, least lost per kB first. The
   // notes that follow tell of the time before, so they drop nothing more.
   void drop_rungs(Server& server, double share) {
-    if (server.last_drop && now_ - *server.last_drop < terms_.note_lag + silence())
+    if (server.last_drop && now_ - *server.last_drop < terms_.measurement_delay + silence())
       return;
     server.last_drop = now_;
     double needed = server.own_kb * (1 - filled_most * share);
@@ -665,12 +665,12 @@
   void change_rung(Playback& playback, int rung) {
     set_held_rung(playback, rung);
     playback.chosen_at = now_;
-    orders_.push_back(SetRung{playback.request.playback, rung});
+    commands_.push_back(SetRung{playback.request.playback, rung});
   }
 
   // What a playback still has before it, by its hint or else by how long the others have lasted.
-  Span left_of(const Playback& playback) {
-    const Span floor = terms_.switch_cost;
+  Duration left_of(const Playback& playback) {
+    const Duration floor = terms_.switch_cost;
     return playback.ends_at ? std::max(floor, *playback.ends_at - now_) : std::max(floor, usual_life());
   }
 
@@ -715,17 +715,17 @@
     double best = 0;
     for (int step = 0; step < static_cast<int>(terms_.rung_kb.size()); ++step)
       best = std::max(best, step_value(request, step));
-    const double reserve = terms_.may_probe ? reserve_asked : reserve_told;
+    const double reserve = terms_.probes_enabled ? reserve_asked : reserve_told;
     return best > 0 ? filled_most * std::pow(step_value(request, rung) / best, reserve) : 0;
   }
 
-  Span usual_life() {
+  Duration usual_life() {
     const double known = lives_known_.read(now_, first_life);
     const double lives = lives_.read(now_, first_life);
     return span_of((first_lives * seconds(first_life) + lives) / (first_lives + known));
   }
 
-  void learn_life(Span life) {
+  void learn_life(Duration life) {
     lives_.add(now_, seconds(life), first_life);
     lives_known_.add(now_, 1, first_life);
   }
@@ -765,12 +765,12 @@
   // The answer to a probe one front hears alone; notes reach all that have playbacks there, which are
   // as many as the others' use at the rate of this front's own.
   bool drawn_to_rise(const Playback& playback, int rung) {
-    if (terms_.may_probe)
+    if (terms_.probes_enabled)
       return true;
     auto& server = servers_[playback.server];
     const double more = rate(playback.request, rung) - rate(playback.request, playback.rung);
     const double rivals = others_on(server) * server.held / server.own_kb;
-    return draw() * more * (1 + std::clamp<double>(rivals, 0, terms_.fronts - 1)) <=
+    return draw() * more * (1 + std::clamp<double>(rivals, 0, terms_.front_count - 1)) <=
            room(server, filled_for(playback.request, rung));
   }
 
@@ -839,14 +839,14 @@
   // The servers that hold the request's title and may be given it now, by id.
   std::vector<ServerId> open_holders(const Request& request) {
     std::vector<ServerId> open;
-    if (request.listed) {
-      for (const auto id : *request.listed) {
+    if (request.listed_holders) {
+      for (const auto id : *request.listed_holders) {
         if (id < servers_.size() && servers_[id].listed && is_open(servers_[id]))
           open.push_back(id);
       }
       return open;
     }
-    for (int i = 0; i < std::min(request.holders, terms_.cells); ++i) {
+    for (int i = 0; i < std::min(request.cell_count, terms_.cells); ++i) {
       for (const auto id : cells_[wrapped(request.first_cell + i, cells_.size())]) {
         if (is_open(servers_[id]))
           open.push_back(id);
@@ -857,7 +857,7 @@
   }
 
   bool is_open(const Server& server) const {
-    if (server.standing != Standing::ready)
+    if (server.state != ServerState::ready)
       return false;
     if (now_ < server.rests_until)
       return false;
@@ -874,29 +874,30 @@
   // turns, each one set-up long at the pace allowed. A turn that is not used is over, so that none are saved
   // up for a crowd, and all fronts together stay under the multiple whatever is asked of them.
   bool has_turn(const Server& server) const {
-    if (!server.cold_since || now_ - *server.cold_since >= terms_.cold_time)
+    if (!server.cold_since || now_ - *server.cold_since >= terms_.warmup_time)
       return true;
     const auto turn = turn_at(server, now_);
     const bool used = server.last_set_up >= *server.cold_since && turn_at(server, server.last_set_up) == turn;
-    return !used && turn % static_cast<std::size_t>(terms_.fronts) == number_;
+    return !used && turn % static_cast<std::size_t>(terms_.front_count) == number_;
   }
 
   // How many set-ups the pace has let through since the start: the number of the turn that it is.
-  std::size_t turn_at(const Server& server, Span at) const {
-    const double age = std::max(0.0, seconds(at - *server.cold_since) / seconds(terms_.cold_time));
-    const double warmed = terms_.cold_from * age + (1 - terms_.cold_from) * age * age * age / 3;
+  std::size_t turn_at(const Server& server, Duration at) const {
+    const double age = std::max(0.0, seconds(at - *server.cold_since) / seconds(terms_.warmup_time));
+    const double warmed =
+        terms_.warmup_initial_share * age + (1 - terms_.warmup_initial_share) * age * age * age / 3;
     const double let_through = pace_kept * terms_.overload_multiple * streams_of(server) * warmed;
     return static_cast<std::size_t>(std::fmax(0, std::fmin(let_through, 1e9)));
   }
 
   // How far apart this front sends set-ups to a server that may have started when it did.
-  Span own_interval(const Server& server) const {
-    if (now_ >= terms_.cold_time)
+  Duration own_interval(const Server& server) const {
+    if (now_ >= terms_.warmup_time)
       return 0s;
-    const double warmed = seconds(now_) / seconds(terms_.cold_time);
-    const double warmth = terms_.cold_from + (1 - terms_.cold_from) * warmed * warmed;
-    const double pace = streams_of(server) / seconds(terms_.cold_time) * warmth * terms_.overload_multiple;
-    return span_of(std::min(terms_.fronts, 2) / (pace * pace_kept));
+    const double warmed = seconds(now_) / seconds(terms_.warmup_time);
+    const double warmth = terms_.warmup_initial_share + (1 - terms_.warmup_initial_share) * warmed * warmed;
+    const double pace = streams_of(server) / seconds(terms_.warmup_time) * warmth * terms_.overload_multiple;
+    return span_of(std::min(terms_.front_count, 2) / (pace * pace_kept));
   }
 
   bool has_seat(const Request& request) const {
@@ -909,18 +910,18 @@
 
   // Tries beyond the first, this one too, stay within the free few and the share of playbacks taken.
   bool within_budget(const Playback& playback) {
-    if (playback.tries == 0 || terms_.budget_window <= 0s)
+    if (playback.tries == 0 || terms_.retry_budget_window <= 0s)
       return true;
     forget_old_tries();
     return further_.size() + 1.0 <=
-           terms_.budget_free + terms_.budget_share * static_cast<double>(taken_.size());
+           terms_.retry_budget_base + terms_.retry_budget_share * static_cast<double>(taken_.size());
   }
 
   // With each request, so that a front which seldom tries again does not count its requests for ever.
   void forget_old_tries() {
-    while (!taken_.empty() && taken_.front() <= now_ - terms_.budget_window)
+    while (!taken_.empty() && taken_.front() <= now_ - terms_.retry_budget_window)
       taken_.pop_front();
-    while (!further_.empty() && further_.front() < now_ - terms_.budget_window)
+    while (!further_.empty() && further_.front() < now_ - terms_.retry_budget_window)
       further_.pop_front();
   }
 
@@ -930,7 +931,7 @@
       return false;
     if (now_ >= playback.target_at)
       return false;
-    return playback.tries < terms_.most_tries && within_budget(playback) && has_seat(playback.request);
+    return playback.tries < terms_.max_tries && within_budget(playback) && has_seat(playback.request);
   }
 
   void place(Playback& playback) {
@@ -1004,13 +1005,13 @@
   }
 
   bool crosses(const Server& server) const {
-    return terms_.crossing_price > 0 && server.hall != terms_.own_hall;
+    return terms_.cross_hall_cost > 0 && server.hall != terms_.own_hall;
   }
 
   bool just_heard(const Server& server) const {
     return server.others.kb && now_ - server.others.heard_at <= fresh();
   }
-  Span fresh() const { return span_of(fresh_part * seconds(memory())); }
+  Duration fresh() const { return span_of(fresh_part * seconds(memory())); }
 
   // A number drawn from 0 up to 1.
   double draw() { return std::uniform_real_distribution<>()(chance_); }
@@ -1022,20 +1023,20 @@
     earned_ += earned_weight * (terms_.rung_revenue.at(rung) - earned_);
     attach(playback, id);
     playback.state = Playback::State::setting_up;
-    if (playback.tries > 0 && terms_.budget_window > 0s)
+    if (playback.tries > 0 && terms_.retry_budget_window > 0s)
       further_.push_back(now_);
     ++playback.tries;
     server.last_set_up = now_;
-    orders_.push_back(SetRung{request.playback, rung});
-    orders_.push_back(SetUp{request.playback, id, time_limit(playback)});
+    commands_.push_back(SetRung{request.playback, rung});
+    commands_.push_back(SetUp{request.playback, id, time_limit(playback)});
   }
 
   // A try leaves time for another before the startup target, unless it is the last that may be made.
-  Span time_limit(const Playback& playback) {
-    const Span left = playback.request.abandon_at - now_;
+  Duration time_limit(const Playback& playback) {
+    const Duration left = playback.request.abandon_at - now_;
     if (terms_.plans[playback.request.plan].pay_at_setup)
       return left;
-    if (playback.tries >= terms_.most_tries)
+    if (playback.tries >= terms_.max_tries)
       return left;
     return std::min(left, span_of(first_try_share * seconds(playback.target_at - now_)) + 50ms);
   }
@@ -1043,11 +1044,11 @@
   void give_up(Playback& playback) {
     earned_ -= earned_weight * earned_;
     const auto id = playback.request.playback;
-    const auto come_back = span_of(come_back_part * seconds(terms_.longest_come_back));
+    const auto come_back = span_of(come_back_part * seconds(terms_.max_retry_after));
     if (terms_.plans[playback.request.plan].pay_at_setup && playback.may_have_run)
-      orders_.push_back(Abort{id});
+      commands_.push_back(Abort{id});
     else
-      orders_.push_back(Reject{id, come_back});
+      commands_.push_back(Reject{id, come_back});
     forget(id);
   }
 
@@ -1074,8 +1075,8 @@
     server.cold_since = now_;
   }
 
-  Span shortest_target() const {
-    Span shortest = Span::max();
+  Duration shortest_target() const {
+    Duration shortest = Duration::max();
     for (const auto& plan : terms_.plans)
       shortest = std::min(shortest, plan.startup_target);
     return shortest;
@@ -1083,15 +1084,15 @@
 
   // ---- probes ----
   double probes_per_playback() const {
-    if (!terms_.may_probe)
+    if (!terms_.probes_enabled)
       return 0;
-    return terms_.probe_price > 0 ? std::min(2.0, probe_spending * earned_ / terms_.probe_price) : 2.0;
+    return terms_.probe_cost > 0 ? std::min(2.0, probe_spending * earned_ / terms_.probe_cost) : 2.0;
   }
 
   // Old knowledge of the server chosen is renewed before the set-up, where price and startup target
   // allow.
   bool may_ask(const Playback& playback, const Server& server) const {
-    if (!terms_.may_probe || probes_due_ < 1 || playback.probes >= most_probes)
+    if (!terms_.probes_enabled || probes_due_ < 1 || playback.probes >= most_probes)
       return false;
     if (playback.target_at - now_ < 2 * tick)
       return false;
@@ -1101,7 +1102,7 @@
   // Where playbacks that may rise play, a probe tells of room: at once for those handed over, and then
   // as far as probes are left, the oldest report first.
   void ask_where_playbacks_play() {
-    if (!terms_.may_probe)
+    if (!terms_.probes_enabled)
       return;
     Server* oldest = nullptr;
     ServerId oldest_id = 0;
@@ -1119,7 +1120,7 @@
     if (oldest->others.kb)
       probes_due_ -= 1;
     oldest->asked_at = now_;
-    orders_.push_back(Probe{oldest_id});
+    commands_.push_back(Probe{oldest_id});
   }
 
   // Guards against turning viewers away for room that has since come free.
@@ -1146,14 +1147,14 @@
     playback.asked = id;
     playback.asked_at = now_;
     probes_due_ -= 1;
-    orders_.push_back(Probe{id});
+    commands_.push_back(Probe{id});
   }
 
-  SiteTerms terms_;
+  PolicySettings terms_;
   std::minstd_rand chance_;
   std::size_t number_ = 0;  // of this front among all
-  Span now_{0};
-  std::vector<Order> orders_;
+  Duration now_{0};
+  std::vector<Command> commands_;
   bool ticking_ = false;
   bool ask_for_list_ = false;
   std::deque<Server> servers_;                // by id
@@ -1162,8 +1163,8 @@
   double mean_streams_ = 0;  // of a listed server
   std::map<PlaybackId, Playback> playbacks_;
   std::map<std::pair<int, TitleId>, int> seated_;  // playbacks of a plan and title, set-ups included
-  std::deque<Span> taken_;
-  std::deque<Span> further_;
+  std::deque<Duration> taken_;
+  std::deque<Duration> further_;
   double probes_due_ = 0;
   double earned_ = 1;  // of its top rung's revenue, by a request of late
   UsualFill usual_link_;
@@ -1172,11 +1173,12 @@
   FadingSum lives_known_;
 };
 
-Brain::Brain(SiteTerms terms, std::uint64_t seed) : mind_(std::make_unique<Mind>(std::move(terms), seed)) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
+Policy::Policy(PolicySettings terms, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(terms), seed)) {}
+Policy::~Policy() = default;
+Policy::Policy(Policy&&) noexcept = default;
+Policy& Policy::operator=(Policy&&) noexcept = default;
 
-std::vector<Order> Brain::handle(Span now, const Event& event) { return mind_->handle(now, event); }
+std::vector<Command> Policy::handle(Duration now, const Event& event) { return impl_->handle(now, event); }
 
 }  // namespace violettide
--- a/src/brain.h
+++ b/src/policy/policy.h
@@ -12,13 +12,13 @@
 
 namespace violettide {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 using PlaybackId = std::uint32_t;
 using ServerId = std::uint32_t;
 using TitleId = std::uint32_t;
 
-struct PlanTerms {
-  Span startup_target{0};
+struct PlanSettings {
+  Duration startup_target{0};
   bool pay_at_setup = false;
   double revenue = 1;
   double rate_scale = 1;
@@ -28,81 +28,81 @@
 };
 
 // What the module reads of a deployment's settings; an absent figure is 0 and turns its rule off.
-struct SiteTerms {
-  std::vector<PlanTerms> plans;
+struct PolicySettings {
+  std::vector<PlanSettings> plans;
   std::vector<double> rung_kb;
   std::vector<double> rung_revenue;
-  std::vector<double> kind_streams;
-  bool weights_told = false;
+  std::vector<double> streams_by_kind;
+  bool has_weights = false;
   double link_kb_per_weight = 0;
   double uplink_kb = 0;
   int racks = 0;
   int cells = 1;
-  Span switch_cost{0};
-  Span note_lag{0};
-  int fronts = 1;
-  std::optional<int> own_number;  // among the fronts, from 0; drawn where none is told
-  Span cold_time{0};
-  double cold_from = 1;
+  Duration switch_cost{0};
+  Duration measurement_delay{0};
+  int front_count = 1;
+  std::optional<int> front_index;  // among the fronts, from 0; drawn where none is told
+  Duration warmup_time{0};
+  double warmup_initial_share = 1;
   double overload_multiple = 1;
-  Span budget_window{0};
-  double budget_free = 0;
-  double budget_share = 0;
-  int most_tries = 1;
-  Span longest_come_back{0};
-  bool may_probe = false;
-  bool list_on_request = false;
-  double probe_price = 0;
+  Duration retry_budget_window{0};
+  double retry_budget_base = 0;
+  double retry_budget_share = 0;
+  int max_tries = 1;
+  Duration max_retry_after{0};
+  bool probes_enabled = false;
+  bool list_needs_subscription = false;
+  double probe_cost = 0;
   int own_hall = 0;
-  double crossing_price = 0;  // of a playback in another hall
+  double cross_hall_cost = 0;  // of a playback in another hall
 };
 
 // What happened.
-enum class Standing { ready, draining, gone };
+enum class ServerState { ready, draining, gone };
 struct ServerEntry {
   ServerId server = 0;
-  Standing standing = Standing::ready;
+  ServerState state = ServerState::ready;
   int kind = 0;
   int cell = 0;
   int hall = 0;
-  std::optional<Span> started;
+  std::optional<Duration> started;
   double weight = 1;
 };
 struct ServerList {
-  enum class Reach { changes, complete, cached };
-  Reach reach = Reach::complete;
+  enum class Kind { changes, complete, cached };
+  Kind kind = Kind::complete;
   std::vector<ServerEntry> entries;
 };
-struct ListFailed {};
+struct ServerListFailed {};
 // The video servers that hold a title, by id and rising; shared, so that a request costs no copy.
-using Holders = std::shared_ptr<const std::vector<ServerId>>;
+using HolderList = std::shared_ptr<const std::vector<ServerId>>;
 struct Request {
   PlaybackId playback = 0;
   int plan = 0;
   TitleId title = 0;
-  Span abandon_at{0};
-  std::optional<Span> length;
+  Duration abandon_at{0};
+  std::optional<Duration> length;
   int first_cell = 0;
-  int holders = 1;  // cells in a row from the first
+  int cell_count = 1;  // cells in a row from the first
   int top = 0;
-  Holders listed;  // in place of the cells, where given
+  HolderList listed_holders;  // in place of the cells, where given
 };
 // The holders of a playback that is not placed yet, or may have to be again, are others now.
 struct HoldersChanged {
   PlaybackId playback = 0;
-  Holders listed;
+  HolderList listed_holders;
 };
-struct CarriedOver {
+struct PlaybackAdopted {
   Request request;
   ServerId server = 0;
 };
-struct Withdrawn {
+struct RequestCancelled {
   PlaybackId playback = 0;
 };
-struct Started {
+struct PlaybackStarted {
   PlaybackId playback = 0;
   ServerId server = 0;
-  Span waited{0};
+  Duration startup_delay{0};
 };
 struct LoadReport {
   std::optional<double> link_fill;
@@ -114,33 +114,34 @@
   PlaybackId playback = 0;
   ServerId server = 0;
   Outcome outcome = Outcome::served;
-  bool over = false;
+  bool playback_over = false;
   LoadReport load;
 };
 struct ProbeEnded {
   ServerId server = 0;
   bool answered = false;
   LoadReport load;
-  bool left = true;  // false: it never left this machine, which says nothing of the server
+  bool sent = true;  // false: it never left this machine, which says nothing of the server
 };
-struct Note {
-  enum class About { share, rung, link_fill, uplink_fill };
+struct Measurement {
+  enum class Kind { share, rung, link_fill, uplink_fill };
   PlaybackId playback = 0;
   ServerId server = 0;
-  About about = About::share;
+  Kind kind = Kind::share;
   double value = 1;
 };
-struct TimerRang {
+struct TimerExpired {
   std::uint32_t token = 0;
 };
-using Event = std::variant<ServerList, ListFailed, Request, HoldersChanged, CarriedOver, Withdrawn, Started,
-                           TryEnded, ProbeEnded, Note, TimerRang>;
+using Event =
+    std::variant<ServerList, ServerListFailed, Request, HoldersChanged, PlaybackAdopted, RequestCancelled,
+                 PlaybackStarted, TryEnded, ProbeEnded, Measurement, TimerExpired>;
 
 // What is to be done.
 struct SetUp {
   PlaybackId playback;
   ServerId server;
-  Span time_limit;
+  Duration time_limit;
 };
 struct SetRung {
   PlaybackId playback;
@@ -148,7 +149,7 @@
 };
 struct Reject {
   PlaybackId playback;
-  Span come_back;
+  Duration retry_after;
 };
 struct Abort {
   PlaybackId playback;
@@ -157,25 +158,25 @@
   ServerId server;
 };
 struct SetTimer {
-  Span delay;
+  Duration delay;
   std::uint32_t token;
 };
-struct FollowList {};
-using Order = std::variant<SetUp, SetRung, Reject, Abort, Probe, SetTimer, FollowList>;
+struct SubscribeServerList {};
+using Command = std::variant<SetUp, SetRung, Reject, Abort, Probe, SetTimer, SubscribeServerList>;
 
 // The decisions of one session manager.
-class Brain {
+class Policy {
  public:
-  Brain(SiteTerms terms, std::uint64_t seed);
-  ~Brain();
-  Brain(Brain&&) noexcept;
-  Brain& operator=(Brain&&) noexcept;
+  Policy(PolicySettings settings, std::uint64_t seed);
+  ~Policy();
+  Policy(Policy&&) noexcept;
+  Policy& operator=(Policy&&) noexcept;
 
-  std::vector<Order> handle(Span now, const Event& event);
+  std::vector<Command> handle(Duration now, const Event& event);
 
  private:
-  class Mind;
-  std::unique_ptr<Mind> mind_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace violettide
--- a/src/runtime/runtime.cpp
+++ b/src/runtime/runtime.cpp
@@ -33,7 +33,7 @@
 
 class Loop::Inside {
  public:
-  Inside(Core& core, std::vector<Listening> doors, std::function<void(Span, const Say&)> said,
+  Inside(Core& core, std::vector<Listening> doors, std::function<void(Duration, const Say&)> said,
          std::string folder, Disk* disk)
       : core_(core),
         said_(std::move(said)),
@@ -108,9 +108,9 @@
         &hangup_, [](uv_signal_t* h, int) { of(h)->hung_up(); }, SIGHUP);
   }
   std::uint16_t port(int door) const { return places_.at(door).port; }
-  Span now() {
+  Duration now() {
     if (!time_read_) {
-      time_ = Span(static_cast<std::int64_t>(uv_hrtime() / 1000 - origin_));
+      time_ = Duration(static_cast<std::int64_t>(uv_hrtime() / 1000 - origin_));
       time_read_ = true;
     }
     return time_;
@@ -244,7 +244,7 @@
   }
 
   // Guards against a reader who reads nothing keeping the process for good.
-  void leave(Span within) {
+  void leave(Duration within) {
     if (std::exchange(leaving_, true))
       return;
     for (std::size_t door = 0; door < doors_.size(); ++door)
@@ -472,7 +472,7 @@
       uv_close(reinterpret_cast<uv_handle_t*>(&c.socket), closed);
   }
 
-  void wake(Span at) {
+  void wake(Duration at) {
     wake_at_ = at;
     const auto in = std::max<std::int64_t>(0, (at - now()).count());
     uv_update_time(&loop_);
@@ -590,7 +590,7 @@
   }
 
   Core& core_;
-  std::function<void(Span, const Say&)> said_;
+  std::function<void(Duration, const Say&)> said_;
   std::string folder_;
   uv_loop_t loop_{};
   uv_timer_t timer_{}, failing_{}, leaving_limit_{};
@@ -602,7 +602,7 @@
   uv_signal_t hangup_{};
   std::string reread_;
   std::uint64_t origin_ = 0;
-  Span time_{0}, wake_at_{0};
+  Duration time_{0}, wake_at_{0};
   bool time_read_ = false;
   std::vector<Listening> places_;
   std::vector<Listener*> doors_;
@@ -619,14 +619,14 @@
   std::array<char, read_size> buffer_;
 };
 
-Loop::Loop(Core& core, std::vector<Listening> doors, std::function<void(Span, const Say&)> said,
+Loop::Loop(Core& core, std::vector<Listening> doors, std::function<void(Duration, const Say&)> said,
            std::string folder, Disk* disk)
     : inside_(std::make_unique<Inside>(core, std::move(doors), std::move(said), std::move(folder), disk)) {}
 Loop::~Loop() = default;
 std::uint16_t Loop::port(int door) const { return inside_->port(door); }
 void Loop::reread(std::string path) { inside_->reread(std::move(path)); }
 void Loop::run() { inside_->run(); }
-Span Loop::now() const { return inside_->now(); }
+Duration Loop::now() const { return inside_->now(); }
 std::uint64_t Loop::machine_clock_us() { return uv_hrtime() / 1000; }
 std::uint64_t Loop::origin_us() const { return inside_->origin(); }
 
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -33,7 +33,7 @@
  public:
   // `disk`: without one, Keep is done at once and nothing is kept. `said`: takes the core's log lines.
   // `folder`: where Store puts its files; empty: nowhere. Doors in the core's numbering. Throws Failed.
-  Loop(Core& core, std::vector<Listening> doors, std::function<void(Span, const Say&)> said,
+  Loop(Core& core, std::vector<Listening> doors, std::function<void(Duration, const Say&)> said,
        std::string folder, Disk* disk = nullptr);
   ~Loop();
   Loop(const Loop&) = delete;
@@ -45,7 +45,7 @@
   // Until the core leaves. SIGINT and SIGTERM reach it as StopAsked.
   void run();
   // The time that the core is given: microseconds of the machine's monotonic clock since `origin`.
-  Span now() const;
+  Duration now() const;
   static std::uint64_t machine_clock_us();  // the same in all processes of a machine
   std::uint64_t origin_us() const;
 
--- a/src/seams/seams.h
+++ b/src/seams/seams.h
@@ -12,7 +12,7 @@
 
 namespace violettide {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 // A connection. The driver numbers accepted ones from `first_accepted` up, a core those it dials below it.
 using Link = std::uint32_t;
@@ -76,7 +76,7 @@
   Link link;
 };
 struct WakeAt {
-  Span at;
+  Duration at;
 };  // replaces an earlier one
 struct Open {
   int door;
@@ -104,7 +104,7 @@
 // its own end, which waits unread behind it or beside it.
 struct Settle {};
 struct Leave {  // the core is done; end the loop, once its last answers have been taken
-  Span within{10'000'000};
+  Duration within{10'000'000};
 };
 using Action =
     std::variant<Dial, Send, Close, Hold, Resume, WakeAt, Open, Shut, Store, Keep, Say, Settle, Leave>;
@@ -113,7 +113,7 @@
  public:
   virtual ~Core() = default;
   // `now` never goes back. Appends what is to be done, in order.
-  virtual void handle(Span now, const IoEvent& what, std::vector<Action>& actions) = 0;
+  virtual void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
 };
 
 template <typename... Visitors>
