--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -44,31 +44,31 @@
         {"weights_told", flag, as(true)}},
        true},
       {"rules",
-       {{"cold", span, as(Span(0)), 0, day_s},
+       {{"cold", span, as(Duration(0)), 0, day_s},
         {"cold_from", part, of(1)},
         {"overload_multiple", number, of(1), 0.01, 1000},
-        {"fall", span, as(Span(3s)), 0.001, day_s},
-        {"drain_grace", span, as(Span(2s)), 0, day_s},
+        {"fall", span, as(Duration(3s)), 0.001, day_s},
+        {"drain_grace", span, as(Duration(2s)), 0, day_s},
         {"tries", whole, count(5), 1, 100},
-        {"budget_window", span, as(Span(0)), 0, day_s},
+        {"budget_window", span, as(Duration(0)), 0, day_s},
         {"budget_free", number, of(0), 0, 1e6},
         {"budget_share", part, of(0)},
-        {"longest_come_back", span, as(Span(2s)), 0, day_s}},
+        {"longest_come_back", span, as(Duration(2s)), 0, day_s}},
        true},
       {"probes",
        {{"allowed", flag, as(true)},
         {"price", number, of(0), 0, 1000},
-        {"limit", span, as(Span(250ms)), 0.001, 60}},
+        {"limit", span, as(Duration(250ms)), 0.001, 60}},
        true},
       {"objects",
        {{"length", span, given, 0.05, 60},
-        {"note_lag", span, as(Span(1s)), 0, 60},
-        {"switch_cost", span, as(Span(500ms)), 0, 60}},
+        {"note_lag", span, as(Duration(1s)), 0, 60},
+        {"switch_cost", span, as(Duration(500ms)), 0, 60}},
        true},
       {"box_list",
        {{"address", text, as(std::string("127.0.0.1"))},
         {"port", whole, count(0), 0, 65535},
-        {"every", span, as(Span(500ms)), 0.01, 3600}},
+        {"every", span, as(Duration(500ms)), 0.01, 3600}},
        true},
       {"listen",
        {{"address", text, as(std::string("127.0.0.1"))}, {"port", whole, count(0), 0, 65535}},
@@ -79,7 +79,7 @@
       {"catalogue",
        {{"feed_address", text, as(std::string("127.0.0.1"))},
         {"feed_port", whole, count(0), 0, 65535},
-        {"feed_wait", span, as(Span(10s)), 0.01, 30},
+        {"feed_wait", span, as(Duration(10s)), 0.01, 30},
         {"shrink_believed", part, of(0.7)}},
        true},
       {"front",
@@ -96,16 +96,16 @@
         {"unsent", whole, count(256 * 1024), 1024, 1e9},
         {"header_bytes", whole, count(16 * 1024), 512, 1e7},
         {"fields", whole, count(100), 4, 1e4},
-        {"connect", span, as(Span(250ms)), 0.001, 60},
-        {"silence", span, as(Span(10s)), 0.1, day_s},
-        {"stop", span, as(Span(5s)), 0.01, 3600}},
+        {"connect", span, as(Duration(250ms)), 0.001, 60},
+        {"silence", span, as(Duration(10s)), 0.1, day_s},
+        {"stop", span, as(Duration(5s)), 0.01, 3600}},
        true},
       {"hls",
        {{"secrets", texts, as(ListOf{})},
         {"secrets_from", text, as(std::string())},
         {"direct", flag, as(false)},
-        {"lifetime", span, as(Span(6h)), 1, 30 * day_s},
-        {"period", span, as(Span(1h)), 1, 30 * day_s},
+        {"lifetime", span, as(Duration(6h)), 1, 30 * day_s},
+        {"period", span, as(Duration(1h)), 1, 30 * day_s},
         {"players", whole, count(4), 1, 100},
         {"list_bytes", whole, count(8 * 1024 * 1024), 1024, 1e9},
         {"list_segments", whole, count(100'000), 1, 1e7},
@@ -119,15 +119,15 @@
         {"keys_address", text, as(std::string("127.0.0.1"))},
         {"keys_port", whole, count(0), 0, 65535},
         {"keys_path", text, as(std::string("/keys"))},
-        {"skew", span, as(Span(5s)), 0, 3600},
-        {"grace", span, as(Span(30s)), 0, day_s},
-        {"resume", span, as(Span(15s)), 0, 3600},
-        {"ask_limit", span, as(Span(1s)), 0.01, 60},
-        {"keys_every", span, as(Span(5min)), 0.1, day_s},
-        {"keys_least", span, as(Span(10s)), 0.1, day_s},
-        {"keys_kept", span, as(Span(1h)), 1, 30 * day_s},
+        {"skew", span, as(Duration(5s)), 0, 3600},
+        {"grace", span, as(Duration(30s)), 0, day_s},
+        {"resume", span, as(Duration(15s)), 0, 3600},
+        {"ask_limit", span, as(Duration(1s)), 0.01, 60},
+        {"keys_every", span, as(Duration(5min)), 0.1, day_s},
+        {"keys_least", span, as(Duration(10s)), 0.1, day_s},
+        {"keys_kept", span, as(Duration(1h)), 1, 30 * day_s},
         {"tokens_kept", whole, count(10'000), 1, 1e7},
-        {"longest_come_back", span, as(Span(30s)), 1, 3600}},
+        {"longest_come_back", span, as(Duration(30s)), 1, 3600}},
        true},
       {"peer",
        {{"name", text, given},
@@ -138,7 +138,7 @@
        {{"title", text, given},
         {"first_cell", whole, given, 0, 1e5},
         {"copies", whole, count(3), 1, 1e5},
-        {"length", span, as(Span(0)), 0, day_s}}},
+        {"length", span, as(Duration(0)), 0, day_s}}},
   };
 }
 
@@ -169,7 +169,7 @@
         wrong(call.place_of("rates"), "the rates of a ladder rise from rung to rung");
     } else if (call.name == "plan") {
       manager::Plan plan{call.text("name"), call.span("abandon")};
-      PlanTerms terms;
+      PlanSettings terms;
       terms.startup_target = call.span("startup_target");
       terms.pay_at_setup = call.flag("pay_at_setup");
       terms.revenue = call.number("revenue");
@@ -192,7 +192,7 @@
         wrong(call.place_of("name"), "two halls named '" + call.text("name") + "'");
       front.halls.push_back(call.text("name"));
     } else if (call.name == "kind") {
-      site.kind_streams.push_back(static_cast<double>(call.whole("streams")));
+      site.streams_by_kind.push_back(static_cast<double>(call.whole("streams")));
     } else if (call.name == "fleet") {
       fleet = &call;
       site.cells = static_cast<int>(call.whole("cells"));
@@ -200,28 +200,28 @@
       front.copies = static_cast<int>(call.whole("copies"));
       made.link_kb = site.link_kb_per_weight = call.kb_per_s("link");
       made.uplink_kb = site.uplink_kb = call.kb_per_s("uplink");
-      site.weights_told = call.flag("weights_told");
+      site.has_weights = call.flag("weights_told");
       if (front.copies > site.cells)
         wrong(call.place_of("copies"), "more copies than cells");
     } else if (call.name == "rules") {
-      site.cold_time = call.span("cold");
-      site.cold_from = call.number("cold_from");
+      site.warmup_time = call.span("cold");
+      site.warmup_initial_share = call.number("cold_from");
       site.overload_multiple = call.number("overload_multiple");
       made.fall = call.span("fall");
       made.drain_grace = call.span("drain_grace");
-      site.most_tries = static_cast<int>(call.whole("tries"));
-      site.budget_window = call.span("budget_window");
-      site.budget_free = call.number("budget_free");
-      site.budget_share = call.number("budget_share");
-      site.longest_come_back = call.span("longest_come_back");
+      site.max_tries = static_cast<int>(call.whole("tries"));
+      site.retry_budget_window = call.span("budget_window");
+      site.retry_budget_base = call.number("budget_free");
+      site.retry_budget_share = call.number("budget_share");
+      site.max_retry_after = call.span("longest_come_back");
     } else if (call.name == "probes") {
-      site.may_probe = call.flag("allowed");
-      site.probe_price = call.number("price");
+      site.probes_enabled = call.flag("allowed");
+      site.probe_cost = call.number("price");
       front.probe_limit = call.span("limit");
     } else if (call.name == "objects") {
       objects = &call;
       front.object_length = call.span("length");
-      site.note_lag = call.span("note_lag");
+      site.measurement_delay = call.span("note_lag");
       site.switch_cost = call.span("switch_cost");
     } else if (call.name == "box_list") {
       front.list_address = call.text("address");
@@ -242,8 +242,8 @@
     } else if (call.name == "front") {
       own = &call;
       front.name = call.text("name");
-      site.fronts = static_cast<int>(call.whole("fronts"));
-      site.crossing_price = call.number("crossing_price");
+      site.front_count = static_cast<int>(call.whole("fronts"));
+      site.cross_hall_cost = call.number("crossing_price");
       made.keep_in = call.text("keep_in");
     } else if (call.name == "limits") {
       front.viewer_links = static_cast<std::size_t>(call.whole("viewer_links"));
@@ -304,7 +304,7 @@
       manager::Recording recording{
           call.text("title"),
           {static_cast<int>(call.whole("first_cell")), static_cast<int>(call.whole("copies")), {}}};
-      if (const auto length = call.span("length"); length > Span(0))
+      if (const auto length = call.span("length"); length > Duration(0))
         recording.holders.length = length;
       front.recordings.push_back(std::move(recording));
     }
@@ -323,7 +323,7 @@
     wrong(whole_file, "more than 256 plans with 'hls'");
   if (front.halls.empty())
     wrong(whole_file, "the settings lack a 'hall'");
-  if (site.kind_streams.empty())
+  if (site.streams_by_kind.empty())
     wrong(whole_file, "the settings lack a 'kind' of box");
   const int last = static_cast<int>(site.rung_kb.size()) - 1;
   std::size_t plan = 0;
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -17,8 +17,8 @@
   std::string peers_key_from;    // a file with the hall's key
   std::string keep_in;           // folder of what survives a restart; empty: nowhere
   // Terms that the rules are checked by; the module needs no more of them than it is given in `front`.
-  Span drain_grace{2'000'000};
-  Span fall{3'000'000};
+  Duration drain_grace{2'000'000};
+  Duration fall{3'000'000};
   double link_kb = 0;
   double uplink_kb = 0;
 };
--- a/src/settings/script.cpp
+++ b/src/settings/script.cpp
@@ -35,7 +35,7 @@
     return *number;
   return std::nullopt;
 }
-double in_seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double in_seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 const char* words_of(Wants wants) {
   switch (wants) {
@@ -110,7 +110,8 @@
       return number && *number >= 0 && *number <= 1 ? std::nullopt : std::optional(wanted());
     }
     case Wants::span:
-      return is<Span>(value) ? bounded(in_seconds(std::get<Span>(value.held))) : std::optional(wanted());
+      return is<Duration>(value) ? bounded(in_seconds(std::get<Duration>(value.held)))
+                                 : std::optional(wanted());
     case Wants::rate:
       return is<Rate>(value) ? bounded(std::get<Rate>(value.held).kb_per_s) : std::optional(wanted());
     case Wants::texts:
@@ -397,7 +398,7 @@
     if (std::fabs(*number) > 1e12)
       return mistake(value->place, "a number too large to mean anything"), std::nullopt;
     if (span != span_units().end())
-      return Value{Span(std::llround(*number * span->second * 1e6)), place};
+      return Value{Duration(std::llround(*number * span->second * 1e6)), place};
     return Value{Rate{*number * rate->second}, place};
   }
 
@@ -432,7 +433,7 @@
       return s.str();
     }
     std::string operator()(const std::string& v) const { return "the text \"" + v + "\""; }
-    std::string operator()(const Span&) const { return "a time"; }
+    std::string operator()(const Duration&) const { return "a time"; }
     std::string operator()(const Rate&) const { return "a rate"; }
     std::string operator()(const ListOf&) const { return "a list"; }
     std::string operator()(const DictOf&) const { return "a dict"; }
@@ -448,7 +449,7 @@
 }
 double Call::number(const std::string& name) const { return *as_number(arguments.at(name)); }
 bool Call::flag(const std::string& name) const { return std::get<bool>(arguments.at(name).held); }
-Span Call::span(const std::string& name) const { return std::get<Span>(arguments.at(name).held); }
+Duration Call::span(const std::string& name) const { return std::get<Duration>(arguments.at(name).held); }
 double Call::kb_per_s(const std::string& name) const {
   return std::get<Rate>(arguments.at(name).held).kb_per_s;
 }
--- a/src/settings/script.h
+++ b/src/settings/script.h
@@ -16,7 +16,7 @@
 
 namespace violettide::settings {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 struct Place {
   std::string file;
@@ -38,7 +38,7 @@
 using DictOf = std::vector<std::pair<std::string, Value>>;
 struct Nothing {};
 struct Value {
-  std::variant<Nothing, bool, std::int64_t, double, std::string, Span, Rate, ListOf, DictOf> held;
+  std::variant<Nothing, bool, std::int64_t, double, std::string, Duration, Rate, ListOf, DictOf> held;
   Place place;
 };
 std::string kind_of(const Value& value);  // in words, for messages
@@ -69,7 +69,7 @@
   std::int64_t whole(const std::string& name) const;
   double number(const std::string& name) const;  // wholes too
   bool flag(const std::string& name) const;
-  Span span(const std::string& name) const;
+  Duration span(const std::string& name) const;
   double kb_per_s(const std::string& name) const;
   std::vector<std::string> texts(const std::string& name) const;
   std::vector<std::int64_t> wholes(const std::string& name) const;
--- a/src/siteterms/siteterms.cpp
+++ b/src/siteterms/siteterms.cpp
@@ -26,9 +26,9 @@
   return *value;
 }
 
-Span micros(std::int64_t value) { return Span(value); }
+Duration micros(std::int64_t value) { return Duration(value); }
 
-std::vector<PlanTerms> plans_of(const Pairs& settings) {
+std::vector<PlanSettings> plans_of(const Pairs& settings) {
   const auto floors = settings.numbers("FamilyInfo.LowestRung");
   const auto tops = settings.numbers("FamilyInfo.ClassTop");
   const auto scales = settings.numbers("FamilyInfo.ScaleByClass");
@@ -37,7 +37,7 @@
   const auto at = [](const std::vector<double>& list, std::size_t i, double otherwise) {
     return i < list.size() ? list[i] : otherwise;
   };
-  std::vector<PlanTerms> plans(static_cast<std::size_t>(settings.integer("Classes.count", 0)));
+  std::vector<PlanSettings> plans(static_cast<std::size_t>(settings.integer("Classes.count", 0)));
   for (std::size_t i = 0; i < plans.size(); ++i) {
     const auto path = "Classes." + std::to_string(i) + ".";
     const auto effect = settings.text(path + "Idempotency");
@@ -113,38 +113,38 @@
   return whole;
 }
 
-SiteTerms site_terms(const Pairs& settings) {
-  SiteTerms terms;
+PolicySettings site_terms(const Pairs& settings) {
+  PolicySettings terms;
   terms.plans = plans_of(settings);
   terms.rung_kb = settings.numbers("FamilyInfo.RatesKb");
   terms.rung_revenue = settings.numbers("FamilyInfo.WorthByRung");
-  terms.kind_streams = settings.numbers("FamilyInfo.KindSlots");
+  terms.streams_by_kind = settings.numbers("FamilyInfo.KindSlots");
   const auto weights = settings.text("Weights");
-  terms.weights_told = !weights.empty() && weights != "none";
+  terms.has_weights = !weights.empty() && weights != "none";
   terms.link_kb_per_weight = settings.number("FamilyInfo.KbPerWeight", 0);
   terms.uplink_kb = settings.number("FamilyInfo.UplinkKb", 0);
   terms.racks = static_cast<int>(settings.integer("FamilyInfo.Cabinets", 0));
   terms.cells = std::max(1, static_cast<int>(settings.integer("FamilyInfo.Places", 1)));
   terms.switch_cost = micros(std::llround(settings.number("FamilyInfo.SwitchCostS", 0) * 1e6));
-  terms.note_lag = micros(settings.integer("FamilyInfo.SeenAfter", 0));
-  terms.fronts = std::max(1, static_cast<int>(settings.integer("Balancers", 1)));
+  terms.measurement_delay = micros(settings.integer("FamilyInfo.SeenAfter", 0));
+  terms.front_count = std::max(1, static_cast<int>(settings.integer("Balancers", 1)));
   if (!settings.text("Me").empty())
-    terms.own_number = static_cast<int>(settings.integer("Me", 0));
-  terms.cold_time = micros(settings.integer("Rules.Cold", 0));
-  terms.cold_from = settings.number("Rules.ColdFrom", 1);
+    terms.front_index = static_cast<int>(settings.integer("Me", 0));
+  terms.warmup_time = micros(settings.integer("Rules.Cold", 0));
+  terms.warmup_initial_share = settings.number("Rules.ColdFrom", 1);
   terms.overload_multiple = settings.number("Rules.OverloadFactor", 1);
-  terms.budget_window = micros(settings.integer("Rules.RatioSpan", 0));
-  terms.budget_free = settings.number("Rules.ExtraFree", 0);
-  terms.budget_share = settings.number("Rules.ExtraShare", 0);
-  terms.most_tries = static_cast<int>(settings.integer("Limits.SendCap", 1));
+  terms.retry_budget_window = micros(settings.integer("Rules.RatioSpan", 0));
+  terms.retry_budget_base = settings.number("Rules.ExtraFree", 0);
+  terms.retry_budget_share = settings.number("Rules.ExtraShare", 0);
+  terms.max_tries = static_cast<int>(settings.integer("Limits.SendCap", 1));
   if (settings.flag("Limits.RetryAfter")) {
-    terms.longest_come_back = micros(settings.integer("Limits.MaxRetryAfter", 0));
+    terms.max_retry_after = micros(settings.integer("Limits.MaxRetryAfter", 0));
   }
-  terms.may_probe = settings.flag("Limits.MayProbe");
-  terms.list_on_request = settings.text("Discovery") == "ask";
-  terms.probe_price = settings.number("Prices.Probe", 0);
+  terms.probes_enabled = settings.flag("Limits.MayProbe");
+  terms.list_needs_subscription = settings.text("Discovery") == "ask";
+  terms.probe_cost = settings.number("Prices.Probe", 0);
   terms.own_hall = static_cast<int>(settings.integer("Locality", 0));
-  terms.crossing_price = settings.number("Prices.CrossZone", 0);
+  terms.cross_hall_cost = settings.number("Prices.CrossZone", 0);
   return terms;
 }
 
--- a/src/siteterms/siteterms.h
+++ b/src/siteterms/siteterms.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide {
 
@@ -54,7 +54,7 @@
   std::map<std::string, std::string> values_;
 };
 
-SiteTerms site_terms(const Pairs& settings);
+PolicySettings site_terms(const Pairs& settings);
 
 // Reports by the names that the operators give their figures; others are passed over.
 LoadReport load_report(const std::map<std::string, double>& values);
--- a/src/standins/day.cpp
+++ b/src/standins/day.cpp
@@ -53,8 +53,8 @@
       {"boxes",
        {{"count", whole, {}, 1, 400},
         {"spread", part, as(0.2)},
-        {"list_lag", span, as(Span(1500ms)), 0, 600},
-        {"setup_time", span, as(Span(40ms)), 0, 60},
+        {"list_lag", span, as(Duration(1500ms)), 0, 600},
+        {"setup_time", span, as(Duration(40ms)), 0, 60},
         {"pace", number, as(1.25), 1, 100},
         {"live_titles", part, as(0.0)},
         {"vary", part, as(0.15)}},
@@ -71,12 +71,12 @@
         {"small_screens", part, as(0.2)},
         {"hls", part, as(0.0)},
         {"returns", part, as(0.9)},
-        {"rejoin", span, as(Span(1s)), 0, 600},
+        {"rejoin", span, as(Duration(1s)), 0, 600},
         {"crowd_title", whole, as(std::int64_t{0}), 0, 1e6}},
        true},
       {"issuer",
-       {{"rotate", span, as(Span(5s)), 0.1, 600},
-        {"token_life", span, as(Span(4s)), 0.1, 86400},
+       {{"rotate", span, as(Duration(5s)), 0.1, 600},
+        {"token_life", span, as(Duration(4s)), 0.1, 86400},
         {"teams", whole, as(std::int64_t{3}), 1, 1000},
         {"seats", whole, as(std::int64_t{10}), 0, 1e6},
         {"bad", part, as(0.05)}},
@@ -163,7 +163,7 @@
   day.length = said_day->span("length");
   day.seed = static_cast<std::uint32_t>(said_day->whole("seed"));
   day.managers = static_cast<int>(said_day->whole("managers"));
-  day.deployment.front.site.fronts = day.managers;
+  day.deployment.front.site.front_count = day.managers;
   day.list_lag = said_boxes->span("list_lag");
   day.setup_time = said_boxes->span("setup_time");
   day.pace = said_boxes->number("pace");
@@ -178,7 +178,7 @@
     box.name = "box-" + std::to_string(i);
     box.cell = i % site.cells;
     box.hall = i % static_cast<int>(day.deployment.front.halls.size());
-    box.kind = i % static_cast<int>(site.kind_streams.size());
+    box.kind = i % static_cast<int>(site.streams_by_kind.size());
     const double drawn = static_cast<double>(chance() % 2001) / 1000 - 1;
     box.link_kb = day.deployment.link_kb * (1 + spread * drawn);
     day.boxes.push_back(std::move(box));
--- a/src/standins/day.h
+++ b/src/standins/day.h
@@ -8,7 +8,7 @@
 
 namespace violettide::standins {
 
-using settings::Span;
+using settings::Duration;
 
 struct BoxTerms {
   std::string name;
@@ -43,14 +43,14 @@
 };
 struct Trouble {
   Ill ill = Ill::crash;
-  Span at{0}, lasts{0};
+  Duration at{0}, lasts{0};
   std::vector<int> whom;  // boxes or managers, by number
   double size = 0;
 };
 
 struct ViewerTerms {
   double per_second = 4;
-  Span least_watch{0}, most_watch{0};
+  Duration least_watch{0}, most_watch{0};
   int titles = 40;
   double zipf = 0.8;
   std::vector<double> plan_shares;
@@ -59,24 +59,24 @@
   double small_screens = 0.2;
   double hls = 0;        // part of the viewers that read HLS
   double returns = 0.9;  // chance to come again after a refusal or a break
-  Span rejoin{1'000'000};
+  Duration rejoin{1'000'000};
   int crowd_title = 0;
 };
 
 struct IssuerTerms {
-  Span rotate{5'000'000}, token_life{4'000'000};
+  Duration rotate{5'000'000}, token_life{4'000'000};
   int teams = 3, seats = 10;
   double bad = 0.05;  // part of the viewers whose tokens are forged or expired
 };
 
 struct Day {
   settings::Deployment deployment;
-  Span length{0};
+  Duration length{0};
   std::uint32_t seed = 1;
   int managers = 3;
   std::vector<BoxTerms> boxes;
-  Span list_lag{1'500'000};
-  Span setup_time{40'000};
+  Duration list_lag{1'500'000};
+  Duration setup_time{40'000};
   double pace = 1.25;      // an object is sent at so many times its rate
   double live_titles = 0;  // part of the titles that are live, for viewers that read HLS
   double vary = 0.15;      // true rates leave the ladder by so much
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -15,16 +15,16 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Span step_every = 10ms;
-constexpr Span told_every = 200ms;  // how often a box's figures are taken anew
-constexpr double fall_slack = 2;    // set-ups, for chance, as the rule is counted
-constexpr Span notice = 500ms;      // until the list service sees that a process died
+constexpr Duration step_every = 10ms;
+constexpr Duration told_every = 200ms;  // how often a box's figures are taken anew
+constexpr double fall_slack = 2;        // set-ups, for chance, as the rule is counted
+constexpr Duration notice = 500ms;      // until the list service sees that a process died
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 }  // namespace
 
-Fleet::Fleet(Day day, std::vector<std::uint16_t> ports, Span to_day, Sink sink)
+Fleet::Fleet(Day day, std::vector<std::uint16_t> ports, Duration to_day, Sink sink)
     : day_(std::move(day)),
       ports_(std::move(ports)),
       to_day_(to_day),
@@ -57,7 +57,7 @@
   sink_(record);
 }
 
-void Fleet::handle(Span now, const IoEvent& what, std::vector<Action>& actions) {
+void Fleet::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
   const bool first = list_history_.empty();
   now_ = std::max(now_, now);
   if (first) {
@@ -131,7 +131,7 @@
 void Fleet::live_through_troubles(std::vector<Action>& actions) {
   for (std::size_t t = 0; t < day_.troubles.size(); ++t) {
     const auto& trouble = day_.troubles[t];
-    const Span since = day_now() - trouble.at;
+    const Duration since = day_now() - trouble.at;
     for (const int box : trouble.whom) {
       const bool begins = since >= 0s && !begun_.contains({t, box});
       const bool ends = since >= trouble.lasts && !ended_.contains({t, box});
@@ -217,12 +217,12 @@
 
 double Fleet::warmth(const Box& box) const {
   const auto& site = day_.deployment.front.site;
-  if (!box.cold || site.cold_time <= 0s)
+  if (!box.cold || site.warmup_time <= 0s)
     return 1;
-  const double age = seconds(day_now() - box.started) / seconds(site.cold_time);
+  const double age = seconds(day_now() - box.started) / seconds(site.warmup_time);
   if (age >= 1)
     return 1;
-  return site.cold_from + (1 - site.cold_from) * age * age;
+  return site.warmup_initial_share + (1 - site.warmup_initial_share) * age * age;
 }
 
 double Fleet::link_of(int number) const {
@@ -253,13 +253,13 @@
 bool Fleet::pushed_over(int number) {
   auto& box = boxes_[number];
   const auto& site = day_.deployment.front.site;
-  if (!box.cold || day_now() - box.started >= site.cold_time)
+  if (!box.cold || day_now() - box.started >= site.warmup_time)
     return false;
-  const Span fall = day_.deployment.fall;
-  std::erase_if(box.set_ups, [&](Span at) { return at <= day_now() - fall; });
+  const Duration fall = day_.deployment.fall;
+  std::erase_if(box.set_ups, [&](Duration at) { return at <= day_now() - fall; });
   box.set_ups.push_back(day_now());
-  const double pace = site.kind_streams[day_.boxes[number].kind] / seconds(site.cold_time) * warmth(box) *
-                      site.overload_multiple;
+  const double pace = site.streams_by_kind[day_.boxes[number].kind] / seconds(site.warmup_time) *
+                      warmth(box) * site.overload_multiple;
   return static_cast<double>(box.set_ups.size()) > pace * seconds(fall) + fall_slack;
 }
 
@@ -307,7 +307,7 @@
     const auto space = via.rfind(' ');
     peer.via = space == std::string::npos ? "" : via.substr(space + 1);
     if (issuer_ && peer.door == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
-      issuer_->turn_to(static_cast<int>(std::max(Span(0), day_now()) / day_.issuer.rotate));
+      issuer_->turn_to(static_cast<int>(std::max(Duration(0), day_now()) / day_.issuer.rotate));
       if (ill_with(-1, Ill::issuer_down))
         answer(link, peer, 503, {}, "", actions);
       else
@@ -386,7 +386,7 @@
   }
   const bool full = peer.set_up &&
                     static_cast<double>(box.sessions.size()) >=
-                        day_.deployment.front.site.kind_streams[day_.boxes[number].kind] &&
+                        day_.deployment.front.site.streams_by_kind[day_.boxes[number].kind] &&
                     !box.sessions.contains(peer.sid);
   peer.status = full ? 503 : !peer.set_up && !box.sessions.contains(peer.sid) ? 421 : 200;
   if (peer.set_up && !full)
@@ -394,7 +394,7 @@
   const double spread = 0.7 + 0.6 * static_cast<double>(chance_() % 1000) / 1000;
   const double time =
       peer.set_up ? seconds(day_.setup_time) * slowness(number) * spread / warmth(box) : 0.001;
-  peer.answer_at = now_ + Span(static_cast<std::int64_t>(time * 1e6));
+  peer.answer_at = now_ + Duration(static_cast<std::int64_t>(time * 1e6));
 }
 
 void Fleet::begin_object(Link link, Peer& peer, std::vector<Action>& actions) {
@@ -554,9 +554,9 @@
 // Each change of state is seen `list_lag` later, and later still while the list is late.
 void Fleet::record_list() {
   ListState state;
-  Span lag = day_.list_lag;
+  Duration lag = day_.list_lag;
   if (const auto* trouble = ill_with(-1, Ill::list_late))
-    lag += Span(static_cast<std::int64_t>(trouble->size * 1e6));
+    lag += Duration(static_cast<std::int64_t>(trouble->size * 1e6));
   state.visible_at = day_now() + lag;
   if (!list_history_.empty())
     state.visible_at = std::max(state.visible_at, list_history_.back().visible_at);
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -23,24 +23,24 @@
 class Fleet : public Core {
  public:
   // `ports`: of the boxes' doors, for the list. `to_day`: what turns this core's time into the day's.
-  Fleet(Day day, std::vector<std::uint16_t> ports, Span to_day, Sink sink);
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override;
+  Fleet(Day day, std::vector<std::uint16_t> ports, Duration to_day, Sink sink);
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   void listen_at(std::vector<std::uint16_t> ports) { ports_ = std::move(ports); }
 
  private:
   struct Session {
     int plan = 0, rung = 0;
-    Span seen{0};
+    Duration seen{0};
   };
   struct Box {
     bool up = true, drained = false;
-    Span started{0};  // of the process, in the day's time
+    Duration started{0};  // of the process, in the day's time
     bool cold = false;
     std::int64_t incarnation = 1;
     std::map<std::string, Session> sessions;
-    std::vector<Span> set_ups;  // since its cold start
+    std::vector<Duration> set_ups;  // since its cold start
     double told_util = 0, told_uplink = 0;
-    Span told_at = std::chrono::seconds(-10);
+    Duration told_at = std::chrono::seconds(-10);
     double old_util = 0, old_uplink = 0;
     std::int64_t told_streams = 0;
     bool ageing_died = false;
@@ -49,7 +49,7 @@
     int door = 0;
     http::RequestReader reader;
     bool busy = false, head_sent = false, set_up = false;
-    Span answer_at{0};
+    Duration answer_at{0};
     std::string sid, trace, via, title, plan_name;
     int plan = 0, rung = 0, status = 0;
     std::optional<HlsPath> hls;  // what was asked is HLS
@@ -59,15 +59,15 @@
     double credit = 0;
     bool close_after = false;
     std::optional<catalogue::Revision> feed_after;  // waits for changes behind it
-    Span feed_until{0};
+    Duration feed_until{0};
     bool feed_lies = false;  // what it is sent tells it nothing that it could go by
   };
   struct ListState {
-    Span visible_at{0};
+    Duration visible_at{0};
     std::int64_t revision = 0;
     std::vector<std::string> states;
     std::vector<std::int64_t> incarnations;
-    std::vector<Span> started;
+    std::vector<Duration> started;
   };
 
   void requests(Link link, Peer& peer, std::vector<Action>& actions);
@@ -98,13 +98,13 @@
   double warmth(const Box& box) const;
   bool pushed_over(int box);
   void put(trace::Passed::Kind kind, int box, const Peer* peer, int status = 0);
-  Span day_now() const { return now_ + to_day_; }
+  Duration day_now() const { return now_ + to_day_; }
 
   Day day_;
   std::vector<std::uint16_t> ports_;
-  Span to_day_;
+  Duration to_day_;
   Sink sink_;
-  Span now_{0}, stepped_{0};
+  Duration now_{0}, stepped_{0};
   std::uint64_t clock_offset_ = 0;
   std::vector<Box> boxes_;
   std::map<Link, Peer> peers_;
--- a/src/standins/hls_origin.cpp
+++ b/src/standins/hls_origin.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 constexpr std::int64_t window = 8;  // segments that a live list has
 constexpr std::int64_t recorded_segments = 120;
-constexpr Span before_day = 60s;                       // a live recording began so long before the day
+constexpr Duration before_day = 60s;                   // a live recording began so long before the day
 constexpr std::int64_t begins_ms = 1'767'225'600'000;  // of the recordings' clock: 2026 begins
 constexpr std::int64_t gap_every = 5, gap_at = 2;
 constexpr double audio_kbit = 64;
@@ -86,7 +86,7 @@
   return number % 10 < std::lround(day.live_titles * 10);
 }
 
-std::int64_t newest_segment(const Day& day, Span day_now) {
+std::int64_t newest_segment(const Day& day, Duration day_now) {
   return (day_now + before_day) / day.deployment.front.object_length - 1;
 }
 
@@ -109,7 +109,7 @@
   return text;
 }
 
-std::string media_of(const Day& day, const HlsPath& path, Span day_now, const ListIlls& ills) {
+std::string media_of(const Day& day, const HlsPath& path, Duration day_now, const ListIlls& ills) {
   if (ills.nonsense > 0)
     return nonsense(ills.nonsense);
   const double length = std::chrono::duration<double>(day.deployment.front.object_length).count();
--- a/src/standins/hls_origin.h
+++ b/src/standins/hls_origin.h
@@ -28,10 +28,10 @@
 };
 bool is_live(const Day& day, std::string_view title);
 // The newest segment that there is, at the day's time.
-std::int64_t newest_segment(const Day& day, Span day_now);
+std::int64_t newest_segment(const Day& day, Duration day_now);
 bool lacks(std::int64_t segment);  // of a box with gaps
 std::string lists_of(const Day& day, const HlsPath& path, const ListIlls& ills);
-std::string media_of(const Day& day, const HlsPath& path, Span day_now, const ListIlls& ills);
+std::string media_of(const Day& day, const HlsPath& path, Duration day_now, const ListIlls& ills);
 // What a segment's bytes begin with: its title, rung and number, for players to check.
 std::string stamp_of(const HlsPath& path);
 
--- a/src/standins/issuer.cpp
+++ b/src/standins/issuer.cpp
@@ -113,7 +113,7 @@
               {"seats", says.seats},
               {"iat", static_cast<double>(says.issued.count()) / 1e6},
               {"exp", static_cast<double>(says.expires.count()) / 1e6}};
-  if (says.not_before > entitlement::Span(0))
+  if (says.not_before > entitlement::Duration(0))
     claims["nbf"] = static_cast<double>(says.not_before.count()) / 1e6;
   if (!says.plans.empty())
     claims["plans"] = says.plans;
--- a/src/standins/issuer.h
+++ b/src/standins/issuer.h
@@ -23,7 +23,7 @@
   struct Says {
     std::string id, subject, team;
     int seats = 1;
-    entitlement::Span issued{0}, expires{0}, not_before{0};
+    entitlement::Duration issued{0}, expires{0}, not_before{0};
     std::vector<std::string> plans, titles;
   };
   std::string token(const Says& says) const;
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -17,8 +17,8 @@
 constexpr std::size_t most_stamp = 256;  // bytes that a segment begins with
 constexpr int most_breaks = 3;           // in a row, before a player begins anew
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-Span span_of(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+Duration span_of(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 std::uint64_t packed(std::uint64_t bell, std::uint32_t viewer) { return bell << 32 | viewer; }
 
 // Hints that break the specification, each in its own way; none may cost the request its one outcome.
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Viewers::Viewers(const Day& day, std::vector<Door> doors, Span to_day, std::uint64_t origin_us,
+Viewers::Viewers(const Day& day, std::vector<Door> doors, Duration to_day, std::uint64_t origin_us,
                  std::function<void(const trace::Passed&)> sink)
     : day_(day),
       doors_(std::move(doors)),
@@ -60,7 +60,7 @@
          (static_cast<double>(chance_.max() - chance_.min()) + 1);
 }
 
-void Viewers::arm(Viewer& viewer, Span in, Bell bell) {
+void Viewers::arm(Viewer& viewer, Duration in, Bell bell) {
   bells_.disarm(viewer.timer);
   viewer.timer = bells_.arm(now_ + in, packed(static_cast<std::uint64_t>(bell), viewer.number));
 }
@@ -85,7 +85,7 @@
   sink_(record);
 }
 
-void Viewers::handle(Span now, const IoEvent& what, std::vector<Action>& actions) {
+void Viewers::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
   now_ = std::max(now_, now);
   if (!began_) {
     began_ = true;
@@ -171,7 +171,7 @@
 void Viewers::arrive(std::vector<Action>& actions, bool crowd) {
   if (day_now() >= day_.length || stopping_) {
     // What still plays when the day is long over is left; what is being set up is waited for.
-    Span over = day_.length;
+    Duration over = day_.length;
     for (const auto& plan : day_.deployment.front.plans)
       over = std::max(over, day_.length + plan.abandon);
     for (auto& [number, viewer] : viewers_) {
@@ -276,7 +276,7 @@
 
 // A new token when the last is half over: most are renewed while they play.
 void Viewers::show_token(Viewer& viewer, http::Fields& fields) {
-  issuer_->turn_to(static_cast<int>(std::max(Span(0), day_now()) / day_.issuer.rotate));
+  issuer_->turn_to(static_cast<int>(std::max(Duration(0), day_now()) / day_.issuer.rotate));
   if (viewer.token.empty() || now_ - viewer.token_at > day_.issuer.token_life / 2) {
     const auto now = wall_ + now_;
     Issuer::Says says{viewer.sid + "-" + std::to_string(++viewer.tokens),
@@ -285,7 +285,7 @@
                       day_.issuer.seats,
                       now,
                       now + day_.issuer.token_life,
-                      Span(0),
+                      Duration(0),
                       {},
                       {}};
     if (viewer.tokens == 1)
@@ -340,7 +340,7 @@
   }
   if (viewer.first)
     put(trace::Passed::ASKED, viewer);
-  const Span patience = day_.deployment.front.plans[viewer.plan].abandon;
+  const Duration patience = day_.deployment.front.plans[viewer.plan].abandon;
   arm(viewer, viewer.first ? patience : 3 * patience, Bell::patience);
 }
 
@@ -459,7 +459,7 @@
     return leave(viewer, actions, "played to its end");
   if (const auto* wait = std::get_if<double>(&next)) {
     viewer.state = State::idle;
-    return arm(viewer, std::max(Span(1ms), span_of(*wait)), Bell::next_object);
+    return arm(viewer, std::max(Duration(1ms), span_of(*wait)), Bell::next_object);
   }
   viewer.hls_ask = std::get<HlsPlayer::Ask>(next);
   ask(viewer, actions);
@@ -536,7 +536,7 @@
   rest(viewer, span_of(seconds(day_.viewers.rejoin) * (0.5 + draw())), actions);
 }
 
-void Viewers::rest(Viewer& viewer, Span pause, std::vector<Action>& actions) {
+void Viewers::rest(Viewer& viewer, Duration pause, std::vector<Action>& actions) {
   if (viewer.link)
     hang(viewer, actions);
   if (now_ + pause >= viewer.came + viewer.watch || day_now() >= day_.length) {
--- a/src/standins/viewers.h
+++ b/src/standins/viewers.h
@@ -26,12 +26,12 @@
 
 class Viewers : public Core {
  public:
-  Viewers(const Day& day, std::vector<Door> doors, Span to_day, std::uint64_t origin_us,
+  Viewers(const Day& day, std::vector<Door> doors, Duration to_day, std::uint64_t origin_us,
           std::function<void(const trace::Passed&)> sink);
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override;
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   std::size_t asked() const { return asked_; }
   // Viewers show its tokens. `wall`: the machine's clock at this core's time 0.
-  void licensed_by(Issuer issuer, Span wall) {
+  void licensed_by(Issuer issuer, Duration wall) {
     issuer_ = std::move(issuer);
     wall_ = wall;
   }
@@ -43,7 +43,7 @@
     int plan = 0, hall = 0, top = 0;
     std::string title, sid, trace;
     int hints = 0;  // 0 whole, 1 none, 2 malformed
-    Span watch{0}, came{0}, left_to_watch{0};
+    Duration watch{0}, came{0}, left_to_watch{0};
     State state = State::idle;
     Link link = 0;
     int door = 0;
@@ -51,15 +51,15 @@
     bool ever_played = false, starved = false, connected = false, answered = false;
     http::ResponseReader reader;
     std::string request;
-    Span sent_at{0}, buffered_until{0};
-    Span buffer_at{0};
+    Duration sent_at{0}, buffered_until{0};
+    Duration buffer_at{0};
     double buffer_s = 0;
     double throughput = 0;  // kB a second, of the last object
     std::uint64_t bytes = 0;
     std::unique_ptr<HlsPlayer> hls;  // it reads HLS
     HlsPlayer::Ask hls_ask;
     std::string token;
-    Span token_at{-1};
+    Duration token_at{-1};
     int tokens = 0;
     bool bad_token = false;
     std::string body;
@@ -86,21 +86,21 @@
   void came_part(Viewer& viewer, http::ResponseReader::Part part, std::vector<Action>& actions);
   void object_whole(Viewer& viewer, std::vector<Action>& actions);
   void broke(Viewer& viewer, std::vector<Action>& actions, bool refused = false);
-  void rest(Viewer& viewer, Span pause, std::vector<Action>& actions);
+  void rest(Viewer& viewer, Duration pause, std::vector<Action>& actions);
   void leave(Viewer& viewer, std::vector<Action>& actions, const char* cause);
   void hang(Viewer& viewer, std::vector<Action>& actions);
   void drain_buffer(Viewer& viewer);
-  void arm(Viewer& viewer, Span in, Bell bell);
+  void arm(Viewer& viewer, Duration in, Bell bell);
   void put(trace::Passed::Kind kind, const Viewer& viewer, int status = 0, const std::string& cause = "");
   double draw();
-  Span day_now() const { return now_ + to_day_; }
+  Duration day_now() const { return now_ + to_day_; }
 
   Day day_;
   std::vector<Door> doors_;
-  Span to_day_;
+  Duration to_day_;
   std::uint64_t origin_us_;
   std::function<void(const trace::Passed&)> sink_;
-  Span now_{0};
+  Duration now_{0};
   bool began_ = false, stopping_ = false;
   std::map<std::uint32_t, Viewer> viewers_;
   std::map<Link, std::uint32_t> by_link_;
@@ -111,7 +111,7 @@
   Link next_link_ = 1;
   std::size_t asked_ = 0, requests_ = 0;
   std::optional<Issuer> issuer_;
-  Span wall_{0};
+  Duration wall_{0};
 };
 
 }  // namespace violettide::standins
--- a/src/wheel/wheel.h
+++ b/src/wheel/wheel.h
@@ -15,7 +15,7 @@
 template <typename Payload>
 class Wheel {
  public:
-  using Span = std::chrono::microseconds;
+  using Duration = std::chrono::microseconds;
   // Names one armed timer; stays harmless after it has rung, as slots carry a generation.
   struct Handle {
     std::uint32_t place = none;
@@ -23,7 +23,7 @@
   };
 
   // Rings at the first advance() that reaches `at`; a time past rings at the next one.
-  Handle arm(Span at, Payload payload) {
+  Handle arm(Duration at, Payload payload) {
     const auto place = take_place();
     auto& timer = timers_[place];
     timer.due = std::max(tick_of_up(at), now_ + 1);
@@ -48,7 +48,7 @@
 
   // Moves on to `now` and appends what rang, in order of time, then of arming. A handler may arm and
   // disarm afterwards; what it arms in the past rings at the next call.
-  void advance(Span now, std::vector<Payload>& rung) {
+  void advance(Duration now, std::vector<Payload>& rung) {
     const auto until = static_cast<std::uint64_t>(std::max<std::int64_t>(0, now.count() / tick_us));
     while (now_ < until) {
       const auto next = next_busy_tick(until);
@@ -65,10 +65,10 @@
   }
 
   // No timer rings before this; the wheel may name a time at which it only sorts timers further in.
-  std::optional<Span> next() const {
+  std::optional<Duration> next() const {
     if (armed_ == 0)
       return std::nullopt;
-    return Span(static_cast<std::int64_t>(next_busy_tick(~std::uint64_t{0})) * tick_us);
+    return Duration(static_cast<std::int64_t>(next_busy_tick(~std::uint64_t{0})) * tick_us);
   }
   std::size_t armed() const { return armed_; }
 
@@ -94,7 +94,7 @@
     Ring() { head.fill(none), tail.fill(none); }
   };
 
-  static std::uint64_t tick_of_up(Span at) {
+  static std::uint64_t tick_of_up(Duration at) {
     return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (at.count() + tick_us - 1) / tick_us));
   }
 
--- a/tests/fuzz/playlist_fuzz.cpp
+++ b/tests/fuzz/playlist_fuzz.cpp
@@ -82,9 +82,9 @@
       }
       Continuity course;
       if (one)
-        course.take(Span(0), {one, 1, 0});
+        course.take(Duration(0), {one, 1, 0});
       const auto before = course.window().media_sequence + course.window().size();
-      course.take(Span(1), {read_on, 2, 1});
+      course.take(Duration(1), {read_on, 2, 1});
       if (!course.window().pieces.empty()) {
         must(course.window().media_sequence + course.window().size() >= before);
         write_window(course.window(), terms);
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -48,12 +48,12 @@
 // The module, with a break in what it says.
 class Bent : public Decider {
  public:
-  using Bend = std::function<std::vector<Order>(Span, const Event&, std::vector<Order>)>;
-  Bent(const SiteTerms& terms, std::uint64_t seed, Bend bend)
-      : module_(module_decider(terms, seed)), bend_(std::move(bend)) {}
-  std::vector<Order> decide(Span now, const Event& event) override {
-    auto orders = module_->decide(now, event);
-    return bend_ ? bend_(now, event, std::move(orders)) : orders;
+  using Bend = std::function<std::vector<Command>(Duration, const Event&, std::vector<Command>)>;
+  Bent(const PolicySettings& terms, std::uint64_t seed, Bend bend)
+      : module_(make_policy_decider(terms, seed)), bend_(std::move(bend)) {}
+  std::vector<Command> decide(Duration now, const Event& event) override {
+    auto commands = module_->decide(now, event);
+    return bend_ ? bend_(now, event, std::move(commands)) : commands;
   }
 
  private:
@@ -66,7 +66,7 @@
  public:
   Tampered(Core& inner, std::function<void(std::vector<Action>&)> tamper)
       : inner_(inner), tamper_(std::move(tamper)) {}
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     std::vector<Action> made;
     inner_.handle(now, what, made);
     if (tamper_)
@@ -101,7 +101,7 @@
   std::vector<std::uint16_t> ports;
   for (int i = 0; i <= boxes; ++i)
     ports.push_back(Net::port(0, i));
-  standins::Fleet fleet(day, ports, Span(0), sink);
+  standins::Fleet fleet(day, ports, Duration(0), sink);
   net.add(fleet, boxes + 1);
   std::deque<std::unique_ptr<manager::Manager>> managers;
   std::deque<Tampered> outer;
@@ -127,7 +127,7 @@
     doors.push_back({"m" + std::to_string(i), Net::port(hosts.back()), 0});
   }
   net.run(500ms);
-  standins::Viewers viewers(day, doors, Span(0), 0, sink);
+  standins::Viewers viewers(day, doors, Duration(0), 0, sink);
   const int audience = net.add(viewers, 0);
   const std::function<void(int)> restart = [&](int i) {
     net.replace(hosts[i], make(i, net.stored(hosts[i], "boxes.json").value_or("")));
@@ -286,70 +286,72 @@
 
 TEST(Planted, APaidPlaybackSentAgainIsRule2) {
   std::map<PlaybackId, int> plan_of;
-  const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
-    if (const auto* request = std::get_if<Request>(&event))
-      plan_of[request->playback] = request->plan;
-    for (auto& order : orders) {
-      const auto* ended = std::get_if<TryEnded>(&event);
-      const auto* aborted = std::get_if<Abort>(&order);
-      if (ended && aborted && plan_of[aborted->playback] == 2)
-        order = violettide::SetUp{aborted->playback, (ended->server + 1) % 6, 300ms};
-    }
-    return orders;
-  });
+  const auto played =
+      play(day_of(troubled), [&](Duration, const Event& event, std::vector<Command> commands) {
+        if (const auto* request = std::get_if<Request>(&event))
+          plan_of[request->playback] = request->plan;
+        for (auto& command : commands) {
+          const auto* ended = std::get_if<TryEnded>(&event);
+          const auto* aborted = std::get_if<Abort>(&command);
+          if (ended && aborted && plan_of[aborted->playback] == 2)
+            command = violettide::SetUp{aborted->playback, (ended->server + 1) % 6, 300ms};
+        }
+        return commands;
+      });
   EXPECT_GT(played.broken(2), 0) << audit::table(played.verdict);
 }
 
 TEST(Planted, TwoTriesOutAtOnceIsRule2) {
   int seen = 0;
-  const auto played = play(day_of(calm), [&](Span, const Event&, std::vector<Order> orders) {
-    for (std::size_t i = 0; i < orders.size(); ++i) {
-      const auto* set_up = std::get_if<violettide::SetUp>(&orders[i]);
+  const auto played = play(day_of(calm), [&](Duration, const Event&, std::vector<Command> commands) {
+    for (std::size_t i = 0; i < commands.size(); ++i) {
+      const auto* set_up = std::get_if<violettide::SetUp>(&commands[i]);
       if (set_up && ++seen % 20 == 0) {
         const violettide::SetUp again{set_up->playback, (set_up->server + 1) % 6, set_up->time_limit};
-        orders.insert(orders.begin() + static_cast<long>(i) + 1, again);
+        commands.insert(commands.begin() + static_cast<long>(i) + 1, again);
         ++i;
       }
     }
-    return orders;
+    return commands;
   });
   EXPECT_GT(played.broken(2), 0) << audit::table(played.verdict);
 }
 
 TEST(Planted, ATryToADrainingBoxIsRule3) {
   std::set<ServerId> draining;
-  const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
-    if (const auto* list = std::get_if<ServerList>(&event)) {
-      for (const auto& entry : list->entries) {
-        if (entry.standing == Standing::draining)
-          draining.insert(entry.server);
-      }
-    }
-    for (auto& order : orders) {
-      if (auto* set_up = std::get_if<violettide::SetUp>(&order); set_up && !draining.empty())
-        set_up->server = *draining.begin();
-    }
-    return orders;
-  });
+  const auto played =
+      play(day_of(troubled), [&](Duration, const Event& event, std::vector<Command> commands) {
+        if (const auto* list = std::get_if<ServerList>(&event)) {
+          for (const auto& entry : list->entries) {
+            if (entry.state == ServerState::draining)
+              draining.insert(entry.server);
+          }
+        }
+        for (auto& command : commands) {
+          if (auto* set_up = std::get_if<violettide::SetUp>(&command); set_up && !draining.empty())
+            set_up->server = *draining.begin();
+        }
+        return commands;
+      });
   EXPECT_GT(played.broken(3), 0) << audit::table(played.verdict);
 }
 
 TEST(Planted, AColdBoxPushedOverIsRule4) {
   std::optional<ServerId> started;
   const auto played = play(day_of(calm + "trouble(kind = \"crash\", at = s(4), lasts = s(2), boxes = [0])\n"),
-                           [&](Span now, const Event& event, std::vector<Order> orders) {
+                           [&](Duration now, const Event& event, std::vector<Command> commands) {
                              if (const auto* list = std::get_if<ServerList>(&event)) {
                                for (const auto& entry : list->entries) {
                                  if (entry.started && *entry.started > 0s && now - *entry.started < 9s &&
-                                     entry.standing == Standing::ready)
+                                     entry.state == ServerState::ready)
                                    started = entry.server;
                                }
                              }
-                             for (auto& order : orders) {
-                               if (auto* set_up = std::get_if<violettide::SetUp>(&order); set_up && started)
+                             for (auto& command : commands) {
+                               if (auto* set_up = std::get_if<violettide::SetUp>(&command); set_up && started)
                                  set_up->server = *started;
                              }
-                             return orders;
+                             return commands;
                            });
   EXPECT_GT(played.broken(4), 0) << audit::table(played.verdict);
 }
@@ -372,34 +374,35 @@
 TEST(Planted, MorePlaybacksThanSeatsIsRule5) {
   std::map<PlaybackId, Request> asked;
   const auto played = play(day_of(calm + "trouble(kind = \"crowd\", at = s(2), lasts = s(10), size = 8)\n"),
-                           [&](Span, const Event& event, std::vector<Order> orders) {
+                           [&](Duration, const Event& event, std::vector<Command> commands) {
                              if (const auto* request = std::get_if<Request>(&event)) {
                                asked[request->playback] = *request;
-                               for (auto& order : orders) {
-                                 if (std::holds_alternative<Reject>(order) && request->plan == 1)
-                                   order = violettide::SetUp{request->playback, 3, 2s};
+                               for (auto& command : commands) {
+                                 if (std::holds_alternative<Reject>(command) && request->plan == 1)
+                                   command = violettide::SetUp{request->playback, 3, 2s};
                                }
                              }
-                             return orders;
+                             return commands;
                            });
   EXPECT_GT(played.broken(5), 0) << audit::table(played.verdict);
 }
 
 TEST(Planted, TriesWithoutEndIsRule6) {
   std::map<PlaybackId, int> tries;
-  const auto played = play(day_of(troubled), [&](Span, const Event& event, std::vector<Order> orders) {
-    const auto* ended = std::get_if<TryEnded>(&event);
-    if (!ended || ended->over || ++tries[ended->playback] > 12)
-      return orders;
-    std::erase_if(orders, [&](const Order& order) {
-      const auto* rejected = std::get_if<Reject>(&order);
-      const auto* set_up = std::get_if<violettide::SetUp>(&order);
-      return (rejected && rejected->playback == ended->playback) ||
-             (set_up && set_up->playback == ended->playback);
-    });
-    orders.push_back(violettide::SetUp{ended->playback, 2, 100ms});  // the box that answers nothing
-    return orders;
-  });
+  const auto played =
+      play(day_of(troubled), [&](Duration, const Event& event, std::vector<Command> commands) {
+        const auto* ended = std::get_if<TryEnded>(&event);
+        if (!ended || ended->playback_over || ++tries[ended->playback] > 12)
+          return commands;
+        std::erase_if(commands, [&](const Command& command) {
+          const auto* rejected = std::get_if<Reject>(&command);
+          const auto* set_up = std::get_if<violettide::SetUp>(&command);
+          return (rejected && rejected->playback == ended->playback) ||
+                 (set_up && set_up->playback == ended->playback);
+        });
+        commands.push_back(violettide::SetUp{ended->playback, 2, 100ms});  // the box that answers nothing
+        return commands;
+      });
   EXPECT_GT(played.broken(6), 0) << audit::table(played.verdict);
 }
 
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -517,8 +517,8 @@
   static constexpr int list_host = 4, viewer_host = 5, operator_host = 6;
   std::string states[3] = {"ready", "ready", "ready"};
   int list_revision = 1;
-  std::map<std::string, std::set<int>> listed;             // as the manager has answered
-  std::map<std::string, std::map<int, Span>> unlisted_at;  // since when not, by title and box
+  std::map<std::string, std::set<int>> listed;                 // as the manager has answered
+  std::map<std::string, std::map<int, Duration>> unlisted_at;  // since when not, by title and box
   std::vector<std::string> wrong;
   int set_ups = 0;
 
@@ -528,10 +528,10 @@
     terms.site.rung_revenue = {0.5, 1};
     terms.site.plans.resize(1);
     terms.site.plans[0] = {800ms, false, 1, 1, 0, 1, 0};
-    terms.site.kind_streams = {50};
-    terms.site.weights_told = true;
+    terms.site.streams_by_kind = {50};
+    terms.site.has_weights = true;
     terms.site.link_kb_per_weight = 10000;
-    terms.site.most_tries = 4;
+    terms.site.max_tries = 4;
     terms.site.cells = 3;
     terms.plans = {{"a", 3s}};
     terms.halls = {"h"};
@@ -694,8 +694,8 @@
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::minstd_rand chance(seed);
     Amid amid;
-    amid.net.latency = Span(50 + chance() % 4000);
-    amid.net.keep_time = Span(chance() % 6000);
+    amid.net.latency = Duration(50 + chance() % 4000);
+    amid.net.keep_time = Duration(chance() % 6000);
     for (int t = 0; t < 3; ++t)
       amid.put("t" + std::to_string(t), {0, 1, 2});
     std::vector<Link> asked;
@@ -713,7 +713,7 @@
       }
       if (chance() % 6 == 0)
         amid.states[chance() % 3] = chance() % 3 == 0 ? "draining" : "ready", ++amid.list_revision;
-      amid.net.run(amid.net.now() + Span(chance() % 8000));
+      amid.net.run(amid.net.now() + Duration(chance() % 8000));
     }
     amid.net.run(amid.net.now() + 5s);
     for (const auto& wrong : amid.wrong)
--- a/tests/program/cold_fleet_test.cpp
+++ b/tests/program/cold_fleet_test.cpp
@@ -8,14 +8,14 @@
 #include <queue>
 #include <random>
 
-#include "brain.h"
+#include "policy/policy.h"
 
 namespace violettide {
 namespace {
 
 using namespace std::chrono_literals;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 // Viewers who come to uneven managers far above the pace, servers that take, refuse or break off what they
 // are sent, lists that come late, and managers that begin anew under their old numbers meanwhile.
@@ -34,14 +34,14 @@
     terms_.plans.resize(1);
     terms_.plans[0].startup_target = 500ms;
     terms_.rung_kb = {1};
-    terms_.kind_streams = {24};
-    terms_.weights_told = true;
+    terms_.streams_by_kind = {24};
+    terms_.has_weights = true;
     terms_.link_kb_per_weight = 1e9;
-    terms_.fronts = shape.managers;
-    terms_.cold_time = 8s;
-    terms_.cold_from = 0.5;
+    terms_.front_count = shape.managers;
+    terms_.warmup_time = 8s;
+    terms_.warmup_initial_share = 0.5;
     terms_.overload_multiple = 3;
-    terms_.most_tries = 3;
+    terms_.max_tries = 3;
     managers_.resize(static_cast<std::size_t>(shape.managers));
     sent_.resize(static_cast<std::size_t>(shape.servers));
     for (int i = 0; i < shape.managers; ++i)
@@ -58,7 +58,7 @@
       if (shape_.restarts && draw() < 0.4)
         at(uniform(0, 8), [this, i] { begin(i, now_), tell(i); });
     }
-    while (!due_.empty() && due_.begin()->first <= terms_.cold_time) {
+    while (!due_.empty() && due_.begin()->first <= terms_.warmup_time) {
       now_ = due_.begin()->first;
       const auto what = std::move(due_.begin()->second);
       due_.erase(due_.begin());
@@ -67,7 +67,7 @@
   }
 
   // The worst window's set-ups over what is allowed of them; above 1 the server would fall.
-  double worst(Span window) const {
+  double worst(Duration window) const {
     double worst = 0;
     for (const auto& sent : sent_) {
       for (std::size_t first = 0, last = 0; last < sent.size(); ++last) {
@@ -89,43 +89,44 @@
 
  private:
   struct Manager {
-    std::unique_ptr<Brain> brain;
-    Span began{0};
+    std::unique_ptr<Policy> policy;
+    Duration began{0};
     PlaybackId next = 0;
     int life = 0;
   };
 
-  // A server's warmth grows evenly from `cold_from` to 1; what it may be sent in a window, times the
-  // multiple.
-  double allowed_in(Span from, Span window) const {
+  // A server's warmth grows evenly from `warmup_initial_share` to 1; what it may be sent in a window, times
+  // the multiple.
+  double allowed_in(Duration from, Duration window) const {
     const double begin = std::max(0.0, seconds(from)), end = std::max(0.0, seconds(from + window));
     const auto warmed = [&](double t) {
-      return terms_.cold_from * t + (1 - terms_.cold_from) * t * t / (2 * seconds(terms_.cold_time));
+      return terms_.warmup_initial_share * t +
+             (1 - terms_.warmup_initial_share) * t * t / (2 * seconds(terms_.warmup_time));
     };
-    return terms_.overload_multiple * 24 / seconds(terms_.cold_time) * (warmed(end) - warmed(begin));
+    return terms_.overload_multiple * 24 / seconds(terms_.warmup_time) * (warmed(end) - warmed(begin));
   }
   static double weight_of(int manager) {
     return 1.0 / (1 + manager % 7);
   }  // some see several times others' traffic
 
   double draw() { return std::uniform_real_distribution<>()(chance_); }
-  Span uniform(double from, double to) {
-    return Span(static_cast<std::int64_t>(1e6 * (from + (to - from) * draw())));
+  Duration uniform(double from, double to) {
+    return Duration(static_cast<std::int64_t>(1e6 * (from + (to - from) * draw())));
   }
-  void at(Span when, std::function<void()> what) { due_.emplace(when, std::move(what)); }
+  void at(Duration when, std::function<void()> what) { due_.emplace(when, std::move(what)); }
 
-  void begin(int i, Span when) {
+  void begin(int i, Duration when) {
     auto& manager = managers_[i];
     auto terms = terms_;
     if (shape_.numbers_told)
-      terms.own_number = i;
-    manager.brain = std::make_unique<Brain>(terms, chance_());
+      terms.front_index = i;
+    manager.policy = std::make_unique<Policy>(terms, chance_());
     manager.began = when;
     ++manager.life;
   }
   void tell(int i) {
     ServerList list;
-    list.reach = ServerList::Reach::changes;
+    list.kind = ServerList::Kind::changes;
     for (int server = 0; server < shape_.servers; ++server) {
       ServerEntry entry;
       entry.server = static_cast<ServerId>(server);
@@ -135,7 +136,7 @@
     hear(i, list);
   }
   void come(int i, double mean) {
-    at(now_ + Span(static_cast<std::int64_t>(1e6 * std::exponential_distribution<>(1 / mean)(chance_))),
+    at(now_ + Duration(static_cast<std::int64_t>(1e6 * std::exponential_distribution<>(1 / mean)(chance_))),
        [=, this] {
          Request request;
          request.playback = managers_[i].next++;
@@ -146,14 +147,14 @@
        });
   }
   void hear(int i, const Event& event) {
-    for (const auto& order : managers_[i].brain->handle(now_ - managers_[i].began, event)) {
-      if (const auto* set_up = std::get_if<SetUp>(&order))
+    for (const auto& command : managers_[i].policy->handle(now_ - managers_[i].began, event)) {
+      if (const auto* set_up = std::get_if<SetUp>(&command))
         take(i, *set_up);
-      if (const auto* timer = std::get_if<SetTimer>(&order))
-        later(i, timer->delay, TimerRang{timer->token});
+      if (const auto* timer = std::get_if<SetTimer>(&command))
+        later(i, timer->delay, TimerExpired{timer->token});
     }
   }
-  void later(int i, Span in, Event event) {
+  void later(int i, Duration in, Event event) {
     at(now_ + in, [this, i, event, life = managers_[i].life] {
       if (managers_[i].life == life)
         hear(i, event);
@@ -166,20 +167,20 @@
       return later(i, 5ms, TryEnded{what.playback, what.server, Outcome::reset, false, {}});
     if (how < shape_.breaks + 0.1)
       return later(i, 5ms, TryEnded{what.playback, what.server, Outcome::full, false, {}});
-    later(i, 30ms, Started{what.playback, what.server, 30ms});
+    later(i, 30ms, PlaybackStarted{what.playback, what.server, 30ms});
     later(i, uniform(0.5, 3), TryEnded{what.playback, what.server, Outcome::served, true, {}});
   }
 
   Shape shape_;
   std::minstd_rand chance_;
-  SiteTerms terms_;
-  Span now_{0};  // since the servers' start
+  PolicySettings terms_;
+  Duration now_{0};  // since the servers' start
   std::vector<Manager> managers_;
-  std::vector<std::vector<Span>> sent_;
-  std::multimap<Span, std::function<void()>> due_;
+  std::vector<std::vector<Duration>> sent_;
+  std::multimap<Duration, std::function<void()>> due_;
 };
 
-constexpr Span window = 3s;
+constexpr Duration window = 3s;
 
 void holds(const Fleet::Shape& shape, int seeds, double least_sent) {
   double worst = 0, sent = 0;
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -30,7 +30,7 @@
   auto news = list.take(10s, list_text(1, {box_text("a"), box_text("b", "draining")}));
   ASSERT_TRUE(news.list);
   EXPECT_EQ(news.list->entries[0].started, 0s);
-  EXPECT_EQ(news.list->entries[1].standing, Standing::draining);
+  EXPECT_EQ(news.list->entries[1].state, ServerState::draining);
   news = list.take(10'300ms, list_text(1, {box_text("a"), box_text("b")}));  // the same start, heard later
   EXPECT_EQ(news.list->entries[0].started, 0s);
   EXPECT_TRUE(news.moved.empty());
@@ -45,7 +45,7 @@
   list.take(1s, list_text(5, {box_text("a", "draining")}));
   const auto news = list.take(2s, list_text(4, {box_text("a")}));
   EXPECT_FALSE(news.list);
-  EXPECT_EQ(list.box(0).standing, Standing::draining) << "a drain once told stays told";
+  EXPECT_EQ(list.box(0).state, ServerState::draining) << "a drain once told stays told";
 }
 
 // Its disk was lost, or it was set up anew: what it says now is true, though its count is lower.
@@ -54,18 +54,18 @@
   list.take(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c", "draining")}));
   auto news = list.take(2s, list_text(1, {box_text("a", "draining"), box_text("b"), box_text("c")}));
   ASSERT_TRUE(news.list) << "word of a drain counts at once, whatever the count";
-  EXPECT_EQ(news.list->reach, ServerList::Reach::changes);
+  EXPECT_EQ(news.list->kind, ServerList::Kind::changes);
   ASSERT_EQ(news.list->entries.size(), 1u);
   EXPECT_EQ(news.list->entries[0].server, 0u);
-  EXPECT_EQ(list.box(0).standing, Standing::draining);
-  EXPECT_EQ(list.box(2).standing, Standing::draining) << "nothing is lifted yet";
+  EXPECT_EQ(list.box(0).state, ServerState::draining);
+  EXPECT_EQ(list.box(2).state, ServerState::draining) << "nothing is lifted yet";
   EXPECT_FALSE(news.remark.empty());
   news = list.take(20s, list_text(3, {box_text("a", "draining"), box_text("b"), box_text("c")}));
   EXPECT_FALSE(news.list);
   news = list.take(33s, list_text(4, {box_text("a", "draining"), box_text("b"), box_text("c")}));
   ASSERT_TRUE(news.list) << "its count has been lower for half a minute: it began again";
   EXPECT_EQ(list.revision(), 4);
-  EXPECT_EQ(list.box(2).standing, Standing::ready);
+  EXPECT_EQ(list.box(2).state, ServerState::ready);
 }
 
 TEST(BoxList, AServiceBegunAnewWithHalfItsFleetIsHeldOnceMoreAndNoLonger) {
@@ -77,17 +77,17 @@
   const auto news = list.take(34s, list_text(3, {box_text("a")}));
   EXPECT_TRUE(news.remark.empty()) << news.remark;
   EXPECT_EQ(list.revision(), 3);
-  EXPECT_EQ(list.box(1).standing, Standing::gone);
+  EXPECT_EQ(list.box(1).state, ServerState::gone);
 }
 
 TEST(BoxList, AServiceThatCatchesUpIsNoneBegunAnew) {
   boxlist::BoxList list({"h"});
   list.take(1s, list_text(500, {box_text("a", "draining")}));
   for (int i = 0; i < 10; ++i) {
-    EXPECT_FALSE(list.take(Span(2s) + 5s * i, list_text(490, {box_text("a")})).list);
-    EXPECT_TRUE(list.take(Span(3s) + 5s * i, list_text(500, {box_text("a", "draining")})).list);
+    EXPECT_FALSE(list.take(Duration(2s) + 5s * i, list_text(490, {box_text("a")})).list);
+    EXPECT_TRUE(list.take(Duration(3s) + 5s * i, list_text(500, {box_text("a", "draining")})).list);
   }
-  EXPECT_EQ(list.box(0).standing, Standing::draining);
+  EXPECT_EQ(list.box(0).state, ServerState::draining);
 }
 
 TEST(BoxList, AFleetThatVanishesAtAStrokeIsHeldOnce) {
@@ -98,19 +98,19 @@
   list.take(1s, list_text(1, all));
   auto news = list.take(2s, list_text(2, {box_text("b0", "draining")}));
   ASSERT_TRUE(news.list);
-  EXPECT_EQ(news.list->reach, ServerList::Reach::changes);
+  EXPECT_EQ(news.list->kind, ServerList::Kind::changes);
   EXPECT_FALSE(news.remark.empty());
-  EXPECT_EQ(list.box(0).standing, Standing::draining) << "what it says of drains counts at once";
-  EXPECT_EQ(list.box(1).standing, Standing::ready);
+  EXPECT_EQ(list.box(0).state, ServerState::draining) << "what it says of drains counts at once";
+  EXPECT_EQ(list.box(1).state, ServerState::ready);
   news = list.take(3s, list_text(2, {box_text("b0", "draining")}));
-  EXPECT_EQ(news.list->reach, ServerList::Reach::complete);
-  EXPECT_EQ(list.box(1).standing, Standing::gone);
+  EXPECT_EQ(news.list->kind, ServerList::Kind::complete);
+  EXPECT_EQ(list.box(1).state, ServerState::gone);
 }
 
 TEST(BoxList, AKeptListTellsNoStarts) {
   boxlist::BoxList list({"h"});
   const auto news = list.take_cached(0s, list_text(7, {box_text("a")}));
-  EXPECT_EQ(news.list->reach, ServerList::Reach::cached);
+  EXPECT_EQ(news.list->kind, ServerList::Kind::cached);
   EXPECT_FALSE(news.list->entries[0].started);
   EXPECT_TRUE(list.take(1s, list_text(3, {box_text("a")})).list) << "a kept list's revision binds nothing";
 }
@@ -260,8 +260,8 @@
     std::minstd_rand chance(seed);
     const auto draw = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
     Weighing weighing(1s, {10, 20});
-    std::map<ServerId, Span> last;
-    Span now{0};
+    std::map<ServerId, Duration> last;
+    Duration now{0};
     for (int i = 0; i < 2000; ++i) {
       now += std::chrono::milliseconds(draw(200));
       const ServerId server = draw(4);
@@ -288,7 +288,7 @@
       for (const auto& note : out.notes) {
         ASSERT_TRUE(note.value >= 0 && note.value <= 1);
         if (last.contains(note.server)) {
-          ASSERT_GE(now - last[note.server], Span(1s));
+          ASSERT_GE(now - last[note.server], Duration(1s));
         }
         last[note.server] = now;
       }
--- a/tests/program/gate_test.cpp
+++ b/tests/program/gate_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_TRUE(left_out.empty());
   }
   Issuer::Says says(const std::string& id = "1") const {
-    return {id, "ann", "red", 3, now - 10s, now + 60s, Span(0), {}, {}};
+    return {id, "ann", "red", 3, now - 10s, now + 60s, Duration(0), {}, {}};
   }
   std::string fault(const std::string& token, const std::string& session = "s") {
     const auto judged = gate->judge(now, {token, "plan", "crash-42", session});
@@ -39,7 +39,7 @@
       return "waits";
     return std::string(words_of(std::get<Bad>(judged).fault));
   }
-  Span now = 1'000'000s;
+  Duration now = 1'000'000s;
   Issuer issuer{"issuer", "hall"};
   GateTerms terms;
   std::unique_ptr<Gate> gate;
--- a/tests/program/hls_decisions_test.cpp
+++ b/tests/program/hls_decisions_test.cpp
@@ -273,7 +273,9 @@
 
 // ---- showing ----
 
-int high(Showing& showing, Span now) { return std::get<ListRungs>(showing.handle(now, ListsAsked{})).high; }
+int high(Showing& showing, Duration now) {
+  return std::get<ListRungs>(showing.handle(now, ListsAsked{})).high;
+}
 
 TEST(Showing, AFallIsShownAtOnceAndARiseOnceItHasStood) {
   Showing showing({}, 0);
@@ -302,14 +304,14 @@
 }
 
 TEST(Showing, AWordThatGoesUpAndDownMovesNoPlayerUpAndDown) {
-  for (const Span beat : {Span(500ms), Span(3s), Span(7s), Span(8s)}) {
+  for (const Duration beat : {Duration(500ms), Duration(3s), Duration(7s), Duration(8s)}) {
     Showing showing({}, 0);
     showing.handle(0s, TargetIs{2s, true});
     showing.handle(0s, RungIs{1});
     int last = high(showing, 0s), changes = 0, words = 0;
-    for (Span now = beat; now < 10min; now += beat) {
+    for (Duration now = beat; now < 10min; now += beat) {
       showing.handle(now, RungIs{words++ % 2 ? 1 : 2});
-      for (Span ask = now; ask < now + beat; ask += 500ms) {
+      for (Duration ask = now; ask < now + beat; ask += 500ms) {
         const int shown = high(showing, ask);
         changes += shown != last;
         last = shown;
@@ -377,7 +379,7 @@
 TEST(Orphans, DeparturesAreBoundedAndPass) {
   Departures departures(3, 10s);
   for (int i = 0; i < 5; ++i)
-    departures.note(Span(i), std::to_string(i), Ending::lost);
+    departures.note(Duration(i), std::to_string(i), Ending::lost);
   EXPECT_EQ(departures.size(), 3u);
   EXPECT_FALSE(departures.find(1s, "0").has_value());
   EXPECT_TRUE(departures.find(1s, "4").has_value());
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -56,16 +56,16 @@
   }
   std::unique_ptr<Manager> make() {
     return std::make_unique<Manager>(terms, 1, "",
-                                     std::make_unique<Script>(&told, [this](Span, const Event& event) {
+                                     std::make_unique<Script>(&told, [this](Duration, const Event& event) {
                                        return decide ? decide(event) : place(event);
                                      }));
   }
-  std::vector<Order> place(const Event& event) {
+  std::vector<Command> place(const Event& event) {
     if (const auto* request = std::get_if<Request>(&event)) {
       tries[request->playback] = 1;
       return {SetRung{request->playback, rung}, violettide::SetUp{request->playback, first_box, 500ms}};
     }
-    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
+    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->playback_over) {
       if (tries[ended->playback]++ > 1)
         return {Abort{ended->playback}};
       return {violettide::SetUp{ended->playback, 1 - first_box, 500ms}};
@@ -148,7 +148,7 @@
     step();
     return link;
   }
-  void step(Span time = 20ms) {
+  void step(Duration time = 20ms) {
     net.poke(viewer_host);
     net.run(net.now() + time);
   }
@@ -202,7 +202,7 @@
   std::unique_ptr<Manager> front;
   std::vector<Event> told;
   std::map<PlaybackId, int> tries;
-  std::function<std::vector<Order>(const Event&)> decide;
+  std::function<std::vector<Command>(const Event&)> decide;
   ServerId first_box = 0;
   int rung = 1;
   Link next_link = 1;
@@ -230,7 +230,7 @@
   EXPECT_EQ(segment.body, "r1/2");
   EXPECT_NE(heads[0].back().find("sid=\"s1\""), std::string::npos);
   EXPECT_EQ(heads[0].back().find("su"), std::string::npos) << "no set-up";
-  EXPECT_EQ(told_of<Started>().size(), 1u);
+  EXPECT_EQ(told_of<PlaybackStarted>().size(), 1u);
   EXPECT_EQ(told_of<Request>().size(), 1u);
   EXPECT_EQ(front->held().playbacks, 1u);
   const auto audio = lists.body.substr(lists.body.find("URI=\"") + 5);
@@ -241,7 +241,7 @@
   net.run(net.now() + 4s);
   EXPECT_EQ(front->held().playbacks, 0u);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
-  EXPECT_TRUE(told_of<TryEnded>()[0].over);
+  EXPECT_TRUE(told_of<TryEnded>()[0].playback_over);
 }
 
 TEST_F(Front, ListsThatReloadAtOnceAreOnePlaybackAndOneTry) {
@@ -258,7 +258,7 @@
   EXPECT_EQ(answer(second).status, 200);
   EXPECT_EQ(answer(third).body, "r1/1");
   EXPECT_EQ(told_of<TryEnded>().size(), 1u) << "at the silent box";
-  EXPECT_EQ(told_of<Started>().size(), 1u);
+  EXPECT_EQ(told_of<PlaybackStarted>().size(), 1u);
   EXPECT_EQ(front->held().playbacks, 1u);
 }
 
@@ -294,10 +294,10 @@
     EXPECT_TRUE(said("playlist_malformed"));
     // Where it may have run and is paid for, there is no second try.
     has[0]["/paid/t/index.m3u8"] = text;
-    decide = [](const Event& event) -> std::vector<Order> {
+    decide = [](const Event& event) -> std::vector<Command> {
       if (const auto* r = std::get_if<Request>(&event))
         return {violettide::SetUp{r->playback, 0, 300ms}};
-      if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over)
+      if (const auto* e = std::get_if<TryEnded>(&event); e && !e->playback_over)
         return {Abort{e->playback}};
       return {};
     };
@@ -351,10 +351,10 @@
   ASSERT_EQ(media.size(), 3u);
   get(media[2]);
   decide = [this](const Event& event) {
-    auto orders = place(event);
-    if (std::holds_alternative<Note>(event))
-      orders.push_back(SetRung{0, 0});
-    return orders;
+    auto commands = place(event);
+    if (std::holds_alternative<Measurement>(event))
+      commands.push_back(SetRung{0, 0});
+    return commands;
   };
   more_fields = "CMSD-Dynamic: \"b0\";org.violettide-util=0.9\r\n";  // news of the box, and the module's word
   get(beside(media[2], "s10.m4s"));
@@ -450,7 +450,7 @@
   EXPECT_EQ(told_of<Request>().size(), 2u) << "its seat is asked for anew";
   // Refused meanwhile: its address is too, until the time to come back.
   net.run(net.now() + 20s);
-  decide = [](const Event& event) -> std::vector<Order> {
+  decide = [](const Event& event) -> std::vector<Command> {
     if (const auto* r = std::get_if<Request>(&event))
       return {Reject{r->playback, 5s}};
     return {};
@@ -484,7 +484,7 @@
   heads[0].clear();
   EXPECT_EQ(get(plain).status, 200);
   EXPECT_EQ(get(beside(paid, "s12.m4s")).body, "r1/12");
-  EXPECT_EQ(told_of<CarriedOver>().size(), 2u);
+  EXPECT_EQ(told_of<PlaybackAdopted>().size(), 2u);
   EXPECT_TRUE(told_of<Request>().empty()) << "no second set-up";
   ASSERT_FALSE(heads[0].empty());
   for (const auto& head : heads[0])
@@ -625,7 +625,7 @@
       {"errors", [this] { put_all("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"); }},
       {"silent", [this] { mute[0] = mute[1] = true; }},
       {"refused", [this] {
-         decide = [](const Event& event) -> std::vector<Order> {
+         decide = [](const Event& event) -> std::vector<Command> {
            if (const auto* r = std::get_if<Request>(&event))
              return {Reject{r->playback, 1500ms}};
            return {};
@@ -651,10 +651,10 @@
         std::string outcome =
             std::to_string(got.status) + " " + (wait == std::string::npos ? "" : got.head.substr(wait, 14));
         for (const auto& ended : told_of<TryEnded>()) {
-          if (!ended.over)
+          if (!ended.playback_over)
             outcome += " " + std::to_string(static_cast<int>(ended.outcome));
         }
-        outcome += " started " + std::to_string(told_of<Started>().size());
+        outcome += " started " + std::to_string(told_of<PlaybackStarted>().size());
         outcomes.push_back(outcome);
       }
       EXPECT_EQ(outcomes[0], outcomes[1]) << plan << " " << name;
--- a/tests/program/ledger_model.h
+++ b/tests/program/ledger_model.h
@@ -18,8 +18,8 @@
 };
 
 struct Viewer {
-  std::vector<Span> plays;  // by manager: until when it is admitted there; 0: it is not
-  std::vector<int> asked;   // by manager: claims without an answer
+  std::vector<Duration> plays;  // by manager: until when it is admitted there; 0: it is not
+  std::vector<int> asked;       // by manager: claims without an answer
 };
 
 class World {
@@ -85,11 +85,11 @@
       case What::claim:
         --left_.claims;
         ++viewers_[a].asked[b];
-        happen(b, Claimed{key(step.a), size_.seats, Span(1), token_until()});
+        happen(b, Claimed{key(step.a), size_.seats, Duration(1), token_until()});
         break;
       case What::leave:
         --left_.leaves;
-        viewers_[a].plays[b] = Span(0);
+        viewers_[a].plays[b] = Duration(0);
         happen(b, Left{key(step.a)});
         break;
       case What::deliver: {
@@ -121,7 +121,7 @@
         managers_[a].ledger.reset();
         managers_[a].pending.clear();
         for (auto& viewer : viewers_)
-          viewer.plays[a] = Span(0), viewer.asked[a] = 0;
+          viewer.plays[a] = Duration(0), viewer.asked[a] = 0;
         break;
       case What::restart:
         start(step.a);
@@ -129,7 +129,7 @@
         break;
       case What::tick:
         --left_.ticks;
-        now_ += Span(1);
+        now_ += Duration(1);
         for (std::size_t m = 0; m < managers_.size(); ++m) {
           if (managers_[m].ledger)
             happen(m, Ticked{});
@@ -222,7 +222,7 @@
 
   SeatKey key(int viewer) const { return {"team", "v" + std::to_string(viewer)}; }
   // Tokens live for a few ticks, so that expiry falls amid everything else.
-  Span token_until() const { return now_ + Span(3); }
+  Duration token_until() const { return now_ + Duration(3); }
 
   void start(int m) {
     auto& manager = managers_[static_cast<std::size_t>(m)];
@@ -230,10 +230,10 @@
     terms.own = static_cast<Peer>(m);
     for (int p = 0; p < size_.managers; ++p)
       terms.peers.push_back("m" + std::to_string(p));
-    terms.ask_again = Span(1);
-    terms.ask_limit = Span(2);
-    terms.skew = Span(0);  // one clock
-    terms.resume = Span(2);
+    terms.ask_again = Duration(1);
+    terms.ask_limit = Duration(2);
+    terms.skew = Duration(0);  // one clock
+    terms.resume = Duration(2);
     terms.planted = planted_;
     manager.ledger.emplace(terms, ++manager.restarts, now_, manager.kept);
   }
@@ -257,7 +257,7 @@
     } else if (auto* away = std::get_if<TurnAway>(&act)) {
       viewers_[static_cast<std::size_t>(away->key.who[1] - '0')].asked[m] = 0;
     } else if (auto* end = std::get_if<EndPlayback>(&act)) {
-      viewers_[static_cast<std::size_t>(end->key.who[1] - '0')].plays[m] = Span(0);
+      viewers_[static_cast<std::size_t>(end->key.who[1] - '0')].plays[m] = Duration(0);
     } else if (auto* tell = std::get_if<Tell>(&act)) {
       Flying flying{static_cast<Peer>(m), tell->to, tell->message, ""};
       flying.print = std::to_string(m) + ">" + std::to_string(tell->to) + print(tell->message);
@@ -276,7 +276,7 @@
     int in_use = 0;
     for (const auto& viewer : viewers_)
       in_use +=
-          std::any_of(viewer.plays.begin(), viewer.plays.end(), [&](Span until) { return until > now_; });
+          std::any_of(viewer.plays.begin(), viewer.plays.end(), [&](Duration until) { return until > now_; });
     if (in_use > size_.seats)
       return std::to_string(in_use) + " viewers play on " + std::to_string(size_.seats) + " seats";
     for (const auto& manager : managers_) {
@@ -308,7 +308,7 @@
   std::vector<Viewer> viewers_;
   std::vector<Flying> wire_;
   std::optional<std::string> wrong_;
-  Span now_{10};
+  Duration now_{10};
 };
 
 }  // namespace violettide::entitlement::model
--- a/tests/program/ledger_test.cpp
+++ b/tests/program/ledger_test.cpp
@@ -97,7 +97,7 @@
   }
   std::vector<Message> says(const LedgerEvent& event) {
     std::vector<Message> said;
-    for (const auto& act : ledger.handle(Span(1), event)) {
+    for (const auto& act : ledger.handle(Duration(1), event)) {
       if (const auto* tell = std::get_if<Tell>(&act))
         said.push_back(tell->message);
       if (const auto* keep = std::get_if<KeepRecord>(&act))
@@ -115,7 +115,9 @@
 TEST(Ledger, ASeatThatMovesTwiceBeforeItIsKeptIsTakenFromBoth) {
   Owner owner;
   const SeatKey key{"team", "v"};
-  const auto ask = [&](Peer from) { return owner.says(Heard{from, AskSeat{key, 7, 1, Span(1), Span(100)}}); };
+  const auto ask = [&](Peer from) {
+    return owner.says(Heard{from, AskSeat{key, 7, 1, Duration(1), Duration(100)}});
+  };
   ask(1);
   EXPECT_EQ(owner.says(Kept{owner.ticket}).size(), 1u) << "given";
   EXPECT_TRUE(ask(2).empty()) << "nothing is said of it before it is kept";
@@ -134,16 +136,16 @@
   terms.most_claims = 2;
   Owner owner(terms);
   for (int i = 0; i < 2; ++i)
-    owner.says(Claimed{{"team", std::to_string(i)}, 9, Span(1), Span(100)});
+    owner.says(Claimed{{"team", std::to_string(i)}, 9, Duration(1), Duration(100)});
   EXPECT_FALSE(owner.turned_away);
-  owner.says(Claimed{{"team", "third"}, 9, Span(1), Span(100)});
+  owner.says(Claimed{{"team", "third"}, 9, Duration(1), Duration(100)});
   EXPECT_EQ(owner.turned_away, TurnAway::Why::too_many);
 }
 
 TEST(Ledger, ALogIsReadAgainAndWhatIsOddInItIsTold) {
   using What = Record::What;
   const auto record = [](What what, const char* who, Peer holder, ClaimNumber number, int until) {
-    return Record{what, {"team", who}, holder, number, 5, Span(1), Span(until)};
+    return Record{what, {"team", who}, holder, number, 5, Duration(1), Duration(until)};
   };
   const std::vector<Record> log{record(What::given, "a", 1, 7, 50),  record(What::given, "b", 2, 8, 100),
                                 record(What::freed, "a", 2, 7, 50),  record(What::given, "c", 2, 8, 100),
@@ -152,11 +154,11 @@
   const auto found = replayed(log);
   EXPECT_EQ(found.given.size(), 3u) << "freed for another holder, it is held still";
   EXPECT_EQ(found.asked.size(), 1u) << "an older claim's end is not this one's";
-  const auto odd = odd_seats(log, Span(60));
+  const auto odd = odd_seats(log, Duration(60));
   ASSERT_EQ(odd.size(), 2u);
   EXPECT_EQ(odd[0].why, "past its time");
   EXPECT_EQ(odd[1].why, "its claim has another seat too");
-  EXPECT_TRUE(odd_seats({log[0], log[1]}, Span(50)).empty());
+  EXPECT_TRUE(odd_seats({log[0], log[1]}, Duration(50)).empty());
 }
 
 TEST(LedgerModel, EveryOrderOfASmallWorldKeepsItsSeats) {
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -34,8 +34,9 @@
     terms.list_port = Net::port(list_host);
     terms.silence = 3s;
     terms.viewer_links = 8;
-    auto script = std::make_unique<Script>(
-        &told, [this](Span now, const Event& event) { return decide ? decide(now, event) : place(event); });
+    auto script = std::make_unique<Script>(&told, [this](Duration now, const Event& event) {
+      return decide ? decide(now, event) : place(event);
+    });
     front = std::make_unique<Manager>(terms, 1, "", std::move(script));
     net.add(*front, 1);
     net.add(box, 1);
@@ -51,12 +52,12 @@
   }
 
   // The script that a module would follow on a good day: box 0, then box 1, then a rejection.
-  std::vector<Order> place(const Event& event) {
+  std::vector<Command> place(const Event& event) {
     if (const auto* request = std::get_if<Request>(&event)) {
       tries[request->playback] = 1;
       return {SetRung{request->playback, 1}, violettide::SetUp{request->playback, 0, 500ms}};
     }
-    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
+    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->playback_over) {
       if (tries[ended->playback]++ > 1)
         return {Reject{ended->playback, 1500ms}};
       return {violettide::SetUp{ended->playback, 1, 500ms}};
@@ -110,7 +111,7 @@
   std::unique_ptr<Manager> front;
   std::vector<Event> told;
   std::map<PlaybackId, int> tries;
-  std::function<std::vector<Order>(Span, const Event&)> decide;
+  std::function<std::vector<Command>(Duration, const Event&)> decide;
   Link next_link = 1;
   std::string boxes_json = testing::two_boxes;
 };
@@ -140,10 +141,10 @@
   EXPECT_NE(answer.find("ETag"), std::string::npos);
   EXPECT_EQ(answer.find("X-Hop"), std::string::npos) << "fields of one hop end there";
   EXPECT_TRUE(answer.ends_with("\r\n\r\nhello"));
-  ASSERT_EQ(told_of<Started>().size(), 1u);
+  ASSERT_EQ(told_of<PlaybackStarted>().size(), 1u);
   EXPECT_TRUE(std::any_of(told.begin(), told.end(), [](const Event& e) {
-    const auto* note = std::get_if<Note>(&e);
-    return note && note->about == Note::About::link_fill && note->value == 0.4;
+    const auto* note = std::get_if<Measurement>(&e);
+    return note && note->kind == Measurement::Kind::link_fill && note->value == 0.4;
   }));
 }
 
@@ -197,7 +198,7 @@
   EXPECT_EQ(got(link), "");
   box_sends(other_box, 2, asked(other_box)[0], object("x"));
   EXPECT_TRUE(got(link).ends_with("x"));
-  EXPECT_EQ(told_of<Started>().size(), 1u);
+  EXPECT_EQ(told_of<PlaybackStarted>().size(), 1u);
 }
 
 TEST_F(Mishaps, ABoxThatAnswersTwiceAnswersOnce) {
@@ -217,7 +218,7 @@
 }
 
 TEST_F(Mishaps, ARejectionCarriesItsComeBackTime) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
     if (const auto* r = std::get_if<Request>(&event))
       return {Reject{r->playback, 1200ms}};
     return {};
@@ -230,7 +231,7 @@
 }
 
 TEST_F(Mishaps, ACrowdTurnedAwayTogetherIsNotToldOneTime) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
     if (const auto* request = std::get_if<Request>(&event))
       return {Reject{request->playback, 4s}};
     return {};
@@ -274,7 +275,8 @@
 
 TEST_F(Mishaps, OneTooManyThatWaitsForAPaidTryIsNotToldToGoElsewhere) {
   terms.viewer_links = 40;
-  auto script = std::make_unique<Script>(&told, [this](Span, const Event& event) { return place(event); });
+  auto script =
+      std::make_unique<Script>(&told, [this](Duration, const Event& event) { return place(event); });
   front = std::make_unique<Manager>(terms, 1, "", std::move(script));
   net.kill(front_host);
   net.replace(front_host, *front);
@@ -289,10 +291,10 @@
 }
 
 TEST_F(Mishaps, AnAbortSaysWhetherTimeRanOut) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
     if (const auto* r = std::get_if<Request>(&event))
       return {violettide::SetUp{r->playback, 0, 300ms}};
-    if (const auto* e = std::get_if<TryEnded>(&event); e && !e->over)
+    if (const auto* e = std::get_if<TryEnded>(&event); e && !e->playback_over)
       return {Abort{e->playback}};
     return {};
   };
@@ -307,7 +309,7 @@
 }
 
 TEST_F(Mishaps, AModuleThatForgetsARequestIsAnsweredFor) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
     if (const auto* r = std::get_if<Request>(&event))
       return {violettide::SetUp{r->playback, 0, 10s}};
     return {};
@@ -318,9 +320,9 @@
   net.run(asked_at + 4s);
   EXPECT_TRUE(got(link).starts_with("HTTP/1.1 504"))
       << "answered before the viewer's time was up: " << got(link);
-  ASSERT_EQ(told_of<Withdrawn>().size(), 1u);
+  ASSERT_EQ(told_of<RequestCancelled>().size(), 1u);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
-  EXPECT_TRUE(told_of<TryEnded>()[0].over);
+  EXPECT_TRUE(told_of<TryEnded>()[0].playback_over);
   EXPECT_TRUE(box.peers[box.accepted[0]].ended);
 }
 
@@ -329,7 +331,7 @@
   send(link, get("/a/t/r2/0"));
   viewer.next.push_back(Close{link, false});
   act(viewer_host);
-  EXPECT_EQ(told_of<Withdrawn>().size(), 1u);
+  EXPECT_EQ(told_of<RequestCancelled>().size(), 1u);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_EQ(told_of<TryEnded>()[0].outcome, Outcome::cancelled);
   EXPECT_TRUE(box.peers[box.accepted[0]].ended);
@@ -342,7 +344,7 @@
   viewer.next.push_back(Close{link, true});
   // The puppet's end is gone with it: what can be seen is that nothing is withdrawn and the box is asked.
   act(viewer_host);
-  EXPECT_EQ(told_of<Withdrawn>().size(), 0u);
+  EXPECT_EQ(told_of<RequestCancelled>().size(), 0u);
   EXPECT_EQ(asked(box).size(), 1u);
 }
 
@@ -356,7 +358,7 @@
   // The first viewer goes; the others still wait for the same try.
   viewer.next.push_back(Close{first, false});
   act(viewer_host);
-  EXPECT_EQ(told_of<Withdrawn>().size(), 0u);
+  EXPECT_EQ(told_of<RequestCancelled>().size(), 0u);
   box_sends(box, box_host, box.accepted[0], object("video"));
   ASSERT_EQ(box.accepted.size(), 3u) << "each other object has a request of its own";
   for (int i = 1; i < 3; ++i)
@@ -387,8 +389,8 @@
   send(link, get("/a/t/r2/0"));
   box_sends(box, box_host, box.accepted[0], object("x"));
   got(link).clear();
-  decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Note>(event) || std::holds_alternative<TimerRang>(event))
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
+    if (std::holds_alternative<Measurement>(event) || std::holds_alternative<TimerExpired>(event))
       return {};
     return {};
   };
@@ -411,7 +413,7 @@
   got(link).clear();
   send(link, get("/a/t/r2/1"));
   ASSERT_GE(told_of<TryEnded>().size(), 1u);
-  EXPECT_TRUE(told_of<TryEnded>()[0].over);
+  EXPECT_TRUE(told_of<TryEnded>()[0].playback_over);
   ASSERT_EQ(told_of<Request>().size(), 1u) << "the viewer asks anew, here";
   box_sends(other_box, 2, asked(other_box).back(), object("again"));
   EXPECT_TRUE(got(link).ends_with("again"));
@@ -596,8 +598,8 @@
 }
 
 TEST_F(Mishaps, ASetUpForAPlaybackThatIsGoneIsToldAsNotSent) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Withdrawn>(event))
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
+    if (std::holds_alternative<RequestCancelled>(event))
       return {violettide::SetUp{0, 0, 500ms}};
     return {};
   };
@@ -607,7 +609,7 @@
   act(viewer_host);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_EQ(told_of<TryEnded>()[0].outcome, Outcome::not_sent);
-  EXPECT_TRUE(told_of<TryEnded>()[0].over);
+  EXPECT_TRUE(told_of<TryEnded>()[0].playback_over);
   EXPECT_TRUE(asked(box).empty());
 }
 
@@ -625,7 +627,7 @@
 }
 
 TEST_F(Mishaps, AStopAtItsLimitAnswersEverybodyFirst) {
-  decide = [](Span, const Event& event) -> std::vector<Order> {
+  decide = [](Duration, const Event& event) -> std::vector<Command> {
     const auto* request = std::get_if<Request>(&event);
     if (!request || request->plan == 0)
       return {};
@@ -633,8 +635,8 @@
   };
   terms.plans[0].abandon = terms.plans[1].abandon = 60s;
   terms.stop_limit = 1s;
-  auto script =
-      std::make_unique<Script>(&told, [this](Span now, const Event& event) { return decide(now, event); });
+  auto script = std::make_unique<Script>(
+      &told, [this](Duration now, const Event& event) { return decide(now, event); });
   front = std::make_unique<Manager>(terms, 1, "", std::move(script));
   net.kill(front_host);
   net.replace(front_host, *front);
--- a/tests/program/net.h
+++ b/tests/program/net.h
@@ -18,18 +18,18 @@
 
 class Net {
  public:
-  Span latency = 200us;
+  Duration latency = 200us;
   std::vector<std::pair<int, Say>> said;  // by host
   std::vector<std::string> kept;          // by all
   std::map<int, std::vector<std::string>> kept_by;
   std::function<bool(int from, int to)> lost;  // messages that never arrive, as in a partition
-  Span keep_time = 2ms;
+  Duration keep_time = 2ms;
   std::string keep_fails;  // the cause that each Keep meets from now on; empty: none
 
   // Doors get the ports HOST * 1000 + 1, and on.
   int add(Core& core, int doors) {
     const int host = static_cast<int>(hosts_.size());
-    hosts_.push_back({&core, {}, {}, first_accepted, true, Span(-1), 0});
+    hosts_.push_back({&core, {}, {}, first_accepted, true, Duration(-1), 0});
     for (int i = 0; i < doors; ++i)
       hosts_[host].open.insert(i);
     post(now_, host, Woken{});
@@ -56,7 +56,7 @@
       cut(host, link, Ending::reset);
   }
   // Hears nothing until then; what came meanwhile waits.
-  void stand_still(int host, Span until) { hosts_[host].still_until = until; }
+  void stand_still(int host, Duration until) { hosts_[host].still_until = until; }
   void poke(int host) { post(now_, host, Woken{}); }
   void tell_to_stop(int host) { post(now_, host, StopAsked{}); }
   std::size_t waiting_at(int host) const {  // bytes sent to it that it does not read
@@ -66,13 +66,13 @@
     return bytes;
   }
   bool left(int host) const { return !hosts_[host].alive; }
-  Span now() const { return now_; }
+  Duration now() const { return now_; }
   std::optional<std::string> stored(int host, const std::string& name) const {
     const auto found = stored_.find({host, name});
     return found == stored_.end() ? std::nullopt : std::optional(found->second);
   }
 
-  void run(Span until) {
+  void run(Duration until) {
     while (!events_.empty() && events_.begin()->first.first <= until) {
       auto [key, event] = std::move(*events_.begin());
       events_.erase(events_.begin());
@@ -105,7 +105,7 @@
     std::map<Link, Wire> wires;  // own link: the far end
     Link next;
     bool alive;
-    Span still_until;
+    Duration still_until;
     std::uint64_t wake = 0;
   };
   struct Event {
@@ -114,7 +114,7 @@
     std::string bytes;
   };
 
-  void post(Span at, int host, IoEvent what, std::string bytes = {}) {
+  void post(Duration at, int host, IoEvent what, std::string bytes = {}) {
     events_.emplace(std::pair(at, sequence_++), Event{host, std::move(what), std::move(bytes)});
   }
 
@@ -236,10 +236,10 @@
   }
 
   std::deque<Host> hosts_;
-  std::multimap<std::pair<Span, std::uint64_t>, Event> events_;
+  std::multimap<std::pair<Duration, std::uint64_t>, Event> events_;
   std::map<std::pair<int, std::string>, std::string> stored_;
   std::uint64_t sequence_ = 0;
-  Span now_{0};
+  Duration now_{0};
 };
 
 // A peer that a test moves by hand: it keeps what it gets and does what it is told.
@@ -254,7 +254,7 @@
   std::vector<Action> next;    // done at its next happening
   std::function<void(Puppet&, Link, std::vector<Action>&)> on_bytes;
 
-  void handle(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     std::visit(Visit{
                    [&](const Accepted& a) { peers[a.link], accepted.push_back(a.link); },
                    [&](const Connected& c) { peers[c.link].connected = true; },
--- a/tests/program/peers_test.cpp
+++ b/tests/program/peers_test.cpp
@@ -110,8 +110,8 @@
 
 TEST_F(Two, ItIsDialedAgainAtAPaceThatSlows) {
   a.send(0s, 1, 7, "one", actions);
-  Span now = 0s;
-  std::vector<Span> dials;
+  Duration now = 0s;
+  std::vector<Duration> dials;
   for (; now < 60s; now += 50ms) {
     actions.clear();
     a.time_passed(now, actions);
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -10,7 +10,7 @@
  protected:
   // The module has this tried next for whatever it is told.
   void says_set_up_on(std::function<bool(const Event&)> which, PlaybackId id = 0, ServerId server = 0) {
-    says = [=](const Event& event) -> std::vector<Order> {
+    says = [=](const Event& event) -> std::vector<Command> {
       if (which(event))
         return {SetRung{id, 1}, violettide::SetUp{id, server, 500ms}};
       return {};
@@ -79,7 +79,7 @@
     EXPECT_EQ(sent(link), "") << way.how;
     EXPECT_EQ(core->held().playbacks, 0u) << way.how;
     ASSERT_EQ(of_kind<TryEnded>(told).size(), 1u) << way.how;
-    EXPECT_TRUE(of_kind<TryEnded>(told)[0].over) << way.how;
+    EXPECT_TRUE(of_kind<TryEnded>(told)[0].playback_over) << way.how;
     settles = true;
   }
 }
@@ -125,10 +125,10 @@
     for (const auto& way : ways_to_leave()) {
       make(256);
       const auto link = connected_to_a();
-      says = [](const Event& event) -> std::vector<Order> {
+      says = [](const Event& event) -> std::vector<Command> {
         const auto* request = std::get_if<Request>(&event);
         const auto* ended = std::get_if<TryEnded>(&event);
-        if (!request && (!ended || ended->over))
+        if (!request && (!ended || ended->playback_over))
           return {};
         const auto id = request ? request->playback : ended->playback;
         return {SetRung{id, 1}, violettide::SetUp{id, 0, 500ms}};
@@ -156,14 +156,14 @@
       make(256);
       const auto link = connected_to_a();
       PlaybackId asked = 0;
-      says = [&, timer](const Event& event) -> std::vector<Order> {
+      says = [&, timer](const Event& event) -> std::vector<Command> {
         if (const auto* request = std::get_if<Request>(&event)) {
           asked = request->playback;
           if (timer)
             return {SetTimer{50ms, 7}};
           return {Probe{0}};
         }
-        if (std::holds_alternative<ProbeEnded>(event) || std::holds_alternative<TimerRang>(event))
+        if (std::holds_alternative<ProbeEnded>(event) || std::holds_alternative<TimerExpired>(event))
           return {SetRung{asked, 1}, violettide::SetUp{asked, 0, 500ms}};
         return {};
       };
@@ -175,7 +175,7 @@
       EXPECT_EQ(sent(link), "") << way.how;
       ASSERT_FALSE(of_kind<TryEnded>(told).empty()) << "the module waits for no try";
       EXPECT_EQ(outcome(), Outcome::not_sent);
-      EXPECT_TRUE(of_kind<TryEnded>(told).back().over);
+      EXPECT_TRUE(of_kind<TryEnded>(told).back().playback_over);
     }
   }
 }
@@ -277,7 +277,7 @@
   happen(Ended{dialled("10.1.0.1"), Ending::unable});
   EXPECT_EQ(outcome(), Outcome::not_sent);
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::rejected, 400));
-  says = [](const Event& event) -> std::vector<Order> {
+  says = [](const Event& event) -> std::vector<Command> {
     if (std::holds_alternative<Request>(event))
       return {Probe{1}};
     return {};
@@ -286,10 +286,10 @@
   happen(Ended{dialled("10.1.0.2"), Ending::unable});
   ASSERT_EQ(of_kind<ProbeEnded>(told).size(), 1u);
   EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].answered);
-  EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].left);
+  EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].sent);
   hear(viewer, offer("00000000000000aa"));
   happen(Ended{dialled("10.1.0.2"), Ending::refused});
-  EXPECT_TRUE(of_kind<ProbeEnded>(told).back().left) << "a refusal is the server's";
+  EXPECT_TRUE(of_kind<ProbeEnded>(told).back().sent) << "a refusal is the server's";
 }
 
 TEST_F(Crossing, AConnectionThatComesUpAfterItsAttemptWasGivenUpCarriesNothing) {
@@ -310,10 +310,10 @@
 
 TEST_F(Crossing, AResetUnderSeveralAttemptsIsNoProofForThoseThatWereSent) {
   const auto link = connected_to_a();
-  says = [](const Event& event) -> std::vector<Order> {
+  says = [](const Event& event) -> std::vector<Command> {
     if (const auto* request = std::get_if<Request>(&event))
       return {SetRung{request->playback, 1}, violettide::SetUp{request->playback, 0, 500ms}};
-    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over)
+    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->playback_over)
       return {Abort{ended->playback}};
     return {};
   };
@@ -387,9 +387,9 @@
   hear(viewer, offer());
   const auto old = dialled("10.1.0.1");
   happen(Connected{channel_link});
-  says = [this](const Event& event) -> std::vector<Order> {
+  says = [this](const Event& event) -> std::vector<Command> {
     const auto* ended = std::get_if<TryEnded>(&event);
-    if (!ended || ended->over || tries++ > 1)
+    if (!ended || ended->playback_over || tries++ > 1)
       return {};
     return {SetRung{ended->playback, 1}, violettide::SetUp{ended->playback, 0, 500ms}};
   };
@@ -410,7 +410,7 @@
     entries +=
         (i ? "," : "") + server_entry("t-" + std::to_string(i), "10.3.0." + std::to_string(i), "Ready");
   hear(channel_link, event(2, false, entries));
-  says = [](const Event& event) -> std::vector<Order> {
+  says = [](const Event& event) -> std::vector<Command> {
     const auto* request = std::get_if<Request>(&event);
     if (!request)
       return {};
@@ -495,8 +495,8 @@
                          event(3, false, server_entry("s-c", "10.1.0.8", "Terminating")));
   const auto lists = of_kind<ServerList>(told);
   ASSERT_EQ(lists.size(), 3u);
-  EXPECT_EQ(lists[1].entries[0].standing, Standing::ready);
-  EXPECT_EQ(lists[2].entries[0].standing, Standing::draining);
+  EXPECT_EQ(lists[1].entries[0].state, ServerState::ready);
+  EXPECT_EQ(lists[2].entries[0].state, ServerState::draining);
 }
 
 TEST_F(Crossing, ServersMissingFromAWholeListAmidChangesAreGone) {
@@ -510,7 +510,7 @@
                          event(4, false, server_entry("s-d", "10.1.0.9", "Ready")));
   const auto lists = of_kind<ServerList>(told);
   ASSERT_EQ(lists.size(), 4u);
-  EXPECT_EQ(lists[2].reach, ServerList::Reach::complete);
+  EXPECT_EQ(lists[2].kind, ServerList::Kind::complete);
   EXPECT_EQ(outcome(), Outcome::not_sent) << "nothing new to one that is missing";
   happen(Connected{link});
   EXPECT_EQ(sent(link), "");
@@ -675,7 +675,7 @@
   terms.abandon = {1800ms};
   terms.channel = Place{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
-      terms, std::make_unique<Script>(&told, [](Span, const Event&) { return std::vector<Order>{}; }));
+      terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   happen(StopAsked{});
   happen(Woken{});
@@ -692,18 +692,18 @@
   const auto told_again = offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a");
   hear(viewer, told_again);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
-  EXPECT_TRUE(of_kind<CarriedOver>(told).empty());
+  EXPECT_TRUE(of_kind<PlaybackAdopted>(told).empty());
   EXPECT_EQ(core->held().playbacks, 0u);
   pass(11s);
   come(viewer + 1);
   hear(viewer + 1, told_again);
-  EXPECT_EQ(of_kind<CarriedOver>(told).size(), 1u) << "it is not held for ever";
+  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u) << "it is not held for ever";
 }
 
 TEST_F(Crossing, AReleaseHeardAfterItsPlaybackIsHandedOverIsItsEnd) {
   const auto link = connected_to_a();
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<CarriedOver>(told).size(), 1u);
+  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u);
   hear(link, release(41));
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_EQ(core->held().playbacks, 0u);
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -63,10 +63,10 @@
     terms.idle_limit = 15s;
     terms.channel = Place{"10.2.0.1", 7070};
     terms.known = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
-    core =
-        std::make_unique<Platform>(terms, std::make_unique<Script>(&told, [this](Span, const Event& event) {
-                                     return says ? says(event) : std::vector<Order>{};
-                                   }));
+    core = std::make_unique<Platform>(terms,
+                                      std::make_unique<Script>(&told, [this](Duration, const Event& event) {
+                                        return says ? says(event) : std::vector<Command>{};
+                                      }));
     actions.clear();
     happen(Woken{});
     channel_link = dialled("10.2.0.1");
@@ -100,7 +100,7 @@
         unsettled = true;
     }
   }
-  void pass(Span time) {  // in steps, as the core's timers ring
+  void pass(Duration time) {  // in steps, as the core's timers ring
     for (const auto until = now + time; now < until;) {
       now = std::min(until, now + 10ms);
       happen(Woken{});
@@ -149,12 +149,12 @@
     return link;
   }
   // The module sets every playback up at this server, and again there where it is asked anew.
-  void always_at(ServerId server, Span limit = 500ms) {
-    says = [=, this](const Event& event) -> std::vector<Order> {
+  void always_at(ServerId server, Duration limit = 500ms) {
+    says = [=, this](const Event& event) -> std::vector<Command> {
       std::optional<PlaybackId> id;
       if (const auto* request = std::get_if<Request>(&event))
         id = request->playback;
-      if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over) {
+      if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->playback_over) {
         if (tries == 1)
           return {Reject{ended->playback, 400ms}};
         id = ended->playback;
@@ -182,10 +182,10 @@
   }
 
   std::vector<Event> told;
-  std::function<std::vector<Order>(const Event&)> says;
+  std::function<std::vector<Command>(const Event&)> says;
   std::unique_ptr<Platform> core;
   std::vector<Action> actions;
-  Span now{1s};
+  Duration now{1s};
   Link channel_link = 0;
   int tries = 0;
   bool settles = true, unsettled = false;
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -15,21 +15,21 @@
   hear(viewer, offer());
   const auto request = of_kind<Request>(told).at(0);
   EXPECT_EQ(request.abandon_at, now + 1500ms);
-  EXPECT_EQ(request.length, Span(8s));
-  EXPECT_EQ(request.holders, 2);
+  EXPECT_EQ(request.length, Duration(8s));
+  EXPECT_EQ(request.cell_count, 2);
   EXPECT_EQ(request.top, 1);
   const auto link = connect("10.1.0.1");
   EXPECT_EQ(sent(link), set_up_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
   now += 30ms;
   hear(link, accept());
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
-  EXPECT_EQ(of_kind<Started>(told).at(0).waited, 30ms);
+  EXPECT_EQ(of_kind<PlaybackStarted>(told).at(0).startup_delay, 30ms);
   hear(link, accept());
   EXPECT_EQ(sent(viewer), "") << "a second copy is no answer";
   hear(link, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16));
   EXPECT_EQ(outcome(), Outcome::served);
-  EXPECT_TRUE(of_kind<TryEnded>(told).back().over);
+  EXPECT_TRUE(of_kind<TryEnded>(told).back().playback_over);
   EXPECT_EQ(core->held().playbacks, 0u);
   EXPECT_EQ(core->held().titles, 0u);
 }
@@ -67,7 +67,7 @@
   hear(link, accept());
   EXPECT_EQ(sent(viewer), "") << "an answer after its time is none";
   EXPECT_EQ(sent(link), release_bytes(call_number, 16)) << "what stands for nobody is released";
-  EXPECT_TRUE(of_kind<Started>(told).empty());
+  EXPECT_TRUE(of_kind<PlaybackStarted>(told).empty());
 }
 
 TEST_F(PlatformTest, AConnectionWithoutASignInATrysTimeTakesNoMore) {
@@ -131,11 +131,11 @@
   hear(viewer, end());
   EXPECT_EQ(sent(link), release_bytes(call_number, 16));
   EXPECT_EQ(sent(viewer), ended_line(call_number));
-  EXPECT_EQ(of_kind<Withdrawn>(told).size(), 1u);
+  EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 1u);
   EXPECT_EQ(outcome(), Outcome::cancelled);
   hear(viewer, offer("00000000000000aa"));
   happen(Ended{viewer, Ending::reset});
-  EXPECT_EQ(of_kind<Withdrawn>(told).size(), 2u) << "a connection that ends takes its set-ups with it";
+  EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 2u) << "a connection that ends takes its set-ups with it";
   EXPECT_EQ(core->held().playbacks, 0u);
 }
 
@@ -163,13 +163,13 @@
   come();
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
   EXPECT_EQ(sent(viewer), "");
-  ASSERT_EQ(of_kind<CarriedOver>(told).size(), 1u);
-  EXPECT_EQ(of_kind<CarriedOver>(told)[0].server, 0u);
+  ASSERT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u);
+  EXPECT_EQ(of_kind<PlaybackAdopted>(told)[0].server, 0u);
   const auto link = connect("10.1.0.1");
   hear(link, from_server(44, call_number, parameter(150, "tier") + parameter(165, "1")));
-  EXPECT_EQ(of_kind<Note>(told).at(0).about, Note::About::rung);
+  EXPECT_EQ(of_kind<Measurement>(told).at(0).kind, Measurement::Kind::rung);
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<CarriedOver>(told).size(), 1u) << "told again of what it holds";
+  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u) << "told again of what it holds";
   hear(link, release(41));
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_EQ(outcome(), Outcome::reset);
@@ -396,18 +396,18 @@
 TEST_F(PlatformTest, ARungSetWhileNoConnectionStandsIsSaidOnTheNext) {
   const auto link = playing();
   sent(link);
-  says = [](const Event& event) -> std::vector<Order> {
-    if (std::holds_alternative<Note>(event))
+  says = [](const Event& event) -> std::vector<Command> {
+    if (std::holds_alternative<Measurement>(event))
       return {SetRung{0, 0}};
     return {};
   };
   hear(link, from_server(44, call_number, parameter(150, "kept_up") + parameter(165, "0.5")));
-  EXPECT_EQ(of_kind<Note>(told).back().value, 0.5);
+  EXPECT_EQ(of_kind<Measurement>(told).back().value, 0.5);
   EXPECT_EQ(sent(link), rung_bytes(call_number, 0));
 }
 
 TEST_F(PlatformTest, ATestIsAProbe) {
-  says = [](const Event& event) -> std::vector<Order> {
+  says = [](const Event& event) -> std::vector<Command> {
     if (std::holds_alternative<Request>(event))
       return {Probe{1}};
     return {};
@@ -466,7 +466,7 @@
   terms.site.rung_kb = {1};
   terms.channel = Place{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
-      terms, std::make_unique<Script>(&told, [](Span, const Event&) { return std::vector<Order>{}; }));
+      terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   come();
   hear(viewer, offer(call, "9000", "", "home:0;copies:1;top:0"));
--- a/tests/program/platform_wire_test.cpp
+++ b/tests/program/platform_wire_test.cpp
@@ -153,12 +153,14 @@
     EXPECT_EQ(channel.take_known(R"({"cursor":1,"cmds":[)" + event(1, "a", "Ready", true) + "]}").size(), 1u);
     follow(0s);
   }
-  void follow(Span now) {
+  void follow(Duration now) {
     ASSERT_EQ(channel.wish(now), Channel::Wish::dial);
     channel.dialled(now);
     asked = channel.connected(now);
   }
-  std::size_t hear(Span now, const std::string& line) { return channel.received(now, line + "\n").size(); }
+  std::size_t hear(Duration now, const std::string& line) {
+    return channel.received(now, line + "\n").size();
+  }
   Channel channel{1};
   std::string asked;
 };
@@ -171,7 +173,7 @@
   const auto& server = news[0].servers.at(0);
   EXPECT_EQ(server.name, "b");
   EXPECT_EQ(server.place, (Place{"10.1.0.9", 3868}));
-  EXPECT_EQ(server.standing, Standing::draining);
+  EXPECT_EQ(server.state, ServerState::draining);
   EXPECT_EQ(server.hall, "east");
   EXPECT_EQ(server.cell, 2);
   EXPECT_EQ(server.started_ms, 5000);
@@ -231,14 +233,14 @@
 // 300 managers whose channels broke at one moment, at a place that stays down: they are soon out of step,
 // and each is back within half a second of its return.
 TEST(ChannelBackoff, ManagersThatBrokeOffTogetherDoNotDialInStep) {
-  std::map<Span, int> first, tenth;
+  std::map<Duration, int> first, tenth;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Channel channel(seed * 0x9E3779B97F4A7C15u);
     channel.connect_to(Place{"10.2.0.1", 7070});
     ASSERT_EQ(channel.wish(0s), Channel::Wish::dial);
     channel.dialled(0s);
     channel.connected(0s);
-    Span now{1s};
+    Duration now{1s};
     for (int dial = 1; dial <= 10; ++dial) {
       channel.ended(now);
       EXPECT_EQ(channel.wish(now), Channel::Wish::none) << "never at once";
@@ -255,7 +257,7 @@
         ++tenth[std::chrono::floor<std::chrono::milliseconds>(now)];
     }
   }
-  const auto most = [](const std::map<Span, int>& dials) {
+  const auto most = [](const std::map<Duration, int>& dials) {
     return std::max_element(dials.begin(), dials.end(), [](auto& a, auto& b) { return a.second < b.second; })
         ->second;
   };
@@ -285,7 +287,7 @@
 }
 
 TEST_F(ChannelTest, AWordThatCannotBeReadIsNoEvent) {
-  Span now{0};
+  Duration now{0};
   for (const auto* bad : {"noise", "[1]", R"({"cursor":2,"nodes":{}})",
                           R"({"cursor":2,"nodes":{"endpoints":[{"name":"x","status":"Odd"}]}})"}) {
     now += 1s;
@@ -319,8 +321,8 @@
   EXPECT_FALSE(terms.site.plans[0].pay_at_setup);
   EXPECT_EQ(terms.site.rung_kb, (std::vector<double>{241, 413}));
   EXPECT_EQ(terms.site.cells, 12);
-  EXPECT_EQ(terms.site.own_number, 1);
-  EXPECT_TRUE(terms.site.may_probe);
+  EXPECT_EQ(terms.site.front_index, 1);
+  EXPECT_TRUE(terms.site.probes_enabled);
 }
 
 TEST(Start, AFaultNamesItsPlace) {
@@ -369,7 +371,7 @@
   const auto read = read_start(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","settings":)"
                                R"({"Classes":[{"Name":"a","Aim":1000,"GiveUp":2000}],)"
                                R"("FamilyInfo":{"RatesKb":[1]},"Limits":{"ConnIdle":15000000}}})");
-  EXPECT_FALSE(std::get<StartTerms>(read).site.own_number.has_value());
+  EXPECT_FALSE(std::get<StartTerms>(read).site.front_index.has_value());
   EXPECT_EQ(std::get<StartTerms>(read).idle_limit, 15s);
 }
 
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr int fronts = 3, boxes = 4;
 constexpr int list_host = fronts + boxes, viewer_host = list_host + 1;
-constexpr Span abandon = 3s;
+constexpr Duration abandon = 3s;
 
 int playback_of(const std::string& text, const std::string& before) {
   const auto at = text.find(before);
@@ -58,7 +58,7 @@
   }
 
   std::optional<RulesModel::Broken> run() {
-    for (Span at = 10ms; at < 16s && !model_.broken(); at += 10ms) {
+    for (Duration at = 10ms; at < 16s && !model_.broken(); at += 10ms) {
       net_.run(at);
       told();
       if (at < 10s && number(0, 99) < 25)
@@ -75,7 +75,7 @@
         if (!running_[f] && at >= back_at_[f])
           begin(f);
       }
-      for (const auto& [playback, due] : std::map<int, Span>(pending_)) {
+      for (const auto& [playback, due] : std::map<int, Duration>(pending_)) {
         if (at < due)
           continue;
         const int front = front_of_[playback];
@@ -84,7 +84,7 @@
         else
           pending_.erase(playback);
       }
-      if (at % 500ms == Span(0))
+      if (at % 500ms == Duration(0))
         model_.check(net_.now());
       if (wrong_ = stops(); !wrong_.empty())
         break;
@@ -100,8 +100,8 @@
     Hall& hall;
     int number;
     std::map<Link, std::string> got;
-    std::multimap<Span, std::pair<Link, std::string>> due;  // empty: a reset
-    void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+    std::multimap<Duration, std::pair<Link, std::string>> due;  // empty: a reset
+    void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (const auto* received = std::get_if<Received>(&what)) {
         auto& text = got[received->link];
         text += received->bytes;
@@ -126,7 +126,7 @@
       if (!due.empty())
         actions.push_back(WakeAt{due.begin()->first});
     }
-    void answer(Span now, Link link, const std::string& text) {
+    void answer(Duration now, Link link, const std::string& text) {
       const bool set_up = text.find(", su") != std::string::npos || text.find("su,") != std::string::npos ||
                           text.find("CMCD-Status: su") != std::string::npos ||
                           text.find("su\r\n") != std::string::npos;
@@ -146,7 +146,7 @@
     }
   };
 
-  static testing::RulesTerms rules(Span latency) {
+  static testing::RulesTerms rules(Duration latency) {
     testing::RulesTerms rules;
     rules.plans = {{false, 0, 0}, {true, 0, 0}};
     rules.answer_slack = 150ms;
@@ -165,13 +165,13 @@
     for (auto& plan : terms.site.plans)
       plan.startup_target = 1500ms;
     terms.site.plans[1].pay_at_setup = true;
-    terms.site.kind_streams = {50};
+    terms.site.streams_by_kind = {50};
     terms.site.link_kb_per_weight = 1e5;
     terms.site.cells = 2;
-    terms.site.fronts = fronts;
-    terms.site.own_number = front;
-    terms.site.most_tries = 3;
-    terms.site.longest_come_back = 1s;
+    terms.site.front_count = fronts;
+    terms.site.front_index = front;
+    terms.site.max_tries = 3;
+    terms.site.max_retry_after = 1s;
     terms.plans = {{"free", abandon}, {"paid", abandon}};
     terms.halls = {"h"};
     terms.copies = 2;
@@ -352,7 +352,7 @@
   }
 
   std::mt19937 chance_;
-  Span latency_;
+  Duration latency_;
   RulesModel model_;
   Net net_;
   std::vector<std::unique_ptr<manager::Manager>> cores_;
@@ -361,7 +361,7 @@
   std::vector<int> lives_;
   std::vector<bool> running_;
   std::map<int, bool> stopping_;
-  std::map<int, Span> back_at_, left_by_;
+  std::map<int, Duration> back_at_, left_by_;
   std::vector<std::string> states_;
   std::vector<std::vector<std::string>> history_{{}, std::vector<std::string>(boxes, "ready")};
   int revision_ = 1, asked_ = 0;
@@ -369,7 +369,7 @@
   std::map<Link, int> link_of_;
   std::map<int, int> front_of_;
   std::map<int, Try> tries_;
-  std::map<int, Span> pending_;  // asked, and when its manager surely has it
+  std::map<int, Duration> pending_;  // asked, and when its manager surely has it
   std::set<int> gone_;
   std::string wrong_;
   std::size_t seen_ = 0;
--- a/tests/program/rules_model.h
+++ b/tests/program/rules_model.h
@@ -13,27 +13,27 @@
 namespace violettide::testing {
 
 struct RulesTerms {
-  using Span = std::chrono::microseconds;
+  using Duration = std::chrono::microseconds;
   struct Plan {
     bool paid = false;
     int floor = 0;
     int seats = 0;  // 0: no cap
   };
   std::vector<Plan> plans;
-  Span answer_slack{0};  // past a viewer's time, for the way
-  Span grace{0};         // after word that a server drains or is gone
-  Span cold{0};          // 0: servers are never cold
-  double cold_from = 1, multiple = 1, streams = 1;
-  Span fall{0};
-  double cold_slack = 0;  // set-ups
-  Span budget_window{0};  // 0: no budget
-  double budget_free = 0, budget_share = 0;
-  Span longest_come_back{0};
+  Duration answer_slack{0};  // past a viewer's time, for the way
+  Duration grace{0};         // after word that a server drains or is gone
+  Duration cold{0};          // 0: servers are never cold
+  double warmup_initial_share = 1, multiple = 1, streams = 1;
+  Duration fall{0};
+  double cold_slack = 0;            // set-ups
+  Duration retry_budget_window{0};  // 0: no budget
+  double retry_budget_base = 0, retry_budget_share = 0;
+  Duration longest_come_back{0};
 };
 
 class RulesModel {
  public:
-  using Span = std::chrono::microseconds;
+  using Duration = std::chrono::microseconds;
   enum class What {
     began,      // a front's process; it knows nothing
     killed,     // and is no more
@@ -53,7 +53,7 @@
     server_stopped
   };
   struct Step {
-    Span at{0};
+    Duration at{0};
     What what = What::began;
     int front = 0;
     std::uint64_t playback = 0;
@@ -61,7 +61,7 @@
     int plan = 0;
     std::uint64_t title = 0;
     int rung = 0;
-    Span until{0};
+    Duration until{0};
     bool never_ran = false, over = false;
     bool failed = false;  // silence, a reset or a refused connection
   };
@@ -84,7 +84,7 @@
     come_back();
   }
   // Time alone may break a rule: an answer that is overdue.
-  void check(Span now) {
+  void check(Duration now) {
     for (const auto& asked : history_) {
       if (asked.what != What::taken || now <= asked.until + terms_.answer_slack)
         continue;
@@ -182,7 +182,7 @@
     const auto& now = history_.back();
     if (now.what != What::sent)
       return;
-    std::optional<Span> off;
+    std::optional<Duration> off;
     bool named = false;
     for (const auto& word : history_) {
       if (word.front != now.front)
@@ -206,9 +206,9 @@
   // multiple of what it can take by now. Counted where most of the senders knew.
   void cold_pace() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.cold <= Span(0))
+    if (now.what != What::sent || terms_.cold <= Duration(0))
       return;
-    std::optional<Span> started;
+    std::optional<Duration> started;
     for (const auto& step : history_) {
       if (step.what == What::server_started && step.server == now.server)
         started = step.at;
@@ -226,7 +226,7 @@
         ++knew;
     }
     const double age = std::chrono::duration<double>(now.at - *started) / terms_.cold;
-    const double warmth = terms_.cold_from + (1 - terms_.cold_from) * age * age;
+    const double warmth = terms_.warmup_initial_share + (1 - terms_.warmup_initial_share) * age * age;
     const double pace = terms_.streams / std::chrono::duration<double>(terms_.cold).count();
     const double may = pace * warmth * terms_.multiple * std::chrono::duration<double>(terms_.fall).count();
     if (2 * knew > count)
@@ -235,7 +235,7 @@
       broke(4, now, std::to_string(count) + " set-ups where a cold server may get " + std::to_string(may));
   }
   // Told of the start, met a failure there since it went down, or younger than the start itself.
-  bool knew_of_start(const Step& sent, Span started) const {
+  bool knew_of_start(const Step& sent, Duration started) const {
     bool knew = false, met = false;
     for (const auto& word : history_) {
       if (&word == &sent)
@@ -284,7 +284,7 @@
   // 6. Tries beyond a playback's first, in the window that ends with one.
   void budget() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.budget_window <= Span(0) || !is_further(now))
+    if (now.what != What::sent || terms_.retry_budget_window <= Duration(0) || !is_further(now))
       return;
     double further = 0, taken = 0;
     for (const auto& step : history_) {
@@ -292,14 +292,14 @@
         continue;
       if (step.what == What::began)
         further = taken = 0;
-      if (step.at <= now.at - terms_.budget_window)
+      if (step.at <= now.at - terms_.retry_budget_window)
         continue;
       if (step.what == What::taken)
         taken += 1;
       if (step.what == What::sent && is_further(step))
         further += 1;
     }
-    if (further > terms_.budget_free + terms_.budget_share * taken)
+    if (further > terms_.retry_budget_base + terms_.retry_budget_share * taken)
       broke(6, now, "over the try budget");
   }
   bool is_further(const Step& sent) const {
@@ -317,7 +317,8 @@
     const auto& now = history_.back();
     if (now.what != What::rejected)
       return;
-    if (now.until > terms_.longest_come_back || (terms_.longest_come_back > Span(0) && now.until <= Span(0)))
+    if (now.until > terms_.longest_come_back ||
+        (terms_.longest_come_back > Duration(0) && now.until <= Duration(0)))
       broke(0, now, "rejected with a come-back time of " + std::to_string(now.until.count()) + " us");
   }
 
--- a/tests/program/rules_module_test.cpp
+++ b/tests/program/rules_module_test.cpp
@@ -46,8 +46,8 @@
     World one(seed, {}), other(seed, {});
     one.run();
     other.run();
-    EXPECT_GT(one.orders().size(), 50u);
-    EXPECT_EQ(one.orders(), other.orders());
+    EXPECT_GT(one.commands().size(), 50u);
+    EXPECT_EQ(one.commands(), other.commands());
   }
 }
 
@@ -75,59 +75,59 @@
 // Many fronts that hear of one start at one moment, all with viewers for what lies there alone. Returns the
 // most that any window was filled, 1 being the stated multiple.
 double fullest_window(int fronts, bool numbered, double asked_a_second, double quiet, std::uint32_t seed) {
-  SiteTerms terms;
+  PolicySettings terms;
   terms.plans.resize(1);
   terms.plans[0].startup_target = 1500ms;
   terms.rung_kb = terms.rung_revenue = {1};
-  terms.kind_streams = {35};
+  terms.streams_by_kind = {35};
   terms.link_kb_per_weight = 1e6;
-  terms.fronts = fronts;
-  terms.cold_time = 12s;
-  terms.cold_from = 0.4;
+  terms.front_count = fronts;
+  terms.warmup_time = 12s;
+  terms.warmup_initial_share = 0.4;
   terms.overload_multiple = 3;
-  terms.most_tries = 5;
+  terms.max_tries = 5;
   testing::RulesTerms rules;
   rules.plans = {{false, 0, 0}};
-  rules.cold = terms.cold_time;
-  rules.cold_from = terms.cold_from;
+  rules.cold = terms.warmup_time;
+  rules.warmup_initial_share = terms.warmup_initial_share;
   rules.multiple = terms.overload_multiple;
-  rules.streams = terms.kind_streams[0];
+  rules.streams = terms.streams_by_kind[0];
   rules.fall = 3s;
   RulesModel model(rules);
   using What = RulesModel::What;
-  const Span started = 30s, told = 31s;
-  std::vector<Brain> brains;
+  const Duration started = 30s, told = 31s;
+  std::vector<Policy> policies;
   model.step({started, What::server_started});
   for (int front = 0; front < fronts; ++front) {
     if (numbered)
-      terms.own_number = front;
-    brains.emplace_back(terms, seed * 1000 + static_cast<std::uint32_t>(front));
-    brains.back().handle(Span(0), ServerList{});
+      terms.front_index = front;
+    policies.emplace_back(terms, seed * 1000 + static_cast<std::uint32_t>(front));
+    policies.back().handle(Duration(0), ServerList{});
     ServerEntry entry;
     entry.started = started;
-    brains.back().handle(told, ServerList{ServerList::Reach::complete, {entry}});
+    policies.back().handle(told, ServerList{ServerList::Kind::complete, {entry}});
     model.step({told, What::listed_ready, front});
     model.step({told, What::listed_start, front, 0, 0, 0, 0, 0, started});
   }
   std::mt19937 chance(seed);
   std::exponential_distribution<> gap(asked_a_second);
-  std::multimap<Span, int> asks;
+  std::multimap<Duration, int> asks;
   for (int front = 0; front < fronts; ++front) {
     for (double at = quiet + gap(chance); at < 11; at += gap(chance))
-      asks.emplace(told + Span(static_cast<std::int64_t>(at * 1e6)), front);
+      asks.emplace(told + Duration(static_cast<std::int64_t>(at * 1e6)), front);
   }
   PlaybackId next = 0;
   for (const auto& [at, front] : asks) {
     Request request;
     request.playback = next++;
     request.abandon_at = at + 4s;
-    auto& brain = brains[static_cast<std::size_t>(front)];
-    for (const auto& order : brain.handle(at, request)) {
-      if (!std::holds_alternative<violettide::SetUp>(order))
+    auto& policy = policies[static_cast<std::size_t>(front)];
+    for (const auto& command : policy.handle(at, request)) {
+      if (!std::holds_alternative<violettide::SetUp>(command))
         continue;
       model.step({at, What::taken, front, request.playback, 0, 0, 0, 0, request.abandon_at});
       model.step({at, What::sent, front, request.playback});
-      brain.handle(at, Started{request.playback, 0, 0s});
+      policy.handle(at, PlaybackStarted{request.playback, 0, 0s});
     }
   }
   EXPECT_GT(model.count(What::sent), 1u) << "closed altogether";
@@ -151,28 +151,28 @@
 // A probe for which this machine had no descriptor or port is no fault of the server's.
 TEST(RulesOfTheModule, AProbeThatNeverLeftRestsNoServer) {
   for (const bool left : {false, true}) {
-    SiteTerms terms;
+    PolicySettings terms;
     terms.plans.resize(1);
     terms.plans[0].startup_target = 2s;
     terms.rung_kb = {1};
-    terms.kind_streams = {10};
-    terms.weights_told = true;
+    terms.streams_by_kind = {10};
+    terms.has_weights = true;
     terms.link_kb_per_weight = 100;
-    terms.most_tries = 2;
-    terms.may_probe = true;
-    Brain brain(terms, 1);
+    terms.max_tries = 2;
+    terms.probes_enabled = true;
+    Policy policy(terms, 1);
     ServerList list;
     list.entries.push_back({});
-    brain.handle(0s, list);
+    policy.handle(0s, list);
     Request request;
     request.abandon_at = 5s;
-    const auto first = brain.handle(1ms, request);
+    const auto first = policy.handle(1ms, request);
     ASSERT_TRUE(std::any_of(first.begin(), first.end(),
-                            [](const Order& order) { return std::holds_alternative<Probe>(order); }));
+                            [](const Command& command) { return std::holds_alternative<Probe>(command); }));
     bool set_up = false;
     for (int probe = 0; probe < 2; ++probe) {  // it may ask once more
-      for (const auto& order : brain.handle(2ms, ProbeEnded{0, false, {}, left}))
-        set_up = set_up || std::holds_alternative<violettide::SetUp>(order);
+      for (const auto& command : policy.handle(2ms, ProbeEnded{0, false, {}, left}))
+        set_up = set_up || std::holds_alternative<violettide::SetUp>(command);
     }
     EXPECT_EQ(set_up, !left);
   }
--- a/tests/program/rules_world.h
+++ b/tests/program/rules_world.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "policy/policy.h"
 #include "rules_model.h"
 
 namespace violettide::testing {
@@ -40,7 +40,7 @@
     Bend bend = Bend::none;
     bool rude = false;  // events that no good caller sends, beside the others
     int fronts = 0;     // 0: drawn
-    Span length = 20s;
+    Duration length = 20s;
   };
 
   World(std::uint32_t seed, Shape shape) : shape_(shape), chance_(seed) {
@@ -57,8 +57,8 @@
 
   // False once a rule is broken; the model tells which.
   bool run() {
-    const Span end = shape_.length + 12s;
-    for (Span at = 250ms; at < end; at += 250ms)
+    const Duration end = shape_.length + 12s;
+    for (Duration at = 250ms; at < end; at += 250ms)
       later(at, [this] { model_->check(now_); });
     while (!events_.empty() && events_.begin()->first.first <= end) {
       auto next = std::move(events_.begin()->second);
@@ -72,25 +72,25 @@
   }
   const RulesModel& model() const { return *model_; }
   const std::string& wrong() const { return wrong_; }  // an order that no rule forbids and yet makes no sense
-  const std::vector<std::string>& orders() const { return said_; }
+  const std::vector<std::string>& commands() const { return said_; }
 
  private:
   struct Server {
     bool up = true, silent = false;
-    Standing standing = Standing::ready;
-    Span started{0};
+    ServerState state = ServerState::ready;
+    Duration started{0};
   };
   struct Front {
     int number = 0, life = 0;
     bool alive = false;
-    std::unique_ptr<Brain> brain;
-    Span began{0};
+    std::unique_ptr<Policy> policy;
+    Duration began{0};
     std::set<int> listed;
   };
   struct Playback {
     int front = 0, life = 0, plan = 0, top = 0;
     std::uint64_t title = 0;
-    Span until{0};
+    Duration until{0};
     bool over = false, out = false, plays = false, withdrawn = false;
     int tries = 0, server = 0;
     std::vector<ServerId> holders;
@@ -99,8 +99,8 @@
   int number(int least, int most) { return std::uniform_int_distribution<int>(least, most)(chance_); }
   double part() { return std::uniform_real_distribution<>()(chance_); }
   bool odds(double of) { return part() < of; }
-  Span ms(int least, int most) { return std::chrono::milliseconds(number(least, most)); }
-  void later(Span in, std::function<void()> what) {
+  Duration ms(int least, int most) { return std::chrono::milliseconds(number(least, most)); }
+  void later(Duration in, std::function<void()> what) {
     events_.emplace(std::pair(now_ + in, sequence_++), std::move(what));
   }
   void step(RulesModel::Step step) {
@@ -112,26 +112,26 @@
     fronts_count_ = shape_.fronts > 0 ? shape_.fronts : number(2, 4);
     terms_.rung_kb = {100, 200, 400};
     terms_.rung_revenue = {0.4, 0.7, 1};
-    terms_.kind_streams = {static_cast<double>(number(12, 40))};
+    terms_.streams_by_kind = {static_cast<double>(number(12, 40))};
     terms_.link_kb_per_weight = number(1500, 6000);
     terms_.uplink_kb = odds(0.5) ? 6000 : 0;
     terms_.racks = 2;
     terms_.cells = 3;
     terms_.switch_cost = 500ms;
-    terms_.note_lag = 1s;
-    terms_.fronts = fronts_count_;
-    terms_.cold_time = 10s;
-    terms_.cold_from = 0.3 + 0.3 * part();
+    terms_.measurement_delay = 1s;
+    terms_.front_count = fronts_count_;
+    terms_.warmup_time = 10s;
+    terms_.warmup_initial_share = 0.3 + 0.3 * part();
     terms_.overload_multiple = 2 + part();
-    terms_.budget_window = odds(0.6) || shape_.bend == Bend::no_budget ? 5s : 0s;
-    terms_.budget_free = number(0, 3);
-    terms_.budget_share = 0.05 * number(0, 4);
-    terms_.most_tries = number(2, 5);
-    terms_.longest_come_back = odds(0.7) ? 1s : 0s;
-    terms_.may_probe = odds(0.5);
-    terms_.probe_price = 0.005;
+    terms_.retry_budget_window = odds(0.6) || shape_.bend == Bend::no_budget ? 5s : 0s;
+    terms_.retry_budget_base = number(0, 3);
+    terms_.retry_budget_share = 0.05 * number(0, 4);
+    terms_.max_tries = number(2, 5);
+    terms_.max_retry_after = odds(0.7) ? 1s : 0s;
+    terms_.probes_enabled = odds(0.5);
+    terms_.probe_cost = 0.005;
     for (int i = 0; i < 4; ++i) {
-      PlanTerms plan;
+      PlanSettings plan;
       plan.startup_target = i % 2 ? 800ms : 1500ms;
       plan.pay_at_setup = i >= 2;
       plan.floor = i == 1 ? 1 : 0;
@@ -148,21 +148,21 @@
       rules.plans.push_back({plan.pay_at_setup, plan.floor, plan.seats});
     rules.answer_slack = 40ms;
     rules.grace = 1s;
-    rules.cold = terms_.cold_time;
-    rules.cold_from = terms_.cold_from;
+    rules.cold = terms_.warmup_time;
+    rules.warmup_initial_share = terms_.warmup_initial_share;
     rules.multiple = terms_.overload_multiple;
-    rules.streams = terms_.kind_streams[0];
+    rules.streams = terms_.streams_by_kind[0];
     rules.fall = 3s;
     rules.cold_slack = 2;
-    rules.budget_window = terms_.budget_window;
-    rules.budget_free = terms_.budget_free;
-    rules.budget_share = terms_.budget_share;
-    rules.longest_come_back = terms_.longest_come_back;
+    rules.retry_budget_window = terms_.retry_budget_window;
+    rules.retry_budget_base = terms_.retry_budget_base;
+    rules.retry_budget_share = terms_.retry_budget_share;
+    rules.longest_come_back = terms_.max_retry_after;
     return rules;
   }
 
   // What the module is told of the terms, the bend apart.
-  SiteTerms bent_terms() const {
+  PolicySettings bent_terms() const {
     auto bent = terms_;
     for (auto& plan : bent.plans) {
       if (shape_.bend == Bend::not_paid)
@@ -173,9 +173,9 @@
         plan.seats = 0;
     }
     if (shape_.bend == Bend::no_cold)
-      bent.cold_time = 0s;
+      bent.warmup_time = 0s;
     if (shape_.bend == Bend::no_budget)
-      bent.budget_window = 0s;
+      bent.retry_budget_window = 0s;
     return bent;
   }
 
@@ -183,7 +183,7 @@
   void plan_fate(int id) {
     later(ms(1000, 20000), [this, id] {
       auto& server = servers_[static_cast<std::size_t>(id)];
-      server.standing = odds(0.5) ? Standing::draining : Standing::ready;
+      server.state = odds(0.5) ? ServerState::draining : ServerState::ready;
       tell_all(id);
       later(ms(300, 3000), [this, id] { stop(id); });
     });
@@ -192,7 +192,7 @@
     auto& server = servers_[static_cast<std::size_t>(id)];
     server.up = false;
     server.silent = odds(0.3);
-    server.standing = Standing::gone;
+    server.state = ServerState::gone;
     RulesModel::Step stopped;
     stopped.what = What::server_stopped;
     stopped.server = id;
@@ -209,7 +209,7 @@
       auto& back = servers_[static_cast<std::size_t>(id)];
       back.up = true;
       back.silent = false;
-      back.standing = Standing::ready;
+      back.state = ServerState::ready;
       back.started = now_;
       RulesModel::Step started;
       started.what = What::server_started;
@@ -224,7 +224,7 @@
     const auto& server = servers_[static_cast<std::size_t>(id)];
     ServerEntry entry;
     entry.server = static_cast<ServerId>(id);
-    entry.standing = server.standing;
+    entry.state = server.state;
     entry.cell = id % terms_.cells;
     entry.started = server.started;  // on the world's clock until it is told
     return entry;
@@ -236,7 +236,7 @@
       const int number = front.number, life = front.life;
       const bool whole = odds(0.3), cut = whole && odds(0.1);
       ServerList list;
-      list.reach = whole ? ServerList::Reach::complete : ServerList::Reach::changes;
+      list.kind = whole ? ServerList::Kind::complete : ServerList::Kind::changes;
       for (int s = 0; s < static_cast<int>(servers_.size()); ++s) {
         if (s != id && (!whole || (cut && odds(0.5))))
           continue;
@@ -250,7 +250,7 @@
     auto& front = fronts_[static_cast<std::size_t>(number)];
     if (!front.alive || front.life != life)
       return;
-    if (list.reach != ServerList::Reach::changes) {
+    if (list.kind != ServerList::Kind::changes) {
       for (const int server : front.listed) {
         const bool named = std::any_of(list.entries.begin(), list.entries.end(),
                                        [&](auto& e) { return static_cast<int>(e.server) == server; });
@@ -261,7 +261,7 @@
     for (auto& entry : list.entries) {
       const int server = static_cast<int>(entry.server);
       front.listed.insert(server);
-      say_listed(number, server, entry.standing == Standing::ready ? What::listed_ready : What::listed_off);
+      say_listed(number, server, entry.state == ServerState::ready ? What::listed_ready : What::listed_off);
       if (entry.started) {
         RulesModel::Step start;
         start.what = What::listed_start;
@@ -274,8 +274,8 @@
     }
     if (shape_.bend == Bend::no_drains) {
       for (auto& entry : list.entries)
-        entry.standing = Standing::ready;
-      list.reach = ServerList::Reach::changes;
+        entry.state = ServerState::ready;
+      list.kind = ServerList::Kind::changes;
     }
     tell(number, list);
   }
@@ -288,7 +288,7 @@
   }
 
   // ---- fronts ----
-  void begin_front(int number, Span in) {
+  void begin_front(int number, Duration in) {
     if (fronts_.size() <= static_cast<std::size_t>(number)) {
       fronts_.emplace_back();
       fronts_.back().number = number;
@@ -298,14 +298,14 @@
       front.alive = true;
       front.began = now_;
       front.listed.clear();
-      front.brain =
-          std::make_unique<Brain>(bent_terms(), static_cast<std::uint64_t>(number + 1 + 16 * front.life));
+      front.policy =
+          std::make_unique<Policy>(bent_terms(), static_cast<std::uint64_t>(number + 1 + 16 * front.life));
       RulesModel::Step began;
       began.what = What::began;
       began.front = number;
       step(began);
       ServerList cached;
-      cached.reach = ServerList::Reach::cached;
+      cached.kind = ServerList::Kind::cached;
       for (int s = 0; s < static_cast<int>(servers_.size()); ++s) {
         cached.entries.push_back(entry(s));
         if (odds(0.5))
@@ -323,7 +323,7 @@
     auto& front = fronts_[static_cast<std::size_t>(number)];
     front.alive = false;
     ++front.life;
-    front.brain.reset();
+    front.policy.reset();
     RulesModel::Step killed;
     killed.what = What::killed;
     killed.front = number;
@@ -353,10 +353,10 @@
     if (odds(0.5))
       request.length = ms(1000, 20000);
     request.first_cell = static_cast<int>(playback.title) % terms_.cells;
-    request.holders = 2;
+    request.cell_count = 2;
     if (odds(0.5)) {
       playback.holders = some_servers();
-      request.listed = std::make_shared<const std::vector<ServerId>>(playback.holders);
+      request.listed_holders = std::make_shared<const std::vector<ServerId>>(playback.holders);
     } else {
       for (int s = 0; s < static_cast<int>(servers_.size()); ++s) {
         const int cell = s % terms_.cells;
@@ -400,7 +400,7 @@
   void carry_some(int number) {
     for (int i = this->number(0, 3); i > 0; --i) {
       PlaybackId id = 0;
-      CarriedOver carried;
+      PlaybackAdopted carried;
       auto& playback = make(number, id, carried.request);
       playback.out = playback.plays = true;
       playback.server = this->number(0, static_cast<int>(servers_.size()) - 1);
@@ -409,8 +409,9 @@
       step.what = What::carried;
       this->step(step);
       tell(number, carried);
-      tell(number, Note{id, carried.server, Note::About::rung,
-                        static_cast<double>(terms_.plans[static_cast<std::size_t>(playback.plan)].floor)});
+      tell(number,
+           Measurement{id, carried.server, Measurement::Kind::rung,
+                       static_cast<double>(terms_.plans[static_cast<std::size_t>(playback.plan)].floor)});
       later(ms(500, 15000), [this, id] { end(id, Outcome::served, true); });
     }
   }
@@ -435,7 +436,7 @@
     if (!playback.out)
       playback.over = true;
     const bool out = playback.out;
-    tell(playback.front, Withdrawn{id});
+    tell(playback.front, RequestCancelled{id});
     if (out)
       later(ms(0, 50), [this, id] { end(id, Outcome::cancelled, odds(0.5)); });
   }
@@ -460,16 +461,16 @@
     const int front = playback.front;
     switch (number(0, 8)) {
       case 0:
-        return tell(
-            front, Note{id, static_cast<ServerId>(number(0, 6)), Note::About::rung, odds(0.5) ? 0.0 : value});
+        return tell(front, Measurement{id, static_cast<ServerId>(number(0, 6)), Measurement::Kind::rung,
+                                       odds(0.5) ? 0.0 : value});
       case 1:
-        return tell(front, Note{id, elsewhere, Note::About::share, value});
+        return tell(front, Measurement{id, elsewhere, Measurement::Kind::share, value});
       case 2:
-        return tell(front, Note{id, elsewhere, Note::About::link_fill, value});
+        return tell(front, Measurement{id, elsewhere, Measurement::Kind::link_fill, value});
       case 3:
-        return tell(front, Note{id, elsewhere, Note::About::uplink_fill, value});
+        return tell(front, Measurement{id, elsewhere, Measurement::Kind::uplink_fill, value});
       case 4:
-        return tell(front, Started{id, elsewhere, 0s});
+        return tell(front, PlaybackStarted{id, elsewhere, 0s});
       case 5:
         return tell(
             front,
@@ -478,7 +479,7 @@
       case 6:
         return tell(front, request);
       case 7:
-        return tell(front, CarriedOver{request, elsewhere});
+        return tell(front, PlaybackAdopted{request, elsewhere});
       default:
         return tell(front, ProbeEnded{elsewhere, true, {value, value, value}});
     }
@@ -489,26 +490,26 @@
     auto& front = fronts_[static_cast<std::size_t>(number)];
     if (!front.alive)
       return;
-    const auto orders = front.brain->handle(now_ - front.began, event);
-    for (const auto& order : orders) {
-      obey(number, order);
+    const auto commands = front.policy->handle(now_ - front.began, event);
+    for (const auto& command : commands) {
+      obey(number, command);
       if (model_->broken() || !wrong_.empty())
         return;
     }
   }
-  void obey(int number, const Order& order) {
+  void obey(int number, const Command& command) {
     const int life = fronts_[static_cast<std::size_t>(number)].life;
-    if (const auto* o = std::get_if<SetTimer>(&order)) {
-      later(std::max<Span>(o->delay, 1us), [this, number, life, token = o->token] {
+    if (const auto* o = std::get_if<SetTimer>(&command)) {
+      later(std::max<Duration>(o->delay, 1us), [this, number, life, token = o->token] {
         const auto& front = fronts_[static_cast<std::size_t>(number)];
         if (front.alive && front.life == life)
-          tell(number, TimerRang{token});
+          tell(number, TimerExpired{token});
       });
-    } else if (const auto* o = std::get_if<SetUp>(&order)) {
+    } else if (const auto* o = std::get_if<SetUp>(&command)) {
       set_up(number, *o);
       if (shape_.bend == Bend::two_out && o->playback % 7 == 3)
         set_up(number, *o);
-    } else if (const auto* o = std::get_if<SetRung>(&order)) {
+    } else if (const auto* o = std::get_if<SetRung>(&command)) {
       said_.push_back("rung " + std::to_string(o->playback) + " " + std::to_string(o->rung));
       if (!playbacks_.contains(o->playback))
         return void(wrong_ = "a rung for a stranger");
@@ -518,11 +519,11 @@
       rung.what = What::rung;
       rung.rung = o->rung;
       step(rung);
-    } else if (const auto* o = std::get_if<Reject>(&order)) {
-      give_up(o->playback, What::rejected, o->come_back);
-    } else if (const auto* o = std::get_if<Abort>(&order)) {
+    } else if (const auto* o = std::get_if<Reject>(&command)) {
+      give_up(o->playback, What::rejected, o->retry_after);
+    } else if (const auto* o = std::get_if<Abort>(&command)) {
       give_up(o->playback, What::aborted, 0s);
-    } else if (const auto* o = std::get_if<Probe>(&order)) {
+    } else if (const auto* o = std::get_if<Probe>(&command)) {
       said_.push_back("probe " + std::to_string(o->server));
       const auto server = o->server;
       later(ms(2, 300), [this, number, life, server] {
@@ -535,7 +536,7 @@
       });
     }
   }
-  void give_up(PlaybackId id, What what, Span come_back) {
+  void give_up(PlaybackId id, What what, Duration come_back) {
     said_.push_back((what == What::rejected ? "reject " : "abort ") + std::to_string(id) + " " +
                     std::to_string(come_back.count()));
     if (!playbacks_.contains(id))
@@ -551,31 +552,31 @@
       step(answer);
     playback.over = true;
   }
-  void set_up(int number, const SetUp& order) {
-    said_.push_back("set up " + std::to_string(order.playback) + " on " + std::to_string(order.server) +
-                    " within " + std::to_string(order.time_limit.count()));
-    if (!playbacks_.contains(order.playback))
+  void set_up(int number, const SetUp& command) {
+    said_.push_back("set up " + std::to_string(command.playback) + " on " + std::to_string(command.server) +
+                    " within " + std::to_string(command.time_limit.count()));
+    if (!playbacks_.contains(command.playback))
       return void(wrong_ = "a set-up for a stranger");
-    auto& playback = playbacks_.at(order.playback);
-    if (std::find(playback.holders.begin(), playback.holders.end(), order.server) == playback.holders.end())
+    auto& playback = playbacks_.at(command.playback);
+    if (std::find(playback.holders.begin(), playback.holders.end(), command.server) == playback.holders.end())
       return void(wrong_ = "a set-up at a server that does not hold the title");
-    playback.server = static_cast<int>(order.server);
-    auto sent = of(order.playback);
+    playback.server = static_cast<int>(command.server);
+    auto sent = of(command.playback);
     sent.what = What::sent;
     step(sent);
     playback.out = true;
     const int attempt = ++playback.tries;
-    if (attempt > terms_.most_tries)
+    if (attempt > terms_.max_tries)
       return void(wrong_ = "more tries than are allowed");
-    const auto id = order.playback;
-    const auto ends = [this, id, attempt](Span in, Outcome outcome) {
+    const auto id = command.playback;
+    const auto ends = [this, id, attempt](Duration in, Outcome outcome) {
       later(in, [this, id, attempt, outcome] {
         if (playbacks_.at(id).tries == attempt)
           end(id, outcome, false);
       });
     };
-    const auto& server = servers_[order.server];
-    const Span limit = std::max<Span>(order.time_limit, 0us);
+    const auto& server = servers_[command.server];
+    const Duration limit = std::max<Duration>(command.time_limit, 0us);
     if (!server.up && !server.silent)
       return ends(ms(1, 60), Outcome::no_connection);
     if (!server.up)
@@ -591,7 +592,7 @@
       return ends(ms(1, 200), Outcome::reset);
     if (fate < 0.25)
       return ends(0s, Outcome::not_sent);
-    const Span takes = ms(5, odds(0.1) ? 1500 : 200);
+    const Duration takes = ms(5, odds(0.1) ? 1500 : 200);
     if (takes >= limit)
       return ends(limit, Outcome::late);
     later(takes, [this, number, id, attempt] {
@@ -602,8 +603,8 @@
       auto plays = of(id);
       plays.what = What::plays;
       step(plays);
-      tell(number, Started{id, static_cast<ServerId>(playing.server), 0s});
-      const Span lasts = ms(200, 12000);
+      tell(number, PlaybackStarted{id, static_cast<ServerId>(playing.server), 0s});
+      const Duration lasts = ms(200, 12000);
       later(lasts, [this, id, attempt] {
         if (playbacks_.at(id).tries == attempt)
           end(id, odds(0.8) ? Outcome::served : Outcome::reset, odds(0.9));
@@ -613,9 +614,10 @@
           const auto& of = playbacks_.at(id);
           if (!of.plays || of.over || !of.out)
             return;
-          tell(of.front, Note{id, static_cast<ServerId>(of.server), Note::About::share,
-                              odds(0.5) ? 1.0 : 0.4 + 0.6 * part()});
-          tell(of.front, Note{id, static_cast<ServerId>(of.server), Note::About::link_fill, 1.2 * part()});
+          tell(of.front, Measurement{id, static_cast<ServerId>(of.server), Measurement::Kind::share,
+                                     odds(0.5) ? 1.0 : 0.4 + 0.6 * part()});
+          tell(of.front,
+               Measurement{id, static_cast<ServerId>(of.server), Measurement::Kind::link_fill, 1.2 * part()});
         });
       }
     });
@@ -648,11 +650,11 @@
   Shape shape_;
   std::mt19937 chance_;
   int fronts_count_ = 0;
-  SiteTerms terms_;
+  PolicySettings terms_;
   std::unique_ptr<RulesModel> model_;
-  Span now_{0};
+  Duration now_{0};
   std::uint64_t sequence_ = 0;
-  std::map<std::pair<Span, std::uint64_t>, std::function<void()>> events_;
+  std::map<std::pair<Duration, std::uint64_t>, std::function<void()>> events_;
   std::vector<Server> servers_;
   std::vector<Front> fronts_;
   std::map<PlaybackId, Playback> playbacks_;
--- a/tests/program/runtime_test.cpp
+++ b/tests/program/runtime_test.cpp
@@ -25,7 +25,7 @@
 class Bounded : public Core {
  public:
   bool gave_up = false;
-  void handle(Span now, const IoEvent& what, std::vector<Action>& actions) final {
+  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) final {
     if (!began_)
       began_ = true, actions.push_back(WakeAt{limit});
     if (now >= limit) {
@@ -35,10 +35,10 @@
     }
     happened(now, what, actions);
   }
-  virtual void happened(Span now, const IoEvent& what, std::vector<Action>& actions) = 0;
+  virtual void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
 
  private:
-  static constexpr Span limit = 20s;
+  static constexpr Duration limit = 20s;
   bool began_ = false;
 };
 
@@ -49,7 +49,7 @@
   std::string sent, back;
   bool half_closed = false, refused = false, reset = false;
   Link server = 0;
-  void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     std::visit(Visit{
                    [&](const Woken&) {
                      if (sent.empty()) {
@@ -115,7 +115,7 @@
   std::size_t got = 0, got_while_held = 0;
   bool flushed_early = false, flushed = false;
   static constexpr std::size_t size = 32 * 1024 * 1024;
-  void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     std::visit(Visit{
                    [&](const Woken&) {
                      if (!dialled_)
@@ -152,7 +152,7 @@
 
  private:
   bool dialled_ = false, held_ = false;
-  Span resume_at_{0};
+  Duration resume_at_{0};
 };
 
 TEST(Runtime, AHeldReaderHoldsItsSender) {
@@ -185,7 +185,7 @@
   class Dialler : public Core {
    public:
     bool unable = false, woken = false;
-    void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+    void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true)) {
         actions.push_back(WakeAt{now + 50ms});
         actions.push_back(Dial{1, "box-1.example", 80});
@@ -202,7 +202,7 @@
 
    private:
     bool began_ = false;
-    Span due_{0};
+    Duration due_{0};
   };
   Dialler dialler;
   Loop loop(dialler, {}, {}, "");
@@ -217,7 +217,7 @@
    public:
     std::vector<Ending> ends;
     std::uint16_t nobody = 0;
-    void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true))
         actions.push_back(Dial{1, "127.0.0.1", nobody});
       const auto* ended = std::get_if<Ended>(&what);
@@ -262,7 +262,7 @@
    public:
     std::string order;
     std::function<void()> comes;
-    void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true))
         comes();
       if (std::holds_alternative<Received>(what)) {
@@ -307,7 +307,7 @@
   class Sleeper : public Core {
    public:
     int woken = 0, early = 0;
-    void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+    void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (std::holds_alternative<Woken>(what)) {
         if (at_ > 0s)
           ++woken, early += now < at_;
@@ -331,7 +331,7 @@
 
    private:
     static std::uint64_t in_millisecond() { return Loop::machine_clock_us() % 1000; }
-    Span at_{0};
+    Duration at_{0};
     int turn_ = 0;
   };
   Sleeper core;
@@ -346,8 +346,8 @@
   class Unread : public Bounded {
    public:
     std::uint16_t port = 0;
-    Span left_at{0};
-    void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+    Duration left_at{0};
+    void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(dialled_, true))
         actions.push_back(Dial{1, "127.0.0.1", port});
       if (std::holds_alternative<Connected>(what))
@@ -378,7 +378,7 @@
 class LastAnswer : public Bounded {
  public:
   static constexpr std::size_t size = 16 * 1024 * 1024;
-  void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
     const auto* asked = std::get_if<Received>(&what);
     if (!asked)
       return;
@@ -431,7 +431,7 @@
   static constexpr std::size_t size = 16 * 1024 * 1024;
   std::uint16_t port = 0;
   std::size_t came = 0;
-  void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+  void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     if (!std::exchange(dialled_, true))
       actions.push_back(Dial{1, "127.0.0.1", port});
     if (const auto* accepted = std::get_if<Accepted>(&what)) {
@@ -456,7 +456,7 @@
 
  private:
   bool dialled_ = false;
-  Span read_at_{0};
+  Duration read_at_{0};
 };
 
 TEST(Runtime, ASlowReaderGetsItsAnswerWhole) {
@@ -475,7 +475,7 @@
     std::uint16_t port = 0;
     std::string answer;
     bool stopped = false;
-    void happened(Span now, const IoEvent& what, std::vector<Action>& actions) override {
+    void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       // Links 1000 and up are the viewer's own.
       if (const auto* connected = std::get_if<Connected>(&what); connected && connected->link == 1000) {
         actions.push_back(Send{1000, "GET /a/t/r0/0 HTTP/1.1\r\nHost: x\r\n\r\n"});
@@ -502,7 +502,7 @@
   terms.site.plans.resize(1);
   terms.site.plans[0].startup_target = 500ms;
   terms.site.rung_kb = {10};
-  terms.site.longest_come_back = 2s;
+  terms.site.max_retry_after = 2s;
   terms.halls = {"h"};
   Viewer viewer;
   viewer.front = std::make_unique<manager::Manager>(terms, 1, "", nullptr);
@@ -518,7 +518,7 @@
   class Waiting : public Bounded {
    public:
     std::string path, text;
-    void happened(Span, const IoEvent& what, std::vector<Action>& actions) override {
+    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
       if (std::holds_alternative<Woken>(what)) {
         std::ofstream(path) << "the second";
         kill(getpid(), SIGHUP);
@@ -544,7 +544,7 @@
 TEST(Runtime, AHangupEndsWhoHasNoFileToReadAgain) {
   class Waiting : public Bounded {
    public:
-    void happened(Span, const IoEvent&, std::vector<Action>&) override { kill(getpid(), SIGHUP); }
+    void happened(Duration, const IoEvent&, std::vector<Action>&) override { kill(getpid(), SIGHUP); }
   };
   const auto run = [] {
     Waiting core;
--- a/tests/program/scripted.h
+++ b/tests/program/scripted.h
@@ -13,9 +13,9 @@
 
 class Script : public Decider {
  public:
-  using Says = std::function<std::vector<Order>(Span, const Event&)>;
+  using Says = std::function<std::vector<Command>(Duration, const Event&)>;
   Script(std::vector<Event>* told, Says says) : told_(told), says_(std::move(says)) {}
-  std::vector<Order> decide(Span now, const Event& event) override {
+  std::vector<Command> decide(Duration now, const Event& event) override {
     told_->push_back(event);
     return says_(now, event);
   }
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -18,10 +18,10 @@
 
 class Places : public Decider {
  public:
-  std::vector<Order> decide(Span, const Event& event) override {
+  std::vector<Command> decide(Duration, const Event& event) override {
     if (const auto* request = std::get_if<Request>(&event))
       return {SetRung{request->playback, 0}, violettide::SetUp{request->playback, 0, 2s}};
-    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->over)
+    if (const auto* ended = std::get_if<TryEnded>(&event); ended && !ended->playback_over)
       return {Abort{ended->playback}};
     return {};
   }
@@ -113,10 +113,10 @@
       terms.peers.push_back("m" + std::to_string(p));
     return static_cast<int>(entitlement::owner_of(terms, "red"));
   }
-  Span wall() const { return wall_at_zero + net.now(); }
-  std::string token(const std::string& who, Span lasts = 60s, int seats = 2) {
+  Duration wall() const { return wall_at_zero + net.now(); }
+  std::string token(const std::string& who, Duration lasts = 60s, int seats = 2) {
     return issuer.token(
-        {"jti" + std::to_string(++tokens), who, "red", seats, wall(), wall() + lasts, Span(0), {}, {}});
+        {"jti" + std::to_string(++tokens), who, "red", seats, wall(), wall() + lasts, Duration(0), {}, {}});
   }
   Link ask(int m, const std::string& sid, const std::string& with, int object = 0) {
     const Link link = next_link++;
@@ -129,7 +129,7 @@
     net.poke(viewer_host);
     return link;
   }
-  int status(Link link, Span within = 300ms) {
+  int status(Link link, Duration within = 300ms) {
     net.run(net.now() + within);
     const auto& got = viewer.peers[link].got;
     return got.size() > 12 ? std::stoi(got.substr(9)) : 0;
@@ -143,7 +143,7 @@
   Puppet box, list, keys, viewer;
   std::unique_ptr<Manager> fronts[managers];
   standins::Issuer issuer{"issuer", "hall"};
-  Span wall_at_zero = 1'000'000s;
+  Duration wall_at_zero = 1'000'000s;
   bool mute = false;
   int set_ups = 0, tokens = 0, wrong_key = -1;
   std::uint32_t restarts = 1;
@@ -171,11 +171,14 @@
 TEST_F(Hall, BadTokensTakeNoSeat) {
   EXPECT_EQ(get(0, "s1", ""), 401);
   EXPECT_EQ(get(0, "s1", "a.b.c"), 401);
-  EXPECT_EQ(get(0, "s1", issuer.forged({"j", "ann", "red", 2, wall(), wall() + 60s, Span(0), {}, {}})), 401);
-  EXPECT_EQ(get(0, "s1", issuer.token({"j", "ann", "red", 2, wall(), wall() - 10s, Span(0), {}, {}})), 401);
-  EXPECT_EQ(get(0, "s1", issuer.token({"j", "ann", "red", 2, wall(), wall() + 60s, Span(0), {"b"}, {}})),
+  EXPECT_EQ(get(0, "s1", issuer.forged({"j", "ann", "red", 2, wall(), wall() + 60s, Duration(0), {}, {}})),
+            401);
+  EXPECT_EQ(get(0, "s1", issuer.token({"j", "ann", "red", 2, wall(), wall() - 10s, Duration(0), {}, {}})),
+            401);
+  EXPECT_EQ(get(0, "s1", issuer.token({"j", "ann", "red", 2, wall(), wall() + 60s, Duration(0), {"b"}, {}})),
             403);
-  EXPECT_EQ(get(0, "s1", issuer.token({"k", "ann", "red", 0, wall(), wall() + 60s, Span(0), {}, {}})), 503);
+  EXPECT_EQ(get(0, "s1", issuer.token({"k", "ann", "red", 0, wall(), wall() + 60s, Duration(0), {}, {}})),
+            503);
   const auto replayed = token("ann");
   EXPECT_EQ(get(0, "s1", replayed), 200);
   EXPECT_EQ(get(0, "s2", replayed), 401) << "another session with the same token";
@@ -260,7 +263,7 @@
   std::map<int, int> counts;
   net.run(net.now() + 500ms);
   for (const auto link : all)
-    ++counts[status(link, Span(0))];
+    ++counts[status(link, Duration(0))];
   EXPECT_EQ(counts[200], 5);
   EXPECT_EQ(counts[503], 55);
   EXPECT_EQ(in_book(), 5u);
@@ -316,7 +319,7 @@
     const int m = static_cast<int>(chance() % managers);
     const auto sid = "s" + std::to_string(i);
     const auto shown =
-        token("v" + std::to_string(i), Span(2'000'000 + static_cast<int>(chance() % 3'000'000)), seats);
+        token("v" + std::to_string(i), Duration(2'000'000 + static_cast<int>(chance() % 3'000'000)), seats);
     asked.push_back(ask(m, sid, shown));
     if (chance() % 10 == 0)
       asked.push_back(ask((m + 1) % managers, sid, shown));  // the same viewer, impatient
@@ -334,13 +337,13 @@
     } else if (chance() % 30 == 0) {
       net.lost = {};
     }
-    net.run(net.now() + Span(static_cast<int>(chance() % 60'000)));
+    net.run(net.now() + Duration(static_cast<int>(chance() % 60'000)));
     ASSERT_LE(in_book(), static_cast<std::size_t>(seats)) << "after " << i;
   }
   net.lost = {};
   net.run(net.now() + 15s);
   for (const auto link : asked) {
-    const int answered = status(link, Span(0));
+    const int answered = status(link, Duration(0));
     plays += answered == 200;
     turned += answered == 503;
   }
--- a/tests/program/wheel_test.cpp
+++ b/tests/program/wheel_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_TRUE(rung.empty());
   wheel.advance(5ms, rung);
   EXPECT_EQ(rung, (std::vector{3, 4, 5}));
-  EXPECT_LE(*wheel.next(), Timers::Span(100s));
+  EXPECT_LE(*wheel.next(), Timers::Duration(100s));
   wheel.advance(100s, rung);
   EXPECT_EQ(rung.back(), 100);
   EXPECT_FALSE(wheel.next());
--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "benchlink/link.h"
-#include "brain.h"
+#include "policy/policy.h"
 
 using namespace violettide;
 
@@ -41,8 +41,8 @@
   int whole(const std::string& key, int otherwise = 0) const {
     return static_cast<int>(number(key, otherwise));
   }
-  Span ms(const std::string& key, double otherwise = 0) const {
-    return Span(static_cast<std::int64_t>(number(key, otherwise) * 1000));
+  Duration ms(const std::string& key, double otherwise = 0) const {
+    return Duration(static_cast<std::int64_t>(number(key, otherwise) * 1000));
   }
   std::vector<double> list(const std::string& key, std::vector<double> otherwise) const {
     if (!has(key))
@@ -61,36 +61,36 @@
   std::map<std::string, std::string> values_;
 };
 
-SiteTerms site(const Named& named) {
-  SiteTerms terms;
+PolicySettings site(const Named& named) {
+  PolicySettings terms;
   terms.rung_kb = named.list("rungs", {100, 200, 400});
   terms.rung_revenue = named.list("revenue", {0.4, 0.7, 1});
-  terms.kind_streams = named.list("streams", {30});
+  terms.streams_by_kind = named.list("streams", {30});
   terms.link_kb_per_weight = named.number("link", 2000);
   terms.uplink_kb = named.number("uplink");
   terms.racks = named.whole("racks", 1);
   terms.cells = named.whole("cells", 4);
   terms.switch_cost = named.ms("switch", 500);
-  terms.note_lag = named.ms("lag", 1000);
-  terms.fronts = named.whole("fronts", 1);
-  terms.own_number = named.whole("number");
-  terms.cold_time = named.ms("cold");
-  terms.cold_from = named.number("cold_from", 1);
+  terms.measurement_delay = named.ms("lag", 1000);
+  terms.front_count = named.whole("fronts", 1);
+  terms.front_index = named.whole("number");
+  terms.warmup_time = named.ms("cold");
+  terms.warmup_initial_share = named.number("cold_from", 1);
   terms.overload_multiple = named.number("multiple", 1);
-  terms.budget_window = named.ms("budget_window");
-  terms.budget_free = named.number("free");
-  terms.budget_share = named.number("share");
-  terms.most_tries = named.whole("tries", 5);
-  terms.longest_come_back = named.ms("come_back");
-  terms.may_probe = named.has("probe_price");
-  terms.probe_price = named.number("probe_price");
-  terms.list_on_request = named.has("ask");
-  terms.crossing_price = named.number("crossing");
+  terms.retry_budget_window = named.ms("budget_window");
+  terms.retry_budget_base = named.number("free");
+  terms.retry_budget_share = named.number("share");
+  terms.max_tries = named.whole("tries", 5);
+  terms.max_retry_after = named.ms("come_back");
+  terms.probes_enabled = named.has("probe_price");
+  terms.probe_cost = named.number("probe_price");
+  terms.list_needs_subscription = named.has("ask");
+  terms.cross_hall_cost = named.number("crossing");
   return terms;
 }
 
-PlanTerms plan(const Named& named) {
-  PlanTerms plan;
+PlanSettings plan(const Named& named) {
+  PlanSettings plan;
   plan.startup_target = named.ms("target", 1000);
   plan.pay_at_setup = named.has("paid");
   plan.revenue = named.number("revenue", 1);
@@ -100,20 +100,20 @@
   return plan;
 }
 
-std::string text_of(const Order& order) {
+std::string text_of(const Command& command) {
   std::ostringstream out;
-  if (const auto* o = std::get_if<SetUp>(&order))
+  if (const auto* o = std::get_if<SetUp>(&command))
     out << "setup " << o->playback << " on " << o->server << " within " << o->time_limit.count() / 1000;
-  if (const auto* o = std::get_if<SetRung>(&order))
+  if (const auto* o = std::get_if<SetRung>(&command))
     out << "rung " << o->playback << " " << o->rung;
-  if (const auto* o = std::get_if<Reject>(&order)) {
-    out << "reject " << o->playback << (o->come_back.count() > 0 ? " come back" : "");
+  if (const auto* o = std::get_if<Reject>(&command)) {
+    out << "reject " << o->playback << (o->retry_after.count() > 0 ? " come back" : "");
   }
-  if (const auto* o = std::get_if<Abort>(&order))
+  if (const auto* o = std::get_if<Abort>(&command))
     out << "abort " << o->playback;
-  if (const auto* o = std::get_if<Probe>(&order))
+  if (const auto* o = std::get_if<Probe>(&command))
     out << "probe " << o->server;
-  if (std::get_if<FollowList>(&order))
+  if (std::get_if<SubscribeServerList>(&command))
     out << "follow";
   return out.str();
 }
@@ -139,9 +139,9 @@
     else if (what == "count")
       assert(count(rest(words, 2)) == std::stoi(words.at(1)));
     else if (what == "stall")
-      now_ += Span(std::stoll(words.at(1)) * 1000);
+      now_ += Duration(std::stoll(words.at(1)) * 1000);
     else if (what == "pass")
-      pass(Span(std::stoll(words.at(1)) * 1000));
+      pass(Duration(std::stoll(words.at(1)) * 1000));
     else
       happen(event(words, named));
     if (what != "expect")
@@ -173,30 +173,30 @@
   }
 
   void hand(const Event& event) {
-    if (!brain_)
-      brain_.emplace(terms_, 1);
-    for (const auto& order : brain_->handle(now_, event)) {
-      if (const auto* timer = std::get_if<SetTimer>(&order))
+    if (!policy_)
+      policy_.emplace(terms_, 1);
+    for (const auto& command : policy_->handle(now_, event)) {
+      if (const auto* timer = std::get_if<SetTimer>(&command))
         timers_.emplace(now_ + timer->delay, timer->token);
       else
-        said_.push_back(text_of(order));
+        said_.push_back(text_of(command));
     }
   }
 
-  void pass(Span time) {
+  void pass(Duration time) {
     said_.clear();
-    const Span until = now_ + time;
+    const Duration until = now_ + time;
     while (!timers_.empty() && timers_.begin()->first <= until) {
       const auto [at, token] = *timers_.begin();
       timers_.erase(timers_.begin());
       now_ = std::max(now_, at);
-      hand(TimerRang{token});
+      hand(TimerExpired{token});
     }
     now_ = until;
   }
 
   // listed=1+4, or listed=none
-  static Holders listed(const Named& named) {
+  static HolderList listed(const Named& named) {
     std::vector<ServerId> ids;
     std::istringstream text(named.text("listed"));
     for (std::string id; std::getline(text, id, '+');) {
@@ -215,10 +215,10 @@
     if (named.has("length"))
       request.length = named.ms("length");
     request.first_cell = named.whole("first");
-    request.holders = named.whole("holders", 1);
+    request.cell_count = named.whole("holders", 1);
     request.top = named.whole("top", 2);
     if (named.has("listed"))
-      request.listed = listed(named);
+      request.listed_holders = listed(named);
     return request;
   }
 
@@ -230,37 +230,37 @@
     if (what == "servers" || what == "changes" || what == "cached")
       return list(words);
     if (what == "list_failed")
-      return ListFailed{};
+      return ServerListFailed{};
     if (what == "request")
       return request(words, named);
     if (what == "holders")
       return HoldersChanged{static_cast<PlaybackId>(std::stoul(words.at(1))), listed(named)};
     if (what == "carried")
-      return CarriedOver{request(words, named), on};
+      return PlaybackAdopted{request(words, named), on};
     if (what == "withdrawn")
-      return Withdrawn{first()};
+      return RequestCancelled{first()};
     if (what == "started")
-      return Started{first(), on, Span(0)};
+      return PlaybackStarted{first(), on, Duration(0)};
     if (what == "ended")
       return TryEnded{first(), on, outcomes.at(words.at(2)), named.has("over"), load};
     if (what == "probed")
       return ProbeEnded{first(), !named.has("silent"), load};
     assert(what == "note");
-    const auto about = named.has("share")  ? Note::About::share
-                       : named.has("rung") ? Note::About::rung
-                       : named.has("fill") ? Note::About::link_fill
-                                           : Note::About::uplink_fill;
+    const auto about = named.has("share")  ? Measurement::Kind::share
+                       : named.has("rung") ? Measurement::Kind::rung
+                       : named.has("fill") ? Measurement::Kind::link_fill
+                                           : Measurement::Kind::uplink_fill;
     const double value =
         named.number("share") + named.number("rung") + named.number("fill") + named.number("uplink");
-    return Note{first(), on, about, value};
+    return Measurement{first(), on, about, value};
   }
 
   // Entries like 2, 2:gone, 2:draining, 2:started=900 or 2:hall=1; a server's cell is its number.
   ServerList list(const Words& words) const {
     ServerList list;
-    list.reach = words.front() == "servers"   ? ServerList::Reach::complete
-                 : words.front() == "changes" ? ServerList::Reach::changes
-                                              : ServerList::Reach::cached;
+    list.kind = words.front() == "servers"   ? ServerList::Kind::complete
+                : words.front() == "changes" ? ServerList::Kind::changes
+                                             : ServerList::Kind::cached;
     for (std::size_t i = 1; i < words.size(); ++i) {
       const auto cut = words[i].find(':');
       const auto mark = cut == std::string::npos ? "" : words[i].substr(cut + 1);
@@ -268,22 +268,22 @@
       entry.server = static_cast<ServerId>(std::stoul(words[i]));
       entry.cell = static_cast<int>(entry.server);
       if (mark == "gone")
-        entry.standing = Standing::gone;
+        entry.state = ServerState::gone;
       if (mark == "draining")
-        entry.standing = Standing::draining;
+        entry.state = ServerState::draining;
       if (mark.starts_with("hall="))
         entry.hall = std::stoi(mark.substr(5));
       if (mark.starts_with("started="))
-        entry.started = Span(std::stoll(mark.substr(8)) * 1000);
+        entry.started = Duration(std::stoll(mark.substr(8)) * 1000);
       list.entries.push_back(entry);
     }
     return list;
   }
 
-  SiteTerms terms_;
-  std::optional<Brain> brain_;
-  Span now_{0};
-  std::multimap<Span, std::uint32_t> timers_;
+  PolicySettings terms_;
+  std::optional<Policy> policy_;
+  Duration now_{0};
+  std::multimap<Duration, std::uint32_t> timers_;
   std::vector<std::string> said_;
 };
 
