--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -9,7 +9,7 @@
 #include "hints/cmcd.h"
 #include "path.h"
 #include "policy/policy.h"
-#include "wheel/wheel.h"
+#include "timerwheel/timer_wheel.h"
 
 namespace violettide::bench {
 namespace {
@@ -36,15 +36,15 @@
 }
 
 void timers_wheel(benchmark::State& state) {
-  Wheel<std::uint32_t> wheel;
-  std::vector<Wheel<std::uint32_t>::Handle> handles(static_cast<std::size_t>(state.range(0)));
+  TimerWheel<std::uint32_t> wheel;
+  std::vector<TimerWheel<std::uint32_t>::Handle> handles(static_cast<std::size_t>(state.range(0)));
   std::vector<std::uint32_t> rung;
   churn(
       state,
       [&](std::size_t i, std::int64_t ms) {
-        handles[i] = wheel.arm(ms * 1ms, static_cast<std::uint32_t>(i));
+        handles[i] = wheel.schedule(ms * 1ms, static_cast<std::uint32_t>(i));
       },
-      [&](std::size_t i) { wheel.disarm(handles[i]); },
+      [&](std::size_t i) { wheel.cancel(handles[i]); },
       [&](std::int64_t ms) { rung.clear(), wheel.advance(ms * 1ms, rung); });
 }
 BENCHMARK(timers_wheel)->Arg(1000)->Arg(100000);
--- a/bench/hls.cpp
+++ b/bench/hls.cpp
@@ -120,7 +120,7 @@
         "{\"revision\":1,\"clock_ms\":1,\"boxes\":[{\"name\":\"b\",\"address\":\"127.0.0.1\",\"port\":1,"
         "\"state\":\"ready\",\"kind\":0,\"cell\":0,\"hall\":\"h\",\"weight\":1}]}",
         nullptr);
-    hand(Woken{});
+    hand(TimerFired{});
     lists_ = answer("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=100000\nr0/index.m3u8\n");
   }
 
@@ -132,7 +132,7 @@
     const double before = heap();
     auto from = Clock::now();
     for (std::size_t i = 0; i < players_; ++i) {
-      const Link link = first_accepted + static_cast<Link>(i);
+      const ConnectionId link = first_accepted + static_cast<ConnectionId>(i);
       hand(Accepted{link, 0});
       const auto text = ask(link, "/a/title-" + std::to_string(i % 10) + "/index.m3u8",
                             "CMCD-Session: sid=\"session-" + std::to_string(i) + "\"\r\n");
@@ -146,7 +146,7 @@
       list_ = answer(live(100 + round, window_));
       from = Clock::now();
       for (std::size_t i = 0; i < players_; ++i)
-        bytes += ask(first_accepted + static_cast<Link>(i), media_[i], "").size();
+        bytes += ask(first_accepted + static_cast<ConnectionId>(i), media_[i], "").size();
       reloads += since(from);
     }
     reloads /= static_cast<double>(players_ * rounds);
@@ -167,7 +167,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   void hand(const IoEvent& what) { front_->handle(now_, what, actions_); }
-  std::string ask(Link link, const std::string& target, const std::string& fields) {
+  std::string ask(ConnectionId link, const std::string& target, const std::string& fields) {
     const auto request = "GET " + target + " HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n";
     hand(Received{link, request});
     std::string got;
@@ -176,18 +176,18 @@
       doing.swap(actions_);
       for (auto& act : doing) {
         if (const auto* dial = std::get_if<Dial>(&act))
-          hand(Connected{dial->link});
+          hand(Connected{dial->connection});
         auto* send = std::get_if<Send>(&act);
         if (!send)
           continue;
-        if (send->link >= first_accepted) {
+        if (send->connection >= first_accepted) {
           got += send->bytes;
-          hand(Flushed{send->link});
+          hand(Flushed{send->connection});
         } else if (send->bytes.starts_with("HEAD")) {
-          hand(Received{send->link, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
+          hand(Received{send->connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
         } else {
           const bool media = send->bytes.find("/r0/") < send->bytes.find("\r\n");
-          hand(Received{send->link, media ? list_ : lists_});
+          hand(Received{send->connection, media ? list_ : lists_});
         }
       }
     }
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -33,10 +33,10 @@
     if (now >= look_at_) {
       look_at_ = now + 20ms;
       if (leave)
-        actions.push_back(Leave{});
+        actions.push_back(StopLoop{});
     }
-    if (std::holds_alternative<Woken>(what) || !woken_)
-      woken_ = true, actions.push_back(WakeAt{now + 20ms});
+    if (std::holds_alternative<TimerFired>(what) || !woken_)
+      woken_ = true, actions.push_back(StartTimer{now + 20ms});
   }
   virtual void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
 
@@ -51,28 +51,28 @@
   QuickBox(std::size_t bytes) : object_(bytes, 'v') {}
   std::uint16_t port = 0;
   void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    if (const auto* ended = std::get_if<Ended>(&what))
-      readers_.erase(ended->link);
+    if (const auto* ended = std::get_if<Disconnected>(&what))
+      readers_.erase(ended->connection);
     if (const auto* half = std::get_if<HalfClosed>(&what))
-      actions.push_back(Close{half->link, false}), readers_.erase(half->link);
+      actions.push_back(Close{half->connection, false}), readers_.erase(half->connection);
     const auto* received = std::get_if<Received>(&what);
     if (!received)
       return;
-    auto& reader = readers_[received->link];
+    auto& reader = readers_[received->connection];
     reader.push(received->bytes);
     while (auto request = reader.next()) {
       if (request->target == "/boxes") {
         const auto list = R"({"revision":1,"clock_ms":1,"boxes":[{"name":"b","address":"127.0.0.1","port":)" +
                           std::to_string(port) +
                           R"(,"state":"ready","kind":0,"cell":0,"hall":"h","weight":1}]})";
-        actions.push_back(Send{received->link, http::head_text(200, {}, list.size(), false) + list});
-        actions.push_back(Close{received->link, true});
-        readers_.erase(received->link);
+        actions.push_back(Send{received->connection, http::head_text(200, {}, list.size(), false) + list});
+        actions.push_back(Close{received->connection, true});
+        readers_.erase(received->connection);
         return;
       }
       const bool probe = request->method == "HEAD";
       actions.push_back(
-          Send{received->link,
+          Send{received->connection,
                http::head_text(200,
                                {{"Content-Type", "video/mp4"},
                                 {"CMSD-Static", "br=2400,d=1000,ot=v"},
@@ -84,7 +84,7 @@
 
  private:
   std::string object_;
-  std::unordered_map<Link, http::RequestReader> readers_;
+  std::unordered_map<ConnectionId, http::RequestReader> readers_;
 };
 
 // The same relay with no decisions in it: one box, kept connections, messages parsed and written alike.
@@ -92,17 +92,17 @@
  public:
   std::uint16_t box = 0;
   void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    std::visit(Visit{
-                   [&](const Accepted& a) { viewers_[a.link]; },
+    std::visit(Overloaded{
+                   [&](const Accepted& a) { viewers_[a.connection]; },
                    [&](const Connected& c) {
-                     auto& link = boxes_[c.link];
+                     auto& link = boxes_[c.connection];
                      link.connected = true;
-                     actions.push_back(Send{c.link, std::move(link.waiting)});
+                     actions.push_back(Send{c.connection, std::move(link.waiting)});
                    },
                    [&](const Received& r) {
-                     if (r.link >= first_accepted)
-                       return request(r.link, r.bytes, actions);
-                     auto& link = boxes_[r.link];
+                     if (r.connection >= first_accepted)
+                       return request(r.connection, r.bytes, actions);
+                     auto& link = boxes_[r.connection];
                      auto part = link.reader.push(r.bytes);
                      if (part.head) {
                        http::Fields fields;
@@ -117,12 +117,12 @@
                      if (!part.body.empty())
                        actions.push_back(Send{link.viewer, std::move(part.body)});
                      if (part.done)
-                       idle_.push_back(r.link);
+                       idle_.push_back(r.connection);
                    },
                    [&](const HalfClosed& h) {
-                     actions.push_back(Close{h.link, false}), viewers_.erase(h.link);
+                     actions.push_back(Close{h.connection, false}), viewers_.erase(h.connection);
                    },
-                   [&](const Ended& e) { viewers_.erase(e.link); },
+                   [&](const Disconnected& e) { viewers_.erase(e.connection); },
                    [&](const auto&) {},
                },
                what);
@@ -131,15 +131,15 @@
  private:
   struct BoxLink {
     http::ResponseReader reader;
-    Link viewer = 0;
+    ConnectionId viewer = 0;
     bool connected = false;
     std::string waiting;
   };
-  void request(Link viewer, std::string_view bytes, std::vector<Action>& actions) {
+  void request(ConnectionId viewer, std::string_view bytes, std::vector<Action>& actions) {
     auto& reader = viewers_[viewer];
     reader.push(bytes);
     while (auto request = reader.next()) {
-      Link to = 0;
+      ConnectionId to = 0;
       if (idle_.empty()) {
         to = next_++;
         actions.push_back(Dial{to, "127.0.0.1", box});
@@ -158,10 +158,10 @@
         link.waiting = std::move(text);
     }
   }
-  std::unordered_map<Link, http::RequestReader> viewers_;
-  std::unordered_map<Link, BoxLink> boxes_;
-  std::vector<Link> idle_;
-  Link next_ = 1;
+  std::unordered_map<ConnectionId, http::RequestReader> viewers_;
+  std::unordered_map<ConnectionId, BoxLink> boxes_;
+  std::vector<ConnectionId> idle_;
+  ConnectionId next_ = 1;
 };
 
 class Fronted : public Leaves {
@@ -183,15 +183,15 @@
   std::vector<double> times_us;
   std::size_t failed = 0;
   void handle(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    if (std::holds_alternative<Woken>(what) && links_.empty()) {
-      for (Link link = 1; link <= connections_; ++link)
+    if (std::holds_alternative<TimerFired>(what) && links_.empty()) {
+      for (ConnectionId link = 1; link <= connections_; ++link)
         links_[link], actions.push_back(Dial{link, "127.0.0.1", port_});
       return;
     }
     if (const auto* connected = std::get_if<Connected>(&what))
-      return ask(connected->link, actions);
+      return ask(connected->connection, actions);
     if (const auto* received = std::get_if<Received>(&what)) {
-      auto& peer = links_[received->link];
+      auto& peer = links_[received->connection];
       const auto part = peer.reader.push(received->bytes);
       if (part.head && part.head->status != 200)
         ++failed;
@@ -199,10 +199,10 @@
         return;
       times_us.push_back(
           std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - peer.sent).count());
-      return ask(received->link, actions);
+      return ask(received->connection, actions);
     }
-    if (std::holds_alternative<Ended>(what) || std::holds_alternative<HalfClosed>(what))
-      ++failed, actions.push_back(Leave{});
+    if (std::holds_alternative<Disconnected>(what) || std::holds_alternative<HalfClosed>(what))
+      ++failed, actions.push_back(StopLoop{});
   }
 
  private:
@@ -211,10 +211,10 @@
     std::chrono::steady_clock::time_point sent;
     std::size_t objects = 0;
   };
-  void ask(Link link, std::vector<Action>& actions) {
+  void ask(ConnectionId link, std::vector<Action>& actions) {
     if (left_ == 0) {
       if (--connections_ == 0)
-        actions.push_back(Leave{});
+        actions.push_back(StopLoop{});
       return;
     }
     --left_;
@@ -236,7 +236,7 @@
   }
   std::uint16_t port_;
   std::size_t connections_, left_;
-  std::unordered_map<Link, Peer> links_;
+  std::unordered_map<ConnectionId, Peer> links_;
 };
 
 manager::FrontTerms terms_for(std::size_t playbacks) {
@@ -279,8 +279,8 @@
   }
   std::unique_ptr<runtime::Loop> front_loop;
   if (front)
-    front_loop = std::make_unique<runtime::Loop>(*front, std::vector<runtime::Listening>{{"127.0.0.1", 0}},
-                                                 nullptr, "");
+    front_loop = std::make_unique<runtime::Loop>(
+        *front, std::vector<runtime::ListenAddress>{{"127.0.0.1", 0}}, nullptr, "");
   double front_cpu = 0;
   std::thread box_thread([&] { box_loop.run(); });
   std::thread front_thread([&] {
@@ -325,11 +325,11 @@
       nullptr);
   std::vector<Action> actions;
   Duration now = 1ms;
-  front.handle(now, Woken{}, actions);
+  front.handle(now, TimerFired{}, actions);
   const auto before = mallinfo2();
   const auto used_before = before.uordblks + before.hblkhd;
   for (std::size_t i = 0; i < playbacks; ++i) {
-    const auto viewer = first_accepted + static_cast<Link>(i);
+    const auto viewer = first_accepted + static_cast<ConnectionId>(i);
     actions.clear();
     front.handle(now, Accepted{viewer, 0}, actions);
     front.handle(now,
@@ -343,14 +343,16 @@
       doing.swap(actions);
       for (const auto& act : doing) {
         if (const auto* dial = std::get_if<Dial>(&act))
-          front.handle(now, Connected{dial->link}, actions);
+          front.handle(now, Connected{dial->connection}, actions);
         const auto* send = std::get_if<Send>(&act);
-        if (!send || send->link >= first_accepted)
+        if (!send || send->connection >= first_accepted)
           continue;
         if (send->bytes.starts_with("HEAD"))
-          front.handle(now, Received{send->link, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"}, actions);
+          front.handle(now, Received{send->connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
+                       actions);
         else
-          front.handle(now, Received{send->link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"}, actions);
+          front.handle(now, Received{send->connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"},
+                       actions);
       }
     }
   }
@@ -380,13 +382,13 @@
   front.catalogue().restore(1, all);
   std::vector<Action> actions;
   Duration now = 1ms;
-  front.handle(now, Woken{}, actions);
+  front.handle(now, TimerFired{}, actions);
   std::vector<double> times;
   catalogue::Revision kept = 1;
   for (std::size_t i = 0; i < playbacks + set_ups; ++i) {
     now += 100us;
     actions.clear();
-    const auto viewer = first_accepted + static_cast<Link>(2 * i);
+    const auto viewer = first_accepted + static_cast<ConnectionId>(2 * i);
     for (std::size_t c = 0; i >= playbacks && c < changes_each; ++c) {
       const auto title = "title-" + std::to_string((i * 31 + c) % titles);
       const auto control = viewer + 1;
@@ -397,8 +399,8 @@
                                          "/locations/b HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                                          std::to_string(body.size()) + "\r\n\r\n" + body},
                    actions);
-      front.handle(now, KeepDone{++kept, ""}, actions);
-      front.handle(now, Ended{control, Ending::finished}, actions);
+      front.handle(now, Persisted{++kept, ""}, actions);
+      front.handle(now, Disconnected{control, CloseReason::finished}, actions);
     }
     actions.clear();
     const auto from = std::chrono::steady_clock::now();
@@ -412,15 +414,17 @@
     doing.swap(actions);
     for (const auto& act : doing) {
       if (const auto* dial = std::get_if<Dial>(&act))
-        front.handle(now, Connected{dial->link}, actions);
+        front.handle(now, Connected{dial->connection}, actions);
     }
     for (const auto& act : doing) {
       const auto* dial = std::get_if<Dial>(&act);
       if (dial)
-        front.handle(now, Received{dial->link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"}, actions);
+        front.handle(now, Received{dial->connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"},
+                     actions);
       const auto* send = std::get_if<Send>(&act);
-      if (send && send->link < first_accepted)
-        front.handle(now, Received{send->link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"}, actions);
+      if (send && send->connection < first_accepted)
+        front.handle(now, Received{send->connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"},
+                     actions);
     }
     if (i >= playbacks)
       times.push_back(
--- a/src/cataloguestore/store.cpp
+++ b/src/cataloguestore/store.cpp
@@ -242,7 +242,7 @@
   return found;
 }
 
-std::string Store::keep(std::uint64_t revision, const std::string& changes, bool whole) {
+std::string Store::persist(std::uint64_t revision, const std::string& changes, bool whole) {
   auto cause = database_->put(revision, changes, whole);
   if (!cause.empty())
     return cause;
--- a/src/cataloguestore/store.h
+++ b/src/cataloguestore/store.h
@@ -21,7 +21,7 @@
   std::string told;  // what was damaged, what is missing, where it was put aside
 };
 
-class Store : public runtime::Disk {
+class Store : public runtime::Storage {
  public:
   // Opens or makes `folder`/catalogue.db. Throws Unusable.
   Store(const std::string& folder, std::size_t snapshot_every = 1000);
@@ -29,7 +29,7 @@
   // Hands the kept catalogue to a keeper. A damaged store goes back to its last good state, is put aside and
   // begun anew from there; what is missing is told.
   Found restore_to(catalogue::Keeper& keeper);
-  std::string keep(std::uint64_t revision, const std::string& changes, bool whole) override;
+  std::string persist(std::uint64_t revision, const std::string& changes, bool whole) override;
 
  private:
   class Database;
--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -121,7 +121,7 @@
     if (!began_) {
       began_ = true;
       actions.push_back(Dial{1, address, port});
-      actions.push_back(WakeAt{now + limit});
+      actions.push_back(StartTimer{now + limit});
       heard_ = now;
     }
     if (std::holds_alternative<Connected>(what))
@@ -137,16 +137,16 @@
       if (!part.done)
         return;
       const bool on = take(status_, std::exchange(body_, {}));
-      return on ? ask(actions) : actions.push_back(Leave{});
+      return on ? ask(actions) : actions.push_back(StopLoop{});
     }
-    if (std::holds_alternative<Ended>(what) || std::holds_alternative<HalfClosed>(what))
+    if (std::holds_alternative<Disconnected>(what) || std::holds_alternative<HalfClosed>(what))
       return end("no connection to " + address + ":" + std::to_string(port), actions);
-    if (std::holds_alternative<StopAsked>(what))
+    if (std::holds_alternative<ShutdownRequested>(what))
       return end("stopped", actions);
-    if (std::holds_alternative<Woken>(what) && now - heard_ >= limit)
+    if (std::holds_alternative<TimerFired>(what) && now - heard_ >= limit)
       return end("no answer within a minute", actions);
-    if (std::holds_alternative<Woken>(what))
-      actions.push_back(WakeAt{heard_ + limit});
+    if (std::holds_alternative<TimerFired>(what))
+      actions.push_back(StartTimer{heard_ + limit});
   }
 
  private:
@@ -154,7 +154,7 @@
   void ask(std::vector<Action>& actions) {
     const auto one = next();
     if (!one)
-      return actions.push_back(Leave{});
+      return actions.push_back(StopLoop{});
     reader_.expect(false);
     http::Fields fields{{"Host", address},
                         {"Content-Type", "application/json"},
@@ -163,7 +163,7 @@
   }
   void end(std::string cause, std::vector<Action>& actions) {
     failed = std::move(cause);
-    actions.push_back(Leave{});
+    actions.push_back(StopLoop{});
   }
   http::ResponseReader reader_;
   bool began_ = false;
@@ -194,7 +194,7 @@
   } catch (const Unreadable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
     return 1;
-  } catch (const runtime::Failed& failed) {
+  } catch (const runtime::LoopError& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
     return 2;
   }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "seams/seams.h"
+#include "io/io.h"
 
 namespace violettide::cli {
 
@@ -47,7 +47,7 @@
 };
 int run_audit(const AuditWords& words);
 // One JSON object a line: time, who, event, and the event's typed fields; without a file on standard error.
-std::function<void(Duration, const Say&)> log_to(const std::string& file, const std::string& who);
+std::function<void(Duration, const LogLine&)> log_to(const std::string& file, const std::string& who);
 int run_check(const std::string& file);
 int run_platform();  // told by GW_NAME, GW_LISTEN and GW_CONFIG
 
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -51,9 +51,9 @@
     const auto name = terms.name;
     platform::Platform core(std::move(terms), nullptr);
     runtime::Loop loop(core, {{place.address, place.port}}, log_to("", name), "");
-    loop.reread(path);
+    loop.reload_on_sighup(path);
     loop.run();
-  } catch (const runtime::Failed& failed) {
+  } catch (const runtime::LoopError& failed) {
     return wrong(failed.what);
   }
   return 0;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-std::function<void(Duration, const Say&)> log_to(const std::string& file, const std::string& who) {
+std::function<void(Duration, const LogLine&)> log_to(const std::string& file, const std::string& who) {
   auto logger =
       file.empty()
           ? std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_mt>())
           : std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::basic_file_sink_mt>(file));
   logger->set_pattern("%v");
   logger->flush_on(spdlog::level::warn);
-  return [logger, who](Duration now, const Say& said) {
+  return [logger, who](Duration now, const LogLine& said) {
     nlohmann::ordered_json line{
         {"t", static_cast<double>(now.count()) / 1e6}, {"who", who}, {"event", said.event}};
     for (const auto& [name, value] : said.fields)
@@ -103,7 +103,7 @@
 int guarded(Run run) {
   try {
     return run();
-  } catch (const runtime::Failed& failed) {
+  } catch (const runtime::LoopError& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const trace::Failed& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
@@ -141,17 +141,17 @@
 namespace {
 
 // Two books on one disk thread: the catalogue's and the seats', told apart by their tickets.
-class Books : public runtime::Disk {
+class Books : public runtime::Storage {
  public:
-  Books(runtime::Disk* catalogue, runtime::Disk* seats) : catalogue_(catalogue), seats_(seats) {}
-  std::string keep(std::uint64_t ticket, const std::string& bytes, bool whole) override {
-    auto* book = ticket >= seat_tickets ? seats_ : catalogue_;
-    return book ? book->keep(ticket, bytes, whole) : "";
+  Books(runtime::Storage* catalogue, runtime::Storage* seats) : catalogue_(catalogue), seats_(seats) {}
+  std::string persist(std::uint64_t ticket, const std::string& bytes, bool whole) override {
+    auto* book = ticket >= first_seat_ticket ? seats_ : catalogue_;
+    return book ? book->persist(ticket, bytes, whole) : "";
   }
 
  private:
-  runtime::Disk* catalogue_;
-  runtime::Disk* seats_;
+  runtime::Storage* catalogue_;
+  runtime::Storage* seats_;
 };
 
 // The managers of the hall by words in place of the settings', this one's place among them, and their key.
@@ -307,15 +307,15 @@
       front.entitlement.restart = seats->restart();
       front.entitlement.kept = present;
       seats->begin_with(present);
-      log(Duration(0), Say{"seats_restored",
-                           {{"records", static_cast<std::int64_t>(present.size())},
-                            {"start", static_cast<std::int64_t>(seats->restart())}}});
+      log(Duration(0), LogLine{"seats_restored",
+                               {{"records", static_cast<std::int64_t>(present.size())},
+                                {"start", static_cast<std::int64_t>(seats->restart())}}});
     }
     // Guards against managers that were started alike drawing alike.
     const auto seed = words.seed ? *words.seed : drawn_seed();
-    log(Duration(0), Say{"seeded", {{"seed", std::to_string(seed)}}});
+    log(Duration(0), LogLine{"seeded", {{"seed", std::to_string(seed)}}});
     manager::Manager manager(front, seed, kept, nullptr);
-    std::vector<runtime::Listening> doors{{deployment.listen_address, deployment.listen_port}};
+    std::vector<runtime::ListenAddress> doors{{deployment.listen_address, deployment.listen_port}};
     std::unique_ptr<cataloguestore::Store> store;
     if (front.catalogued) {
       doors.push_back({deployment.control_address, deployment.control_port});
@@ -323,8 +323,8 @@
         store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
         const auto found = store->restore_to(manager.catalogue());
         log(Duration(0),
-            Say{"catalogue_restored",
-                {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
+            LogLine{"catalogue_restored",
+                    {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
         if (found.damaged)
           std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
       }
@@ -402,7 +402,7 @@
   return guarded([&] {
     TraceFile trace(words.folder, "boxes.trace");
     Later later;
-    std::vector<runtime::Listening> doors(day.boxes.size(), {"127.0.0.1", 0});
+    std::vector<runtime::ListenAddress> doors(day.boxes.size(), {"127.0.0.1", 0});
     doors.push_back({"127.0.0.1", day.deployment.front.list_port});
     if (day.deployment.front.catalogued)
       doors.push_back({"127.0.0.1", day.deployment.front.feed_port});
--- a/src/entitlement/seatlog/seatlog.cpp
+++ b/src/entitlement/seatlog/seatlog.cpp
@@ -102,7 +102,7 @@
 }
 
 // `bytes`: records, each behind its length, as one manager's step made them.
-std::string SeatLog::keep(std::uint64_t, const std::string& bytes, bool) {
+std::string SeatLog::persist(std::uint64_t, const std::string& bytes, bool) {
   try {
     database_->run("BEGIN IMMEDIATE");
     std::string failed;
--- a/src/entitlement/seatlog/seatlog.h
+++ b/src/entitlement/seatlog/seatlog.h
@@ -11,7 +11,7 @@
 
 namespace violettide::entitlement {
 
-class SeatLog : public runtime::Disk {
+class SeatLog : public runtime::Storage {
  public:
   struct Unusable {
     std::string what;
@@ -25,7 +25,7 @@
   static std::vector<Record> look(const std::string& folder);
   // In place of all records, once a ledger was made of them.
   void begin_with(const std::vector<Record>& records);
-  std::string keep(std::uint64_t ticket, const std::string& bytes, bool whole) override;
+  std::string persist(std::uint64_t ticket, const std::string& bytes, bool whole) override;
 
  private:
   class Database;
--- a/src/manager/catalogue_door.cpp
+++ b/src/manager/catalogue_door.cpp
@@ -21,7 +21,7 @@
 // ---- the resource ----
 
 void Manager::control_requests(Control& control) {
-  const Link link = control.link;
+  const ConnectionId link = control.link;
   while (!control.busy) {
     auto request = control.reader.next();
     if (!request) {
@@ -59,10 +59,10 @@
 }
 
 void Manager::control_reply(Control& control, const cataloguewire::Reply& reply) {
-  const Link link = control.link;
+  const ConnectionId link = control.link;
   control.busy = false;
   control.feed_after.reset();
-  bells_.disarm(control.wait);
+  bells_.cancel(control.wait);
   actions_->push_back(Send{
       link,
       http::head_text(reply.status, reply.fields, reply.body.size(), !control.close_after) + reply.body});
@@ -72,11 +72,11 @@
   controls_.erase(link);
 }
 
-void Manager::control_gone(Link link) {
+void Manager::control_gone(ConnectionId link) {
   const auto found = controls_.find(link);
   if (found == controls_.end())
     return;
-  bells_.disarm(found->second->wait);
+  bells_.cancel(found->second->wait);
   actions_->push_back(Close{link, false});
   controls_.erase(found);
 }
@@ -93,17 +93,18 @@
 void Manager::keeper_did(std::vector<catalogue::KeeperAct> actions) {
   for (auto& act : actions) {
     std::visit(
-        Visit{
+        Overloaded{
             [this](const catalogue::Answer& a) {
-              const auto found = controls_.find(static_cast<Link>(a.ticket));
+              const auto found = controls_.find(static_cast<ConnectionId>(a.ticket));
               if (found == controls_.end() || !found->second->busy)
                 return;  // its asker is gone; the change stands
               control_reply(*found->second, cataloguewire::reply_to(a));
-              if (const auto still = controls_.find(static_cast<Link>(a.ticket)); still != controls_.end())
+              if (const auto still = controls_.find(static_cast<ConnectionId>(a.ticket));
+                  still != controls_.end())
                 control_requests(*still->second);
             },
             [this](const catalogue::ToKeep& a) {
-              actions_->push_back(Keep{a.revision, cataloguewire::text_of(a.changes), a.whole});
+              actions_->push_back(Persist{a.revision, cataloguewire::text_of(a.changes), a.whole});
             },
             [this](const catalogue::Changed& a) {
               say("catalogue_changed", {{"revision", static_cast<std::int64_t>(keeper_.present()->revision)},
@@ -123,17 +124,17 @@
   }
 }
 
-void Manager::on(const KeepDone& what) {
-  if (what.ticket >= seat_tickets)
+void Manager::on(const Persisted& what) {
+  if (what.ticket >= first_seat_ticket)
     return seats_kept(what);
-  if (!what.failed.empty())
-    say("catalogue_not_kept", {{"revision", static_cast<std::int64_t>(what.ticket)}, {"cause", what.failed}});
+  if (!what.error.empty())
+    say("catalogue_not_kept", {{"revision", static_cast<std::int64_t>(what.ticket)}, {"cause", what.error}});
   keeper_did(keeper_.handle(
-      catalogue::Kept{what.ticket, what.failed.empty() ? std::nullopt : std::optional(what.failed)}));
+      catalogue::Kept{what.ticket, what.error.empty() ? std::nullopt : std::optional(what.error)}));
 }
 
 void Manager::wake_feeds() {
-  std::vector<Link> waiting;
+  std::vector<ConnectionId> waiting;
   for (const auto& [link, control] : controls_) {
     if (control->feed_after)
       waiting.push_back(link);
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -395,7 +395,7 @@
   const bool whole = link.keep_alive;
   if (link.use != Use::set_up)
     return box_failed(link, Outcome::error);
-  const Link id = link.link;
+  const ConnectionId id = link.link;
   try_failed(link, Outcome::error, {{"cause", cause}});
   if (boxes_.contains(id) && whole)
     release(link, true);
@@ -433,7 +433,7 @@
   if (playback.objects_out > 0)
     --playback.objects_out;
   rest(playback);
-  const Link waiting = link.viewer;
+  const ConnectionId waiting = link.viewer;
   release(link, true);
   if (const auto still = viewers_.find(waiting); still != viewers_.end())
     answer_list(*still->second, playback, std::get<std::string>(made));
--- a/src/manager/inside.h
+++ b/src/manager/inside.h
@@ -14,7 +14,7 @@
   bool pass_expired = false, delta = false, blocks = false;
   std::string place;  // at the box, of what is no plain object
   int fill_rung = 0;  // of the media playlist that fills the one asked for
-  Link link = 0;
+  ConnectionId link = 0;
   http::RequestReader reader;
   http::Request request;
   hints::ReadCmcd hints;
@@ -22,7 +22,7 @@
   std::string token;  // entitlement, as shown
   std::string trace;  // W3C trace context, passed on as it came
   std::optional<PlaybackId> playback;
-  Link box = 0;  // the link its object comes by
+  ConnectionId box = 0;  // the link its object comes by
   bool busy = false, waits = false, head_sent = false, chunked = false;
   bool close_after = false, half_closed = false, reading_held = false;
   bool retried = false;  // on another connection, after a kept one had died
@@ -32,7 +32,7 @@
 };
 
 struct Manager::BoxLink {
-  Link link = 0;
+  ConnectionId link = 0;
   ServerId server = 0;
   Use use = Use::idle;
   bool connected = false, kept = false;  // kept: it served another request before
@@ -42,7 +42,7 @@
   std::string waiting;      // the request, until it is connected
   http::ResponseReader reader;
   std::optional<PlaybackId> playback;
-  Link viewer = 0;
+  ConnectionId viewer = 0;
   Bells::Handle limit, connect;
   Duration asked_at{0}, head_at{0}, measured_at{0};
   int rung = 0, status = 0;
@@ -82,8 +82,8 @@
   int rung = 0;
   int tries = 0;
   Duration asked_at{0};
-  std::vector<Link> askers;  // viewers' links that wait for the set-up
-  Link try_link = 0;
+  std::vector<ConnectionId> askers;  // viewers' links that wait for the set-up
+  ConnectionId try_link = 0;
   bool last_late = false;
   std::size_t objects_out = 0;
   Duration buffered{0};
@@ -97,7 +97,7 @@
 
 // A connection of an operator, a tool or another front's feed.
 struct Manager::Control {
-  Link link = 0;
+  ConnectionId link = 0;
   http::RequestReader reader;
   bool busy = false, close_after = false;
   std::optional<catalogue::Revision> feed_after;  // waits for news behind it
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -22,7 +22,7 @@
 constexpr Duration measure_every{1'000'000};
 constexpr Duration least_measured{5'000};  // shorter deliveries measure the loopback, not the box
 constexpr double kbit_per_kb = 8;
-constexpr Link peer_links = 1u << 30;  // links to other managers are numbered from there
+constexpr ConnectionId peer_links = 1u << 30;  // links to other managers are numbered from there
 
 double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 Duration part_of(Duration span, double part) {
@@ -75,11 +75,11 @@
 Manager::~Manager() = default;
 
 Held Manager::held() const {
-  return {viewers_.size(), boxes_.size(), playbacks_.size(), bells_.armed(), parted_.size(), lists_bytes_};
+  return {viewers_.size(), boxes_.size(), playbacks_.size(), bells_.pending(), parted_.size(), lists_bytes_};
 }
 
-void Manager::say(std::string event, std::vector<Field> fields) {
-  actions_->push_back(Say{std::move(event), std::move(fields)});
+void Manager::say(std::string event, std::vector<LogField> fields) {
+  actions_->push_back(LogLine{std::move(event), std::move(fields)});
 }
 
 void Manager::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
@@ -104,7 +104,7 @@
   const auto next = bells_.next();
   if (next && (!wake_at_ || *wake_at_ <= now_ || *next < *wake_at_)) {
     wake_at_ = std::max(*next, now_ + std::chrono::milliseconds(1));
-    actions.push_back(WakeAt{*wake_at_});
+    actions.push_back(StartTimer{*wake_at_});
   }
 }
 
@@ -186,7 +186,7 @@
       return drop_viewer(bell.of, true);
     case Ring::stop:
       answer_all();
-      actions_->push_back(Leave{});
+      actions_->push_back(StopLoop{});
       return;
   }
 }
@@ -194,51 +194,51 @@
 // ---- viewers ----
 
 void Manager::on(const Accepted& what) {
-  if (peers_ && what.door == terms_.peer_door)
-    return peers_->accepted(now_, what.link, *actions_);
-  if (what.door != 0) {
+  if (peers_ && what.listener == terms_.peer_door)
+    return peers_->accepted(now_, what.connection, *actions_);
+  if (what.listener != 0) {
     auto control = std::make_unique<Control>();
-    control->link = what.link;
+    control->link = what.connection;
     // Batches of a bulk load are longer than anything that a viewer may send.
     http::Limits limits = terms_.http;
     limits.request_body = most_batch;
     control->reader = http::RequestReader(limits);
-    controls_.emplace(what.link, std::move(control));
+    controls_.emplace(what.connection, std::move(control));
     return;
   }
   // Guards against more connections than this front has memory for; those it has keep what they hold.
   if (viewers_.size() >= terms_.viewer_links || stopping_) {
-    actions_->push_back(Send{what.link, http::head_text(503, come_back_soon(), 0, false)});
-    actions_->push_back(Close{what.link, true});
+    actions_->push_back(Send{what.connection, http::head_text(503, come_back_soon(), 0, false)});
+    actions_->push_back(Close{what.connection, true});
     say("viewer_turned_away", {{"cause", std::string(stopping_ ? "stopping" : "connections")}});
     return;
   }
   auto viewer = std::make_unique<ViewerLink>();
-  viewer->link = what.link;
+  viewer->link = what.connection;
   viewer->reader = http::RequestReader(terms_.http);
-  viewers_.emplace(what.link, std::move(viewer));
+  viewers_.emplace(what.connection, std::move(viewer));
 }
 
 void Manager::on(const Received& what) {
-  if (peer_link(what.link))
-    return peers_said(peers_->received(what.link, what.bytes, *actions_));
-  if (what.link >= first_accepted) {
-    if (const auto control = controls_.find(what.link); control != controls_.end()) {
+  if (peer_link(what.connection))
+    return peers_said(peers_->received(what.connection, what.bytes, *actions_));
+  if (what.connection >= first_accepted) {
+    if (const auto control = controls_.find(what.connection); control != controls_.end()) {
       control->second->reader.push(what.bytes);
       return control_requests(*control->second);
     }
-    const auto found = viewers_.find(what.link);
+    const auto found = viewers_.find(what.connection);
     if (found == viewers_.end())
       return;  // hung up on already
     auto& viewer = *found->second;
     viewer.reader.push(what.bytes);
     if (viewer.busy && viewer.reader.unread() > most_pipelined && !viewer.reading_held) {
       viewer.reading_held = true;
-      actions_->push_back(Hold{what.link});
+      actions_->push_back(PauseReading{what.connection});
     }
     return take_requests(viewer);
   }
-  const auto found = boxes_.find(what.link);
+  const auto found = boxes_.find(what.connection);
   if (found == boxes_.end())
     return;  // an answer after its cancel
   auto& link = *found->second;
@@ -246,7 +246,7 @@
 }
 
 void Manager::take_requests(ViewerLink& viewer) {
-  const Link link = viewer.link;
+  const ConnectionId link = viewer.link;
   while (!viewer.busy) {
     if (auto request = viewer.reader.next()) {
       serve(viewer, std::move(*request));
@@ -463,7 +463,7 @@
     return drop_viewer(viewer.link, false);
   if (viewer.reading_held) {
     viewer.reading_held = false;
-    actions_->push_back(Resume{viewer.link});
+    actions_->push_back(ResumeReading{viewer.link});
   }
   // What was pipelined behind it is read when all that this happening brought is done, so that a
   // playback is never taken apart while it is being served.
@@ -471,17 +471,17 @@
     reread_.insert(viewer.link);
 }
 
-void Manager::drop_viewer(Link link, bool reset) {
+void Manager::drop_viewer(ConnectionId link, bool reset) {
   const auto found = viewers_.find(link);
   if (found == viewers_.end())
     return;
   const auto viewer = std::move(found->second);
   viewers_.erase(found);
-  bells_.disarm(viewer->stuck);
+  bells_.cancel(viewer->stuck);
   actions_->push_back(Close{link, !reset});
   viewer_gone(*viewer);
   if (stopping_ && viewers_.empty())
-    actions_->push_back(Leave{});
+    actions_->push_back(StopLoop{});
 }
 
 // The viewer's connection is no more; what it waited for is withdrawn, what it was sent is let go.
@@ -531,15 +531,15 @@
 }
 
 void Manager::on(const HalfClosed& what) {
-  if (peer_link(what.link)) {
-    actions_->push_back(Close{what.link, false});
-    return peers_->ended(now_, what.link);
+  if (peer_link(what.connection)) {
+    actions_->push_back(Close{what.connection, false});
+    return peers_->ended(now_, what.connection);
   }
-  if (what.link < first_accepted)
-    return on(Ended{what.link, Ending::finished});
-  if (controls_.contains(what.link))
-    return control_gone(what.link);
-  const auto found = viewers_.find(what.link);
+  if (what.connection < first_accepted)
+    return on(Disconnected{what.connection, CloseReason::finished});
+  if (controls_.contains(what.connection))
+    return control_gone(what.connection);
+  const auto found = viewers_.find(what.connection);
   if (found == viewers_.end())
     return;
   // A peer that closed and one that only writes no more look alike: what it asked is answered still.
@@ -549,17 +549,17 @@
 }
 
 void Manager::on(const Flushed& what) {
-  const auto found = viewers_.find(what.link);
+  const auto found = viewers_.find(what.connection);
   if (found == viewers_.end())
     return;
   auto& viewer = *found->second;
   viewer.unsent = 0;
-  bells_.disarm(viewer.stuck);
+  bells_.cancel(viewer.stuck);
   const auto box = boxes_.find(viewer.box);
   if (box == boxes_.end() || !box->second->held)
     return;
   box->second->held = false;
-  actions_->push_back(Resume{viewer.box});
+  actions_->push_back(ResumeReading{viewer.box});
 }
 
 void Manager::send_to_viewer(ViewerLink& viewer, std::string bytes) {
@@ -573,7 +573,7 @@
     return;
   auto& box = *found->second;
   box.held = box.held_since_measure = true;
-  actions_->push_back(Hold{box.link});
+  actions_->push_back(PauseReading{box.link});
   viewer.stuck =
       arm(stuck_abandons * terms_.plans[viewer.path.plan].abandon, Ring::viewer_stuck, viewer.link);
 }
@@ -656,8 +656,8 @@
   if (found == playbacks_.end())
     return;
   auto& playback = *found->second;
-  bells_.disarm(playback.abandon);
-  bells_.disarm(playback.silence);
+  bells_.cancel(playback.abandon);
+  bells_.cancel(playback.silence);
   wait_for_keys_.erase(id);
   const auto seat = playback.seat;
   if (playback.recording) {
@@ -692,7 +692,7 @@
 
 // Nothing of it is under way: over after a silence that its buffer can't explain.
 void Manager::rest(Playback& playback) {
-  bells_.disarm(playback.silence);
+  bells_.cancel(playback.silence);
   if (playback.objects_out > 0)
     return;
   const Duration silence = playback.hls
@@ -769,12 +769,12 @@
 }
 
 void Manager::on(const Connected& what) {
-  const auto found = boxes_.find(what.link);
+  const auto found = boxes_.find(what.connection);
   if (found == boxes_.end())
     return;
   auto& link = *found->second;
   link.connected = true;
-  bells_.disarm(link.connect);
+  bells_.cancel(link.connect);
   actions_->push_back(Send{link.link, std::move(link.waiting)});
   link.waiting.clear();
 }
@@ -820,7 +820,7 @@
 
 // A later object of a playback that plays.
 void Manager::fetch(ViewerLink& viewer, Playback& playback) {
-  bells_.disarm(playback.silence);
+  bells_.cancel(playback.silence);
   if (const auto& buffer = viewer.hints.hints.buffer_length)
     playback.buffered = std::chrono::milliseconds(std::min<std::int64_t>(*buffer, 60'000));
   ++playback.objects_out;
@@ -847,7 +847,7 @@
 }
 
 void Manager::from_box(BoxLink& link, http::ResponseReader::Part part) {
-  const Link id = link.link;
+  const ConnectionId id = link.link;
   if (part.fault && !part.head && !part.done) {
     say("box_malformed", {{"box", link.use == Use::list   ? std::string("list")
                                   : link.use == Use::feed ? std::string("feed")
@@ -952,7 +952,7 @@
 
 // What a box's answer to a set-up try means.
 void Manager::try_head(BoxLink& link, const http::ResponseHead& head) {
-  bells_.disarm(link.limit);
+  bells_.cancel(link.limit);
   const auto found = playbacks_.find(*link.playback);
   if (found == playbacks_.end())
     return hang_box(link.link);
@@ -970,12 +970,12 @@
   playback.try_link = 0;
   link.use = Use::object;
   playback.playing = true;
-  bells_.disarm(playback.abandon);
+  bells_.cancel(playback.abandon);
   if (playback.recording) {
     if (auto asking = asking_.find(*playback.recording); asking != asking_.end())
       asking->second.erase(playback.id);
   }
-  bells_.disarm(link.limit);
+  bells_.cancel(link.limit);
   link.limit = arm(terms_.plans[playback.plan].abandon, Ring::box_limit, link.link);
   say("playback_plays", {{"playback", said_id(playback.id)},
                          {"box", list_.box(link.server).name},
@@ -1006,10 +1006,10 @@
   }
 }
 
-void Manager::try_failed(BoxLink& link, Outcome outcome, std::vector<Field> more) {
+void Manager::try_failed(BoxLink& link, Outcome outcome, std::vector<LogField> more) {
   auto& playback = *playbacks_.at(*link.playback);
   playback.try_link = 0;
-  std::vector<Field> fields{{"playback", said_id(playback.id)}, {"box", list_.box(link.server).name}};
+  std::vector<LogField> fields{{"playback", said_id(playback.id)}, {"box", list_.box(link.server).name}};
   fields.insert(fields.end(), more.begin(), more.end());
   say("try_ended", std::move(fields));
   if (const auto viewer = viewers_.find(link.viewer); viewer != viewers_.end())
@@ -1019,7 +1019,7 @@
   link.collects = false;
   link.use = Use::probe;  // the rest of its answer is read and let go
   link.head_seen = true;
-  bells_.disarm(link.limit);
+  bells_.cancel(link.limit);
   link.limit = arm(terms_.probe_limit, Ring::box_limit, link.link);
   tell(TryEnded{playback.id, link.server, outcome, false, {}});
 }
@@ -1046,7 +1046,7 @@
 }
 
 void Manager::object_part(BoxLink& link, http::ResponseReader::Part& part) {
-  const Link id = link.link;
+  const ConnectionId id = link.link;
   link.bytes += part.body.size();
   const auto found = viewers_.find(link.viewer);
   if (found != viewers_.end()) {
@@ -1059,7 +1059,7 @@
   if (!part.done) {
     if (part.body.empty())
       return;
-    bells_.disarm(link.limit);
+    bells_.cancel(link.limit);
     const auto playback = playbacks_.find(*link.playback);
     const int plan = playback == playbacks_.end() ? 0 : playback->second->plan;
     link.limit = arm(terms_.plans[plan].abandon, Ring::box_limit, id);
@@ -1073,7 +1073,7 @@
       --playback->second->objects_out;
     rest(*playback->second);
   }
-  const Link viewer = link.viewer;
+  const ConnectionId viewer = link.viewer;
   release(link, true);
   if (const auto still = viewers_.find(viewer); still != viewers_.end())
     done_with(*still->second);
@@ -1094,44 +1094,44 @@
   link.held_since_measure = link.held;
 }
 
-void Manager::on(const Ended& what) {
-  if (peer_link(what.link))
-    return peers_->ended(now_, what.link);
-  if (what.link >= first_accepted) {
-    if (controls_.contains(what.link))
-      return control_gone(what.link);
-    const auto found = viewers_.find(what.link);
+void Manager::on(const Disconnected& what) {
+  if (peer_link(what.connection))
+    return peers_->ended(now_, what.connection);
+  if (what.connection >= first_accepted) {
+    if (controls_.contains(what.connection))
+      return control_gone(what.connection);
+    const auto found = viewers_.find(what.connection);
     if (found == viewers_.end())
       return;
     const auto viewer = std::move(found->second);
     viewers_.erase(found);
-    bells_.disarm(viewer->stuck);
+    bells_.cancel(viewer->stuck);
     viewer_gone(*viewer);
     if (stopping_ && viewers_.empty())
-      actions_->push_back(Leave{});
+      actions_->push_back(StopLoop{});
     return;
   }
-  const auto found = boxes_.find(what.link);
+  const auto found = boxes_.find(what.connection);
   if (found == boxes_.end())
     return;
   auto& link = *found->second;
   if (link.use == Use::idle)
-    return hang_box(what.link);
-  if (what.how == Ending::finished && link.connected) {
+    return hang_box(what.connection);
+  if (what.reason == CloseReason::finished && link.connected) {
     auto rest = link.reader.close();  // a body without a length ends so
     if (!rest.fault && (rest.done || rest.head)) {
       link.keep_alive = false;
       return from_box(link, std::move(rest));
     }
   }
-  const auto unmade = what.how == Ending::unable ? Outcome::not_sent : Outcome::no_connection;
+  const auto unmade = what.reason == CloseReason::local_failure ? Outcome::not_sent : Outcome::no_connection;
   box_failed(link, link.connected ? Outcome::reset : unmade);
 }
 
 void Manager::box_time_up(BoxLink& link) {
   // Guards against taking this front's own standing still for the box's: what came meanwhile is read first.
   if (now_ < still_until_) {
-    link.limit = bells_.arm(still_until_, {Ring::box_limit, link.link});
+    link.limit = bells_.schedule(still_until_, {Ring::box_limit, link.link});
     return;
   }
   if (!link.connected)
@@ -1209,7 +1209,7 @@
 
 // The link is whole and free: kept for the next request, or closed.
 void Manager::release(BoxLink& link, bool reusable) {
-  bells_.disarm(link.limit);
+  bells_.cancel(link.limit);
   link.playback.reset();
   link.viewer = 0;
   link.collects = false;
@@ -1221,18 +1221,18 @@
   link.use = Use::idle;
   if (link.held) {
     link.held = false;
-    actions_->push_back(Resume{link.link});
+    actions_->push_back(ResumeReading{link.link});
   }
   idle_[link.server].push_back(link.link);
 }
 
-void Manager::hang_box(Link id) {
+void Manager::hang_box(ConnectionId id) {
   const auto found = boxes_.find(id);
   if (found == boxes_.end())
     return;
   auto& link = *found->second;
-  bells_.disarm(link.limit);
-  bells_.disarm(link.connect);
+  bells_.cancel(link.limit);
+  bells_.cancel(link.connect);
   if (link.use != Use::list && link.use != Use::feed && link.use != Use::keys) {
     --links_of_[link.server];
     std::erase(idle_[link.server], id);
@@ -1285,7 +1285,7 @@
   auto news = list_.take(now_, body);
   // Only a list that is taken whole is one to begin with after a restart.
   if (news.list && news.remark.empty())
-    actions_->push_back(Store{"boxes.json", body});
+    actions_->push_back(WriteFile{"boxes.json", body});
   if (!news.remark.empty())
     list_etag_.clear();  // the next answer must come whole to be weighed again
   take_list(std::move(news), "service");
@@ -1366,7 +1366,7 @@
 }
 
 void Manager::carry_out(const Command& command) {
-  std::visit(Visit{
+  std::visit(Overloaded{
                  [this](const SetUp& o) { start_try(o); },
                  [this](const SetRung& o) {
                    const auto found = playbacks_.find(o.playback);
@@ -1429,14 +1429,14 @@
 }
 
 // Everybody is answered: what waits for a set-up by the module, what plays gets its object to the end.
-void Manager::on(const StopAsked&) {
+void Manager::on(const ShutdownRequested&) {
   if (stopping_)
     return;
   stopping_ = true;
   say("stopping", {{"playbacks", static_cast<std::int64_t>(playbacks_.size())}});
-  actions_->push_back(Shut{0});
+  actions_->push_back(StopListening{0});
   arm(terms_.stop_limit, Ring::stop, 0);
-  std::vector<Link> idle;
+  std::vector<ConnectionId> idle;
   for (auto& [link, viewer] : viewers_) {
     if (!viewer->busy)
       idle.push_back(link);
@@ -1447,7 +1447,7 @@
   for (const auto link : idle)
     drop_viewer(link, false);
   if (viewers_.empty())
-    actions_->push_back(Leave{});
+    actions_->push_back(StopLoop{});
 }
 
 }  // namespace violettide::manager
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -24,12 +24,12 @@
 #include "hls/showing/showing.h"
 #include "hls/writing.h"
 #include "http/http.h"
+#include "io/io.h"
 #include "manager/terms.h"
 #include "passes/passes.h"
 #include "peers/peers.h"
 #include "policy/policy.h"
-#include "seams/seams.h"
-#include "wheel/wheel.h"
+#include "timerwheel/timer_wheel.h"
 
 namespace violettide::manager {
 
@@ -77,20 +77,20 @@
     Ring ring = Ring::module;
     std::uint32_t of = 0;
   };
-  using Bells = Wheel<Bell>;
+  using Bells = TimerWheel<Bell>;
 
   // ---- what happened on sockets ----
   void on(const Accepted& what);
   void on(const Connected& what);
   void on(const Received& what);
   void on(const HalfClosed& what);
-  void on(const Ended& what);
+  void on(const Disconnected& what);
   void on(const Flushed& what);
-  void on(const KeepDone& what);
-  void on(const Woken&) {}
-  void on(const Reread&) {}   // it has no file to read again
-  void on(const Settled&) {}  // nor does it ask for that
-  void on(const StopAsked&);
+  void on(const Persisted& what);
+  void on(const TimerFired&) {}
+  void on(const ConfigReloaded&) {}  // it has no file to read again
+  void on(const InputDrained&) {}    // nor does it ask for that
+  void on(const ShutdownRequested&);
   void ring(const Bell& bell);
   void first_moment();
 
@@ -98,7 +98,7 @@
   void take_requests(ViewerLink& viewer);
   void serve(ViewerLink& viewer, http::Request request);
   void serve_media(ViewerLink& viewer);
-  void drop_viewer(Link link, bool reset);
+  void drop_viewer(ConnectionId link, bool reset);
   void viewer_gone(ViewerLink& viewer);
   void answer(ViewerLink& viewer, int status, const std::string& text, const http::Fields& more = {});
   void done_with(ViewerLink& viewer);
@@ -129,23 +129,23 @@
   void object_part(BoxLink& link, http::ResponseReader::Part& part);
   void try_head(BoxLink& link, const http::ResponseHead& head);
   void try_ran(BoxLink& link, const http::ResponseHead* head);
-  void try_failed(BoxLink& link, Outcome outcome, std::vector<Field> more);
+  void try_failed(BoxLink& link, Outcome outcome, std::vector<LogField> more);
   void box_failed(BoxLink& link, Outcome outcome);
   void box_time_up(BoxLink& link);
   void release(BoxLink& link, bool reusable);
-  void hang_box(Link link);
+  void hang_box(ConnectionId link);
   void measure(BoxLink& link, bool whole);
   void hear_box(BoxLink& link, const http::ResponseHead& head, double rate);
   http::Fields box_fields(const ViewerLink* viewer, const Playback* playback, bool set_up) const;
 
   // ---- seats ----
-  bool peer_link(Link link) const { return peers_ && peers_->knows(link); }
+  bool peer_link(ConnectionId link) const { return peers_ && peers_->knows(link); }
   static std::string token_of(const http::Request& request);
   void entitle(Playback& playback);
   void renew(Playback& playback, const ViewerLink& viewer);
   void seats_did(const entitlement::LedgerEvent& event);
   void seats_time();
-  void seats_kept(const KeepDone& what);
+  void seats_kept(const Persisted& what);
   void peers_said(std::vector<peers::Heard> heard);
   void keys_answered(BoxLink& link, bool whole);
   void fetch_keys();
@@ -193,7 +193,7 @@
   struct Control;
   void control_requests(Control& control);
   void control_reply(Control& control, const cataloguewire::Reply& reply);
-  void control_gone(Link link);
+  void control_gone(ConnectionId link);
   void keeper_did(std::vector<catalogue::KeeperAct> actions);
   void holders_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole);
   void hold_anew(Playback& playback);
@@ -212,8 +212,10 @@
   void carry_out(const Command& command);
   void heed(hints::Weighed weighed, ServerId server);
 
-  Bells::Handle arm(Duration in, Ring ring, std::uint32_t of) { return bells_.arm(now_ + in, {ring, of}); }
-  void say(std::string event, std::vector<Field> fields = {});
+  Bells::Handle arm(Duration in, Ring ring, std::uint32_t of) {
+    return bells_.schedule(now_ + in, {ring, of});
+  }
+  void say(std::string event, std::vector<LogField> fields = {});
   // Guards against fronts, and viewers turned away together, falling into step: a quarter off, either way.
   Duration spread(Duration period) { return period * (75 + static_cast<int>(chance_() % 51)) / 100; }
   http::Fields come_back_soon();
@@ -233,22 +235,22 @@
   bool began_ = false, stopping_ = false;
   std::optional<Duration> wake_at_;
   std::deque<Event> events_;
-  std::set<Link> reread_;  // viewers whose pipelined requests may be read now
-  std::unordered_map<Link, std::unique_ptr<ViewerLink>> viewers_;
-  std::unordered_map<Link, std::unique_ptr<BoxLink>> boxes_;
-  std::vector<std::vector<Link>> idle_;  // by server: links that wait for use, the latest last
-  std::vector<std::size_t> links_of_;    // by server
+  std::set<ConnectionId> reread_;  // viewers whose pipelined requests may be read now
+  std::unordered_map<ConnectionId, std::unique_ptr<ViewerLink>> viewers_;
+  std::unordered_map<ConnectionId, std::unique_ptr<BoxLink>> boxes_;
+  std::vector<std::vector<ConnectionId>> idle_;  // by server: links that wait for use, the latest last
+  std::vector<std::size_t> links_of_;            // by server
   std::unordered_map<PlaybackId, std::unique_ptr<Playback>> playbacks_;
   std::unordered_map<std::string, PlaybackId> by_key_;
-  std::unordered_map<Link, PlaybackId> by_link_;  // playbacks known by their connection alone
+  std::unordered_map<ConnectionId, PlaybackId> by_link_;  // playbacks known by their connection alone
   std::unordered_map<std::string, TitleId> titles_;
   std::map<TitleId, std::uint32_t> title_uses_;
   std::vector<TitleId> free_titles_;
   PlaybackId next_playback_ = 0;
-  Link next_link_ = 1;
+  ConnectionId next_link_ = 1;
   catalogue::Keeper keeper_;
   catalogue::Demand demand_;
-  std::map<Link, std::unique_ptr<Control>> controls_;
+  std::map<ConnectionId, std::unique_ptr<Control>> controls_;
   std::map<catalogue::RecordingId, std::set<PlaybackId>>
       asking_;  // that wait for a set-up, or are out for one
   bool feed_out_ = false, feed_whole_ = false;
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -122,7 +122,7 @@
     }
   }
   if (last != 0)
-    actions_->push_back(Keep{seat_tickets + last, std::move(bytes), false});
+    actions_->push_back(Persist{first_seat_ticket + last, std::move(bytes), false});
   for (const auto& act : actions)
     do_seat(act);
 }
@@ -198,15 +198,15 @@
   }
 }
 
-void Manager::seats_kept(const KeepDone& what) {
-  if (!what.failed.empty()) {
+void Manager::seats_kept(const Persisted& what) {
+  if (!what.error.empty()) {
     // No later record stands for one that was not kept: from here on no seat is given.
     if (!std::exchange(seats_disk_failed_, true))
-      say("seats_not_kept", {{"cause", what.failed}});
+      say("seats_not_kept", {{"cause", what.error}});
     return;
   }
   if (!seats_disk_failed_)
-    seats_did(entitlement::Kept{what.ticket - seat_tickets});
+    seats_did(entitlement::Kept{what.ticket - first_seat_ticket});
 }
 
 void Manager::seats_time() {
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -90,7 +90,7 @@
   }
 }
 
-void Peers::accepted(Duration now, Link link, std::vector<Action>& actions) {
+void Peers::accepted(Duration now, ConnectionId link, std::vector<Action>& actions) {
   auto& in = came_[link];
   // Never the same twice, nor to be told before: by the key, the time and a count.
   in.challenge =
@@ -100,13 +100,13 @@
   actions.push_back(Send{link, framed(in.challenge)});
 }
 
-void Peers::refuse(Link link, const std::string& cause, std::vector<Action>& actions) {
+void Peers::refuse(ConnectionId link, const std::string& cause, std::vector<Action>& actions) {
   remarks_.push_back(cause);
   actions.push_back(Close{link, false});
   came_.erase(link);
 }
 
-std::vector<Heard> Peers::received(Link link, std::string_view bytes, std::vector<Action>& actions) {
+std::vector<Heard> Peers::received(ConnectionId link, std::string_view bytes, std::vector<Action>& actions) {
   std::vector<Heard> heard;
   bool too_long = false;
   if (const auto dialed = dialed_.find(link); dialed != dialed_.end()) {
@@ -168,7 +168,7 @@
   return heard;
 }
 
-void Peers::ended(Duration now, Link link) {
+void Peers::ended(Duration now, ConnectionId link) {
   came_.erase(link);
   const auto dialed = dialed_.find(link);
   if (dialed == dialed_.end())
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "seams/seams.h"
+#include "io/io.h"
 
 namespace violettide::peers {
 
@@ -40,13 +40,14 @@
 class Peers {
  public:
   // `links`: where the numbers of links that this dials begin; they rise from there.
-  Peers(PeerTerms terms, Link links) : terms_(std::move(terms)), next_link_(links), out_(terms_.all.size()) {}
+  Peers(PeerTerms terms, ConnectionId links)
+      : terms_(std::move(terms)), next_link_(links), out_(terms_.all.size()) {}
   void send(Duration now, PeerIndex to, std::uint32_t kind, std::string payload,
             std::vector<Action>& actions);
-  void accepted(Duration now, Link link, std::vector<Action>& actions);
-  bool knows(Link link) const { return dialed_.contains(link) || came_.contains(link); }
-  std::vector<Heard> received(Link link, std::string_view bytes, std::vector<Action>& actions);
-  void ended(Duration now, Link link);
+  void accepted(Duration now, ConnectionId link, std::vector<Action>& actions);
+  bool knows(ConnectionId link) const { return dialed_.contains(link) || came_.contains(link); }
+  std::vector<Heard> received(ConnectionId link, std::string_view bytes, std::vector<Action>& actions);
+  void ended(Duration now, ConnectionId link);
   void time_passed(Duration now, std::vector<Action>& actions);  // dials what is due
 
   // What was refused or dropped since the last call, and why.
@@ -54,7 +55,7 @@
 
  private:
   struct Out {  // to one peer
-    Link link = 0;
+    ConnectionId link = 0;
     bool challenged = false;
     std::string challenge, got;
     std::uint64_t count = 0;
@@ -70,13 +71,13 @@
   std::string mac(std::string_view challenge, std::string_view body) const;
   void flush(PeerIndex to, std::vector<Action>& actions);
   void dial(Duration now, PeerIndex to, std::vector<Action>& actions);
-  void refuse(Link link, const std::string& cause, std::vector<Action>& actions);
+  void refuse(ConnectionId link, const std::string& cause, std::vector<Action>& actions);
 
   PeerTerms terms_;
-  Link next_link_;
+  ConnectionId next_link_;
   std::vector<Out> out_;
-  std::map<Link, PeerIndex> dialed_;
-  std::map<Link, In> came_;
+  std::map<ConnectionId, PeerIndex> dialed_;
+  std::map<ConnectionId, In> came_;
   std::uint64_t challenges_ = 0;
   std::vector<std::string> remarks_;
 };
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -91,7 +91,7 @@
 Platform::~Platform() = default;
 
 Held Platform::held() const {
-  return {viewers_.size(), links_.size(), playbacks_.size(), titles_.size(), wheel_.armed()};
+  return {viewers_.size(), links_.size(), playbacks_.size(), titles_.size(), wheel_.pending()};
 }
 
 void Platform::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
@@ -99,7 +99,7 @@
   // timer rings.
   if (begun_ && now - now_ > sweep_every + stood_still)
     still_ = true;
-  if (std::holds_alternative<Settled>(what))
+  if (std::holds_alternative<InputDrained>(what))
     still_ = false;
   now_ = now;
   actions_ = &actions;
@@ -118,12 +118,12 @@
   tend_channel();
   if (const auto next = wheel_.next(); next && *next != woken_for_) {
     woken_for_ = *next;
-    actions.push_back(WakeAt{*next});
+    actions.push_back(StartTimer{*next});
   }
 }
 
-Wheel<std::uint64_t>::Handle Platform::arm(Duration in, Ring ring, std::uint64_t of) {
-  return wheel_.arm(now_ + in, static_cast<std::uint64_t>(ring) << ring_shift | of);
+TimerWheel<std::uint64_t>::Handle Platform::arm(Duration in, Ring ring, std::uint64_t of) {
+  return wheel_.schedule(now_ + in, static_cast<std::uint64_t>(ring) << ring_shift | of);
 }
 
 void Platform::ring(const Bell& bell) {
@@ -146,11 +146,11 @@
       return end_try(id, playback->sent ? Outcome::late : unsent, {}, false);
     }
     case Ring::dial: {
-      const auto link = links_.find(static_cast<Link>(bell.of));
+      const auto link = links_.find(static_cast<ConnectionId>(bell.of));
       if (link == links_.end() || link->second.up)
         return;
       drop_server_link(link->first, Outcome::no_connection);
-      actions_->push_back(Close{static_cast<Link>(bell.of), false});
+      actions_->push_back(Close{static_cast<ConnectionId>(bell.of), false});
       return;
     }
     case Ring::probe:
@@ -178,7 +178,7 @@
   }
 }
 
-void Platform::on(const Woken&) { woken_for_ = Duration(-1); }
+void Platform::on(const TimerFired&) { woken_for_ = Duration(-1); }
 
 // Guards against connections that say nothing, or nothing whole, or stay for good: they would hold every
 // descriptor. And against servers that went without a sign while playbacks play there.
@@ -190,7 +190,7 @@
         (!carries && now_ - viewer.heard_at > idle_viewer_limit))
       choose_to_part(link, viewer);
   }
-  std::vector<Link> over;
+  std::vector<ConnectionId> over;
   for (auto& [number, link] : links_) {
     if (link.retired_at && link.tries.empty() && now_ - *link.retired_at > retired_stays)
       over.push_back(number);
@@ -221,7 +221,7 @@
   settle();
 }
 
-void Platform::on(const StopAsked&) {
+void Platform::on(const ShutdownRequested&) {
   if (stop_asked_)
     return;
   stop_asked_ = now_;
@@ -253,7 +253,7 @@
     to_viewer(playback->viewer, end_line(playback->call, cause::reset));
     withdraw(id);
   }
-  std::vector<Link> all;
+  std::vector<ConnectionId> all;
   for (const auto& [link, viewer] : viewers_)
     all.push_back(link);
   std::sort(all.begin(), all.end());
@@ -261,17 +261,17 @@
     viewer_gone(link);
     actions_->push_back(Close{link, true});
   }
-  actions_->push_back(Leave{stop_reads_in});
+  actions_->push_back(StopLoop{stop_reads_in});
 }
 
 // Guards against a try for a viewer who has gone, or to a server said to drain, in what is not read yet:
 // nothing is sent before all that has come is.
 void Platform::settle() {
   if (!std::exchange(settle_asked_, true))
-    actions_->push_back(Settle{});
+    actions_->push_back(DrainInput{});
 }
 
-void Platform::on(const Settled&) {
+void Platform::on(const InputDrained&) {
   settle_asked_ = false;
   if (leaving_ == Leaving::at_once)
     return leave();
@@ -288,7 +288,7 @@
     leave();
 }
 
-void Platform::on(const Reread& what) {
+void Platform::on(const ConfigReloaded& what) {
   auto read = read_start(what.text);
   if (const auto* fault = std::get_if<StartFault>(&read))
     return say("reread_passed_over", {{"cause", fault->cause}});
@@ -302,11 +302,11 @@
 
 void Platform::on(const Accepted& what) {
   if (viewers_.size() >= most_viewers() / 4 * 5) {
-    actions_->push_back(Close{what.link, false});
+    actions_->push_back(Close{what.connection, false});
     return;
   }
   accepted_ = true;
-  auto& viewer = viewers_[what.link];
+  auto& viewer = viewers_[what.connection];
   viewer.since = viewer.heard_at = now_;
   if (viewers_.size() > most_viewers())
     make_place();
@@ -324,7 +324,7 @@
 // Guards against floods of connections shutting the usual viewers out: the silent ones go first, then
 // those that carry nothing, the longest unheard of each; none that has just come or just been answered.
 void Platform::make_place() {
-  std::vector<std::tuple<bool, Duration, Link>> idle;
+  std::vector<std::tuple<bool, Duration, ConnectionId>> idle;
   const auto surplus =
       viewers_.size() - most_viewers() - std::min(parting_.size(), viewers_.size() - most_viewers());
   for (const auto& [link, viewer] : viewers_) {
@@ -335,14 +335,14 @@
   }
   std::sort(idle.begin(), idle.end());
   for (std::size_t i = 0; i < std::min(surplus, idle.size()); ++i) {
-    const auto link = std::get<Link>(idle[i]);
+    const auto link = std::get<ConnectionId>(idle[i]);
     choose_to_part(link, viewers_.at(link));
   }
 }
 
 // Guards against ending a connection with a request on it that is not read yet: after what has come by
 // then is read, it ends only if that was nothing whole.
-void Platform::choose_to_part(Link link, ViewerLink& viewer) {
+void Platform::choose_to_part(ConnectionId link, ViewerLink& viewer) {
   if (viewer.parts_at)
     return;
   viewer.parts_at = now_;
@@ -352,7 +352,7 @@
 }
 
 void Platform::part() {
-  std::vector<Link> kept;
+  std::vector<ConnectionId> kept;
   for (const auto link : parting_) {
     const auto found = viewers_.find(link);
     if (found == viewers_.end() || !found->second.parts_at)
@@ -374,11 +374,11 @@
 }
 
 void Platform::on(const Connected& what) {
-  if (what.link == channel_link_) {
-    actions_->push_back(Send{what.link, channel_.connected(now_)});
+  if (what.connection == channel_link_) {
+    actions_->push_back(Send{what.connection, channel_.connected(now_)});
     return;
   }
-  const auto found = links_.find(what.link);
+  const auto found = links_.find(what.connection);
   if (found == links_.end())
     return;
   auto& link = found->second;
@@ -386,51 +386,51 @@
   link.up = true;
   link.heard_at = link.used_at = now_;
   answered_sign(link);
-  if (server.dialled == what.link)
+  if (server.dialled == what.connection)
     server.dialled = 0;
-  if (server.link && server.link != what.link) {
+  if (server.link && server.link != what.connection) {
     if (const auto old = links_.find(server.link); old != links_.end())
       old->second.retired_at = now_;
   }
-  server.link = what.link;
+  server.link = what.connection;
   for (auto& bytes : server.unsaid)
-    to_server(what.link, std::move(bytes));
+    to_server(what.connection, std::move(bytes));
   server.unsaid.clear();
   for (const auto id : server.playing) {
     auto& playback = playbacks_.at(id);
     if (std::exchange(playback.rung_unsaid, false))
-      to_server(what.link, rung_bytes(playback.call, playback.rung));
+      to_server(what.connection, rung_bytes(playback.call, playback.rung));
   }
   for (const auto test : link.tests)
-    to_server(what.link, test_bytes(test));
+    to_server(what.connection, test_bytes(test));
   for (const auto id : link.tries)
     send_when_settled(id);
 }
 
 void Platform::on(const Received& what) {
-  if (what.link == channel_link_) {
+  if (what.connection == channel_link_) {
     const auto news = channel_.received(now_, what.bytes);
     return take_lists(news, false);
   }
-  if (const auto found = viewers_.find(what.link); found != viewers_.end()) {
+  if (const auto found = viewers_.find(what.connection); found != viewers_.end()) {
     found->second.heard_at = now_;
     std::vector<std::variant<Unreadable, ViewerMessage>> messages;
     found->second.reader.take(what.bytes, messages);
     for (auto& message : messages) {
-      const auto still = viewers_.find(what.link);
+      const auto still = viewers_.find(what.connection);
       if (still == viewers_.end())
         return;
       if (const auto* unreadable = std::get_if<Unreadable>(&message)) {
-        turn_off(what.link, unreadable->call, unreadable->cause);
+        turn_off(what.connection, unreadable->call, unreadable->cause);
         continue;
       }
       still->second.spoke = true;
       still->second.parts_at.reset();
-      viewer_says(what.link, still->second, std::get<ViewerMessage>(message));
+      viewer_says(what.connection, still->second, std::get<ViewerMessage>(message));
     }
     return;
   }
-  const auto found = links_.find(what.link);
+  const auto found = links_.find(what.connection);
   if (found == links_.end())
     return;
   found->second.heard_at = found->second.used_at = now_;
@@ -438,40 +438,40 @@
   std::vector<ServerMessage> messages;
   const auto unreadable = found->second.reader.take(what.bytes, messages);
   for (auto& message : messages) {
-    if (!links_.contains(what.link))
+    if (!links_.contains(what.connection))
       return;
-    server_says(what.link, message);
+    server_says(what.connection, message);
   }
-  if (!unreadable || !links_.contains(what.link))
+  if (!unreadable || !links_.contains(what.connection))
     return;
-  say("unreadable", {{"server", servers_[links_.at(what.link).server].name}, {"cause", *unreadable}});
-  drop_server_link(what.link, Outcome::reset);
-  actions_->push_back(Close{what.link, false});
+  say("unreadable", {{"server", servers_[links_.at(what.connection).server].name}, {"cause", *unreadable}});
+  drop_server_link(what.connection, Outcome::reset);
+  actions_->push_back(Close{what.connection, false});
 }
 
 void Platform::on(const HalfClosed& what) {
-  actions_->push_back(Close{what.link, true});
-  on(Ended{what.link, Ending::finished});
+  actions_->push_back(Close{what.connection, true});
+  on(Disconnected{what.connection, CloseReason::finished});
 }
 
-void Platform::on(const Ended& what) {
-  if (what.link == channel_link_) {
+void Platform::on(const Disconnected& what) {
+  if (what.connection == channel_link_) {
     channel_link_ = 0;
     return channel_.ended(now_);
   }
-  if (viewers_.contains(what.link))
-    return viewer_gone(what.link);
-  const auto found = links_.find(what.link);
+  if (viewers_.contains(what.connection))
+    return viewer_gone(what.connection);
+  const auto found = links_.find(what.connection);
   if (found == links_.end())
     return;
   const auto id = found->second.server;
-  const bool refused = what.how == Ending::refused && !found->second.up;
+  const bool refused = what.reason == CloseReason::refused && !found->second.up;
   auto& server = servers_[id];
-  if (what.how == Ending::unable) {
+  if (what.reason == CloseReason::local_failure) {
     not_asked(id);
-    return drop_server_link(what.link, Outcome::not_sent, Outcome::not_sent);
+    return drop_server_link(what.connection, Outcome::not_sent, Outcome::not_sent);
   }
-  drop_server_link(what.link, Outcome::reset);
+  drop_server_link(what.connection, Outcome::reset);
   if (refused) {
     if (server.refused++ == 0)
       server.first_refused = now_;
@@ -481,13 +481,13 @@
 }
 
 void Platform::on(const Flushed& what) {
-  if (const auto found = viewers_.find(what.link); found != viewers_.end())
+  if (const auto found = viewers_.find(what.connection); found != viewers_.end())
     found->second.unsent = 0;
 }
 
 // ---- viewers ----
 
-void Platform::to_viewer(Link link, std::string line) {
+void Platform::to_viewer(ConnectionId link, std::string line) {
   const auto found = viewers_.find(link);
   if (found == viewers_.end())
     return;
@@ -501,7 +501,7 @@
   actions_->push_back(Send{link, std::move(line)});
 }
 
-void Platform::viewer_says(Link link, ViewerLink& viewer, ViewerMessage& message) {
+void Platform::viewer_says(ConnectionId link, ViewerLink& viewer, ViewerMessage& message) {
   for (auto& line : std::exchange(untold_, {}))
     actions_->push_back(Send{link, std::move(line)});
   switch (message.kind) {
@@ -520,7 +520,7 @@
 
 // What can't be served is answered, if it has an id, and its connection ended, unless others are served on
 // it: those are owed their answers.
-void Platform::turn_off(Link link, std::optional<CallId> call, const std::string& cause) {
+void Platform::turn_off(ConnectionId link, std::optional<CallId> call, const std::string& cause) {
   ++turned_off_;
   if (turned_off_said_ < Duration(0) || now_ - turned_off_said_ >= turned_off_every) {
     say("turned_off", {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(turned_off_)}});
@@ -591,7 +591,7 @@
   return std::nullopt;
 }
 
-void Platform::take_offer(Link link, ViewerLink& viewer, ViewerMessage& message) {
+void Platform::take_offer(ConnectionId link, ViewerLink& viewer, ViewerMessage& message) {
   Request request;
   std::string at;
   const auto known = calls_.find(message.call);
@@ -649,7 +649,7 @@
   care_for(server);
 }
 
-void Platform::take_end(Link link, CallId call) {
+void Platform::take_end(ConnectionId link, CallId call) {
   const auto known = calls_.find(call);
   to_viewer(link, ended_line(call));
   if (known == calls_.end())
@@ -675,7 +675,7 @@
   forget(id);
 }
 
-void Platform::viewer_gone(Link link) {
+void Platform::viewer_gone(ConnectionId link) {
   const auto found = viewers_.find(link);
   if (found == viewers_.end())
     return;
@@ -705,7 +705,7 @@
   return found->second;
 }
 
-Link Platform::dial(ServerId id, bool for_try) {
+ConnectionId Platform::dial(ServerId id, bool for_try) {
   auto& server = servers_[id];
   if (server.dialled)
     return server.dialled;
@@ -721,7 +721,7 @@
   return link;
 }
 
-Link Platform::link_for(ServerId id) {
+ConnectionId Platform::link_for(ServerId id) {
   const auto found = links_.find(servers_[id].link);
   if (found != links_.end() && found->second.tries.size() < terms_.tries_per_link)
     return found->first;
@@ -733,8 +733,8 @@
 bool Platform::make_place_for_dial(bool for_try) {
   if (links_.size() < most_server_links())
     return true;
-  Link longest = 0;
-  std::tuple<bool, Duration, Link> least;
+  ConnectionId longest = 0;
+  std::tuple<bool, Duration, ConnectionId> least;
   for (const auto& [number, link] : links_) {
     if (!link.up || !link.tries.empty() || !link.tests.empty())
       continue;
@@ -759,7 +759,7 @@
   server.next_dial = std::max(server.next_dial, now_ + between_signs);
 }
 
-void Platform::to_server(Link link, std::string bytes) {
+void Platform::to_server(ConnectionId link, std::string bytes) {
   if (const auto found = links_.find(link); found != links_.end())
     found->second.used_at = now_;
   actions_->push_back(Send{link, std::move(bytes)});
@@ -809,7 +809,7 @@
 }
 
 // From now on for what the server says alone; ended when that has had its time.
-void Platform::retire(Link number) {
+void Platform::retire(ConnectionId number) {
   auto& link = links_.at(number);
   link.retired_at = now_;
   auto& server = servers_[link.server];
@@ -817,7 +817,7 @@
     server.link = 0;
 }
 
-void Platform::end_server_link(Link number) {
+void Platform::end_server_link(ConnectionId number) {
   drop_server_link(number, Outcome::reset);
   actions_->push_back(Close{number, true});
 }
@@ -836,7 +836,7 @@
     stop_playing(id, Outcome::reset, {}, cause::reset);
 }
 
-void Platform::drop_server_link(Link number, Outcome of_sent, Outcome of_unsent) {
+void Platform::drop_server_link(ConnectionId number, Outcome of_sent, Outcome of_unsent) {
   const auto found = links_.find(number);
   if (found == links_.end())
     return;
@@ -859,7 +859,7 @@
     feed(ProbeEnded{link.server, false, {}, left});
 }
 
-void Platform::server_says(Link number, ServerMessage& message) {
+void Platform::server_says(ConnectionId number, ServerMessage& message) {
   auto& link = links_.at(number);
   const auto id = link.server;
   if (message.kind == ServerMessage::Kind::tested) {
@@ -907,7 +907,7 @@
   link.tries.erase(known->second);
   playback.state = Playback::State::playing;
   playback.link = 0;
-  wheel_.disarm(playback.limit);
+  wheel_.cancel(playback.limit);
   servers_[id].playing.insert(known->second);
   std::string().swap(playback.description);
   if (const auto viewer = viewers_.find(playback.viewer); viewer != viewers_.end()) {
@@ -919,7 +919,7 @@
   feed(PlaybackStarted{known->second, id, now_ - playback.tried_at});
 }
 
-void Platform::release_heard(Link number, ServerMessage& message) {
+void Platform::release_heard(ConnectionId number, ServerMessage& message) {
   const auto id = links_.at(number).server;
   to_server(number, released_bytes(message.call));
   const auto known = calls_.find(message.call);
@@ -953,7 +953,7 @@
   return found == playbacks_.end() ? nullptr : &found->second;
 }
 
-PlaybackId Platform::admit(CallId call, Link viewer, const Request& request, std::string title) {
+PlaybackId Platform::admit(CallId call, ConnectionId viewer, const Request& request, std::string title) {
   const auto id = next_playback_++;
   auto& playback = playbacks_[id];
   playback.call = call;
@@ -1035,7 +1035,7 @@
 // A try ends before its answer. What may still run is given up by a release on its own connection.
 void Platform::end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool over) {
   auto& playback = playbacks_.at(id);
-  wheel_.disarm(playback.limit);
+  wheel_.cancel(playback.limit);
   if (const auto link = links_.find(playback.link); link != links_.end()) {
     link->second.tries.erase(id);
     if (playback.sent)
@@ -1104,7 +1104,7 @@
     forget(id);
     to_viewer(viewer, end_line(call, why, ms_of(come_back)));
   };
-  std::visit(Visit{
+  std::visit(Overloaded{
                  [&](const SetUp& o) { start_try(o); },
                  [&](const SetRung& o) {
                    auto* playback = find(o.playback);
@@ -1149,7 +1149,7 @@
       for (auto& server : servers_)
         server.state = ServerState::gone;
     }
-    std::vector<Link> stale;
+    std::vector<ConnectionId> stale;
     for (const auto& told : news.servers) {
       const auto id = server_named(told.name);
       auto& server = servers_[id];
@@ -1217,7 +1217,7 @@
   for (int turn = 0; turn < 3; ++turn) {
     const auto wish = channel_.wish(now_);
     if (wish == Channel::Wish::none) {
-      wheel_.disarm(channel_look_);
+      wheel_.cancel(channel_look_);
       return void(channel_look_ = arm(channel_.look_at() - now_, Ring::channel));
     }
     if (wish == Channel::Wish::hang) {
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -14,12 +14,12 @@
 #include <vector>
 
 #include "decider/decider.h"
+#include "io/io.h"
 #include "platform/channel/channel.h"
 #include "platform/start.h"
 #include "platform/wire/server.h"
 #include "platform/wire/viewer.h"
-#include "seams/seams.h"
-#include "wheel/wheel.h"
+#include "timerwheel/timer_wheel.h"
 
 namespace violettide::platform {
 
@@ -62,8 +62,8 @@
     Place place;
     ServerState state = ServerState::gone;
     std::int64_t started_ms = 0;
-    Link link = 0;  // the one that takes new set-ups; 0: none
-    Link dialled = 0;
+    ConnectionId link = 0;  // the one that takes new set-ups; 0: none
+    ConnectionId dialled = 0;
     std::set<PlaybackId> playing;
     std::vector<std::string> unsaid;  // releases for the next connection
     Duration heard_at{0};
@@ -75,17 +75,17 @@
     enum class State { waiting, trying, playing };
     CallId call = 0;
     State state = State::waiting;
-    Link viewer = 0;
+    ConnectionId viewer = 0;
     int plan = 0;
     std::string title, description;
     ServerId server = 0;
-    Link link = 0;
+    ConnectionId link = 0;
     bool sent = false;
     Duration tried_at{0};
     Duration try_until{0};
     int rung = 0;
     bool rung_unsaid = false;
-    Wheel<std::uint64_t>::Handle limit;
+    TimerWheel<std::uint64_t>::Handle limit;
   };
   struct Released {
     CallId call = 0;
@@ -107,45 +107,45 @@
   void on(const Connected& what);
   void on(const Received& what);
   void on(const HalfClosed& what);
-  void on(const Ended& what);
+  void on(const Disconnected& what);
   void on(const Flushed& what);
-  void on(const KeepDone&) {}
-  void on(const Woken&);
-  void on(const StopAsked&);
-  void on(const Reread& what);
-  void on(const Settled&);
+  void on(const Persisted&) {}
+  void on(const TimerFired&);
+  void on(const ShutdownRequested&);
+  void on(const ConfigReloaded& what);
+  void on(const InputDrained&);
   void ring(const Bell& bell);
   void sweep();
 
   // ---- viewers ----
-  void viewer_says(Link link, ViewerLink& viewer, ViewerMessage& message);
-  void take_offer(Link link, ViewerLink& viewer, ViewerMessage& message);
+  void viewer_says(ConnectionId link, ViewerLink& viewer, ViewerMessage& message);
+  void take_offer(ConnectionId link, ViewerLink& viewer, ViewerMessage& message);
   std::optional<std::string> read_offer(const ViewerMessage& message, Request& request,
                                         std::string& at) const;
-  void turn_off(Link link, std::optional<CallId> call, const std::string& cause);
-  void take_end(Link link, CallId call);
+  void turn_off(ConnectionId link, std::optional<CallId> call, const std::string& cause);
+  void take_end(ConnectionId link, CallId call);
   void withdraw(PlaybackId id);
-  void viewer_gone(Link link);
+  void viewer_gone(ConnectionId link);
   void make_place();
-  void choose_to_part(Link link, ViewerLink& viewer);
+  void choose_to_part(ConnectionId link, ViewerLink& viewer);
   void part();
-  void to_viewer(Link link, std::string line);
+  void to_viewer(ConnectionId link, std::string line);
 
   // ---- servers ----
   ServerId server_named(const std::string& name);
-  Link dial(ServerId id, bool for_try);
-  Link link_for(ServerId id);
-  void server_says(Link link, ServerMessage& message);
-  void release_heard(Link link, ServerMessage& message);
-  void drop_server_link(Link link, Outcome of_sent, Outcome of_unsent = Outcome::no_connection);
-  void end_server_link(Link link);
-  void retire(Link link);
+  ConnectionId dial(ServerId id, bool for_try);
+  ConnectionId link_for(ServerId id);
+  void server_says(ConnectionId link, ServerMessage& message);
+  void release_heard(ConnectionId link, ServerMessage& message);
+  void drop_server_link(ConnectionId link, Outcome of_sent, Outcome of_unsent = Outcome::no_connection);
+  void end_server_link(ConnectionId link);
+  void retire(ConnectionId link);
   bool connected_to(ServerId id) const;
   bool make_place_for_dial(bool for_try);
   void not_asked(ServerId id);
   void send_when_settled(PlaybackId id);
   void send_try(Playback& playback);
-  void to_server(Link link, std::string bytes);
+  void to_server(ConnectionId link, std::string bytes);
   void say_to(ServerId id, std::string bytes);
   void care_for(ServerId id);
   void cut_all(ServerId id, const char* cause);
@@ -153,7 +153,7 @@
 
   // ---- playbacks ----
   Playback* find(PlaybackId id);
-  PlaybackId admit(CallId call, Link viewer, const Request& request, std::string title);
+  PlaybackId admit(CallId call, ConnectionId viewer, const Request& request, std::string title);
   TitleId title(const std::string& name);
   void start_try(const SetUp& command);
   void end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool over);
@@ -169,9 +169,9 @@
   bool ready() const;
   void tend_channel();
 
-  Wheel<std::uint64_t>::Handle arm(Duration in, Ring ring, std::uint64_t of = 0);
-  void say(std::string event, std::vector<Field> fields) {
-    actions_->push_back(Say{std::move(event), std::move(fields)});
+  TimerWheel<std::uint64_t>::Handle arm(Duration in, Ring ring, std::uint64_t of = 0);
+  void say(std::string event, std::vector<LogField> fields) {
+    actions_->push_back(LogLine{std::move(event), std::move(fields)});
   }
   std::size_t most_viewers() const;
   std::size_t most_server_links() const;
@@ -190,17 +190,17 @@
   bool settle_asked_ = false;
   bool still_ = false;                // stood still, and what came meanwhile is not read yet
   std::vector<PlaybackId> settling_;  // whose tries go out then
-  Wheel<std::uint64_t> wheel_;
+  TimerWheel<std::uint64_t> wheel_;
   Duration woken_for_{-1};
   std::deque<Event> events_;
   bool deciding_ = false;
 
-  std::unordered_map<Link, ViewerLink> viewers_;
-  std::vector<Link> parting_;
-  Link last_viewer_ = 0;             // whose set-up played last
+  std::unordered_map<ConnectionId, ViewerLink> viewers_;
+  std::vector<ConnectionId> parting_;
+  ConnectionId last_viewer_ = 0;     // whose set-up played last
   std::vector<std::string> untold_;  // ends for the next viewer who says something
-  std::unordered_map<Link, ServerLink> links_;
-  Link next_link_ = 1;
+  std::unordered_map<ConnectionId, ServerLink> links_;
+  ConnectionId next_link_ = 1;
   std::deque<VideoServer> servers_;
   std::map<std::string, ServerId> server_names_;
   std::unordered_map<PlaybackId, Playback> playbacks_;
@@ -212,8 +212,8 @@
   CallId next_test_ = 0;
   std::deque<Released> released_;  // of late, of what nobody knows here
   Channel channel_;
-  Link channel_link_ = 0;
-  Wheel<std::uint64_t>::Handle channel_look_;
+  ConnectionId channel_link_ = 0;
+  TimerWheel<std::uint64_t>::Handle channel_look_;
   std::size_t turned_off_ = 0;  // since it was said last
   Duration turned_off_said_{-1};
 };
--- a/src/runtime/runtime.cpp
+++ b/src/runtime/runtime.cpp
@@ -20,7 +20,9 @@
 constexpr std::uint64_t linger_ms = 500;      // for a peer to read an answer before its unread bytes reset it
 constexpr std::uint64_t sending_ms = 10'000;  // for what is sent last to be taken by its reader
 
-[[noreturn]] void fail(const std::string& what, int code) { throw Failed{what + ": " + uv_strerror(code)}; }
+[[noreturn]] void fail(const std::string& what, int code) {
+  throw LoopError{what + ": " + uv_strerror(code)};
+}
 
 sockaddr_in place_of(const std::string& address, std::uint16_t port) {
   sockaddr_in place{};
@@ -33,8 +35,8 @@
 
 class Loop::Inside {
  public:
-  Inside(Core& core, std::vector<Listening> doors, std::function<void(Duration, const Say&)> said,
-         std::string folder, Disk* disk)
+  Inside(Core& core, std::vector<ListenAddress> doors, std::function<void(Duration, const LogLine&)> said,
+         std::string folder, Storage* disk)
       : core_(core),
         said_(std::move(said)),
         folder_(std::move(folder)),
@@ -67,7 +69,8 @@
       uv_signal_init(&loop_, &signals_[i]);
       signals_[i].data = this;
       uv_signal_start(
-          &signals_[i], [](uv_signal_t* h, int) { of(h)->deliver(StopAsked{}); }, i == 0 ? SIGINT : SIGTERM);
+          &signals_[i], [](uv_signal_t* h, int) { of(h)->deliver(ShutdownRequested{}); },
+          i == 0 ? SIGINT : SIGTERM);
     }
     uv_signal_init(&loop_, &hangup_);
     hangup_.data = this;
@@ -75,7 +78,7 @@
     try {
       for (std::size_t i = 0; i < places_.size(); ++i)
         open(static_cast<int>(i));
-    } catch (const Failed&) {
+    } catch (const LoopError&) {
       close_all();  // the loop still knows of handles within this object
       throw;
     }
@@ -97,12 +100,12 @@
   }
 
   void run() {
-    deliver(Woken{});
+    deliver(TimerFired{});
     uv_run(&loop_, UV_RUN_DEFAULT);
   }
 
   // Guards against commands without such a file outliving their terminal.
-  void reread(std::string path) {
+  void reload_on_sighup(std::string path) {
     reread_ = std::move(path);
     uv_signal_start(
         &hangup_, [](uv_signal_t* h, int) { of(h)->hung_up(); }, SIGHUP);
@@ -120,7 +123,7 @@
  private:
   struct Connection {
     Inside* inside = nullptr;
-    Link link = 0;
+    ConnectionId link = 0;
     uv_tcp_t socket{};
     uv_connect_t connecting{};
     uv_timer_t linger{};
@@ -156,10 +159,10 @@
         const auto ticket = unkept_.front();
         unkept_.pop_front();
         actions.clear();
-        core_.handle(now(), KeepDone{ticket, ""}, actions);
+        core_.handle(now(), Persisted{ticket, ""}, actions);
         perform(actions);
       }
-      std::vector<Link> ready;
+      std::vector<ConnectionId> ready;
       ready.swap(flushed_);
       for (const auto link : ready) {
         if (!links_.contains(link))
@@ -183,7 +186,7 @@
       return;
     settle_asked_ = false;
     uv_idle_stop(&idle_);
-    deliver(Settled{});
+    deliver(InputDrained{});
   }
 
   void hung_up() {
@@ -191,18 +194,19 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (file)
-      return deliver(Reread{text.str()});
+      return deliver(ConfigReloaded{text.str()});
     if (said_)
-      said_(now(), Say{"reread_failed", {{"file", reread_}, {"cause", std::string(std::strerror(errno))}}});
+      said_(now(),
+            LogLine{"reread_failed", {{"file", reread_}, {"cause", std::string(std::strerror(errno))}}});
   }
 
   void perform(std::vector<Action>& actions) {
-    std::vector<Link> touched;
+    std::vector<ConnectionId> touched;
     for (auto& act : actions) {
-      std::visit(Visit{
+      std::visit(Overloaded{
                      [&](Dial& a) { dial(a); },
                      [&](Send& a) {
-                       auto* to = find(a.link);
+                       auto* to = find(a.connection);
                        if (!to || to->hung)
                          return;
                        if (to->out.empty())
@@ -210,29 +214,29 @@
                        else
                          to->out += a.bytes;
                        if (!std::exchange(to->touched, true))
-                         touched.push_back(a.link);
+                         touched.push_back(a.connection);
                      },
                      [&](Close& a) { hang(a); },
-                     [&](Hold& a) {
-                       auto* from = find(a.link);
+                     [&](PauseReading& a) {
+                       auto* from = find(a.connection);
                        if (from && from->reading)
                          uv_read_stop(stream(*from)), from->reading = false;
                      },
-                     [&](Resume& a) {
-                       if (auto* from = find(a.link))
+                     [&](ResumeReading& a) {
+                       if (auto* from = find(a.connection))
                          read(*from);
                      },
-                     [&](WakeAt& a) { wake(a.at); },
-                     [&](Open& a) { open(a.door); },
-                     [&](Shut& a) { shut(a.door); },
-                     [&](Store& a) { store(a); },
-                     [&](Keep& a) { keep(std::move(a)); },
-                     [&](Say& a) {
+                     [&](StartTimer& a) { wake(a.at); },
+                     [&](Listen& a) { open(a.listener); },
+                     [&](StopListening& a) { shut(a.listener); },
+                     [&](WriteFile& a) { store(a); },
+                     [&](Persist& a) { keep(std::move(a)); },
+                     [&](LogLine& a) {
                        if (said_)
                          said_(now(), a);
                      },
-                     [&](Settle&) { settle(); },
-                     [&](Leave& a) { leave(a.within); },
+                     [&](DrainInput&) { settle(); },
+                     [&](StopLoop& a) { leave(a.timeout); },
                  },
                  act);
     }
@@ -262,12 +266,12 @@
   }
 
   static uv_stream_t* stream(Connection& c) { return reinterpret_cast<uv_stream_t*>(&c.socket); }
-  Connection* find(Link link) {
+  Connection* find(ConnectionId link) {
     const auto found = links_.find(link);
     return found == links_.end() ? nullptr : found->second;
   }
 
-  Connection* make(Link link) {
+  Connection* make(ConnectionId link) {
     auto* connection = new Connection;  // freed when libuv has closed its handles
     connection->inside = this;
     connection->link = link;
@@ -278,7 +282,7 @@
   }
 
   void dial(const Dial& what) {
-    auto* connection = make(what.link);
+    auto* connection = make(what.connection);
     connection->connecting.data = connection;
     sockaddr_in place{};
     int code = uv_ip4_addr(what.address.c_str(), what.port, &place);
@@ -294,25 +298,25 @@
       return;
     // No descriptor, no port, no way out: libuv tells a peer's refusal by the callback in every case. Told in
     // a turn of its own, by a timer of its own: the core's may be set for later.
-    failed_.push_back(what.link);
+    failed_.push_back(what.connection);
     uv_timer_start(
         &failing_,
         [](uv_timer_t* t) {
           auto* self = of(t);
-          std::vector<Link> failed;
+          std::vector<ConnectionId> failed;
           failed.swap(self->failed_);
           for (const auto link : failed) {
             if (auto* c = self->find(link))
-              self->end(*c, Ending::unable);
+              self->end(*c, CloseReason::local_failure);
           }
         },
         0, 0);
   }
 
   void connected(Connection& c, int status) {
-    const Link link = c.link;
+    const ConnectionId link = c.link;
     if (status < 0)
-      return end(c, status == UV_ECONNREFUSED ? Ending::refused : Ending::reset);
+      return end(c, status == UV_ECONNREFUSED ? CloseReason::refused : CloseReason::reset);
     c.connected = true;
     uv_tcp_nodelay(&c.socket, 1);
     read(c);
@@ -348,16 +352,16 @@
             c.reading = false;
             c.inside->deliver(HalfClosed{c.link});
           } else if (count < 0) {
-            c.inside->end(c, Ending::reset);
+            c.inside->end(c, CloseReason::reset);
           }
         });
   }
 
-  void end(Connection& c, Ending how) {
-    const Link link = c.link;
+  void end(Connection& c, CloseReason how) {
+    const ConnectionId link = c.link;
     c.hung = true;
     close(c);
-    deliver(Ended{link, how});
+    deliver(Disconnected{link, how});
   }
 
   void flush(Connection& c) {
@@ -395,7 +399,7 @@
       if (c.hung)
         return;
       if (status < 0)
-        return c.inside->end(c, Ending::reset);
+        return c.inside->end(c, CloseReason::reset);
       if (!c.writing)
         c.inside->deliver(Flushed{c.link});
     });
@@ -404,7 +408,7 @@
   }
 
   void hang(const Close& what) {
-    auto* c = find(what.link);
+    auto* c = find(what.connection);
     if (!c || c->hung)
       return;
     if (what.after_sending && c->connected) {
@@ -483,7 +487,7 @@
   // counts whole milliseconds, and so rings up to one early.
   void rang() {
     time_read_ = false;
-    now() < wake_at_ ? wake(wake_at_) : deliver(Woken{});
+    now() < wake_at_ ? wake(wake_at_) : deliver(TimerFired{});
   }
 
   void open(int door) {
@@ -535,14 +539,14 @@
     }
     c->connected = true;
     uv_tcp_nodelay(&c->socket, 1);
-    const Link link = c->link;
+    const ConnectionId link = c->link;
     deliver(Accepted{link, listener.door});
     if (auto* still = find(link))
       read(*still);
   }
 
   // One after another, so that what is kept follows what was kept before.
-  void keep(Keep&& what) {
+  void keep(Persist&& what) {
     if (!disk_)
       return unkept_.push_back(what.ticket);
     keeps_.push_back(std::move(what));
@@ -556,7 +560,7 @@
         [](uv_work_t* work) {
           auto& self = *of(work);
           const auto& next = self.keeps_.front();
-          self.keep_failed_ = self.disk_->keep(next.ticket, next.bytes, next.whole);
+          self.keep_failed_ = self.disk_->persist(next.ticket, next.bytes, next.replaces_all);
         },
         [](uv_work_t* work, int status) {
           auto& self = *of(work);
@@ -567,14 +571,14 @@
           if (!self.keeps_.empty())
             self.keep_next();
           if (!self.ending_)
-            self.deliver(KeepDone{ticket, failed});
+            self.deliver(Persisted{ticket, failed});
         });
     if (code)
       fail("a thread for the disk", code);
   }
 
   // Written beside and moved into place, so that a reader finds the old file or the new one, whole.
-  void store(const Store& what) {
+  void store(const WriteFile& what) {
     if (folder_.empty())
       return;
     const auto path = folder_ + "/" + what.name;
@@ -586,11 +590,11 @@
     if (whole && std::rename(beside.c_str(), path.c_str()) == 0)
       return;
     if (said_)
-      said_(now(), Say{"store_failed", {{"file", path}, {"cause", std::string(std::strerror(errno))}}});
+      said_(now(), LogLine{"store_failed", {{"file", path}, {"cause", std::string(std::strerror(errno))}}});
   }
 
   Core& core_;
-  std::function<void(Duration, const Say&)> said_;
+  std::function<void(Duration, const LogLine&)> said_;
   std::string folder_;
   uv_loop_t loop_{};
   uv_timer_t timer_{}, failing_{}, leaving_limit_{};
@@ -604,13 +608,13 @@
   std::uint64_t origin_ = 0;
   Duration time_{0}, wake_at_{0};
   bool time_read_ = false;
-  std::vector<Listening> places_;
+  std::vector<ListenAddress> places_;
   std::vector<Listener*> doors_;
-  std::unordered_map<Link, Connection*> links_;
-  Link next_accepted_ = first_accepted;
-  std::vector<Link> flushed_, failed_;
-  Disk* disk_ = nullptr;
-  std::deque<Keep> keeps_;  // the first is on its way
+  std::unordered_map<ConnectionId, Connection*> links_;
+  ConnectionId next_accepted_ = first_accepted;
+  std::vector<ConnectionId> flushed_, failed_;
+  Storage* disk_ = nullptr;
+  std::deque<Persist> keeps_;  // the first is on its way
   std::deque<std::uint64_t> unkept_;
   std::string keep_failed_;
   uv_work_t keeping_{};
@@ -619,12 +623,12 @@
   std::array<char, read_size> buffer_;
 };
 
-Loop::Loop(Core& core, std::vector<Listening> doors, std::function<void(Duration, const Say&)> said,
-           std::string folder, Disk* disk)
+Loop::Loop(Core& core, std::vector<ListenAddress> doors, std::function<void(Duration, const LogLine&)> said,
+           std::string folder, Storage* disk)
     : inside_(std::make_unique<Inside>(core, std::move(doors), std::move(said), std::move(folder), disk)) {}
 Loop::~Loop() = default;
 std::uint16_t Loop::port(int door) const { return inside_->port(door); }
-void Loop::reread(std::string path) { inside_->reread(std::move(path)); }
+void Loop::reload_on_sighup(std::string path) { inside_->reload_on_sighup(std::move(path)); }
 void Loop::run() { inside_->run(); }
 Duration Loop::now() const { return inside_->now(); }
 std::uint64_t Loop::machine_clock_us() { return uv_hrtime() / 1000; }
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -67,42 +67,42 @@
     list_history_.front().visible_at = -std::chrono::hours(1);
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i)
       put(trace::Passed::UP, i, nullptr, 1);
-    actions.push_back(WakeAt{now_ + step_every});
+    actions.push_back(StartTimer{now_ + step_every});
   }
-  std::visit(Visit{
+  std::visit(Overloaded{
                  [&](const Accepted& a) {
-                   auto& peer = peers_[a.link];
-                   peer.door = a.door;
+                   auto& peer = peers_[a.connection];
+                   peer.door = a.listener;
                  },
                  [&](const Received& r) {
-                   const auto found = peers_.find(r.link);
+                   const auto found = peers_.find(r.connection);
                    if (found == peers_.end())
                      return;
                    found->second.reader.push(r.bytes);
                    if (!found->second.busy)
-                     requests(r.link, found->second, actions);
+                     requests(r.connection, found->second, actions);
                  },
                  [&](const HalfClosed& h) {
-                   const auto found = peers_.find(h.link);
+                   const auto found = peers_.find(h.connection);
                    if (found == peers_.end())
                      return;
                    if (found->second.set_up)
                      put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
-                   actions.push_back(Close{h.link, false});
+                   actions.push_back(Close{h.connection, false});
                    peers_.erase(found);
                  },
-                 [&](const Ended& e) {
-                   const auto found = peers_.find(e.link);
+                 [&](const Disconnected& e) {
+                   const auto found = peers_.find(e.connection);
                    if (found == peers_.end())
                      return;
                    if (found->second.set_up)
                      put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
                    peers_.erase(found);
                  },
-                 [&](const Woken&) {},
-                 [&](const StopAsked&) {
+                 [&](const TimerFired&) {},
+                 [&](const ShutdownRequested&) {
                    stopping_ = true;
-                   actions.push_back(Leave{});
+                   actions.push_back(StopLoop{});
                  },
                  [&](const auto&) {},
              },
@@ -111,7 +111,7 @@
     live_through_troubles(actions);
     move_recordings(seconds(now_ - stepped_), actions);
     step(actions);
-    actions.push_back(WakeAt{now_ + step_every});
+    actions.push_back(StartTimer{now_ + step_every});
   }
 }
 
@@ -181,7 +181,7 @@
   record_list();
   if (silent)
     return;  // a machine that vanished neither refuses nor resets
-  actions.push_back(Shut{number});
+  actions.push_back(StopListening{number});
   break_off(number, actions);
 }
 
@@ -197,7 +197,7 @@
   ++box.incarnation;
   box.set_ups.clear();
   box.told_at = -10s;
-  actions.push_back(Open{number});
+  actions.push_back(Listen{number});
   put(trace::Passed::UP, number, nullptr);
   record_list();
 }
@@ -294,7 +294,7 @@
 
 // ---- requests ----
 
-void Fleet::requests(Link link, Peer& peer, std::vector<Action>& actions) {
+void Fleet::requests(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   while (!peer.busy) {
     auto request = peer.reader.next();
     if (!request) {
@@ -330,14 +330,15 @@
   }
 }
 
-void Fleet::answer(Link link, Peer& peer, int status, http::Fields fields, const std::string& body,
+void Fleet::answer(ConnectionId link, Peer& peer, int status, http::Fields fields, const std::string& body,
                    std::vector<Action>& actions) {
   actions.push_back(Send{link, http::head_text(status, fields, body.size(), !peer.close_after) + body});
   if (peer.close_after)
     actions.push_back(Close{link, true}), peers_.erase(link);
 }
 
-void Fleet::serve_box(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions) {
+void Fleet::serve_box(ConnectionId link, Peer& peer, const http::Request& request,
+                      std::vector<Action>& actions) {
   const int number = peer.door;
   auto& box = boxes_[number];
   peer.set_up = false;
@@ -397,7 +398,7 @@
   peer.answer_at = now_ + Duration(static_cast<std::int64_t>(time * 1e6));
 }
 
-void Fleet::begin_object(Link link, Peer& peer, std::vector<Action>& actions) {
+void Fleet::begin_object(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   const int number = peer.door;
   auto& box = boxes_[number];
   const auto& front = day_.deployment.front;
@@ -462,7 +463,7 @@
   return ills;
 }
 
-void Fleet::answer_list(Link link, Peer& peer, std::vector<Action>& actions) {
+void Fleet::answer_list(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   const auto ills = list_ills(peer.door);
   auto text = peer.hls->names == HlsPath::Names::lists ? lists_of(day_, *peer.hls, ills)
                                                        : media_of(day_, *peer.hls, day_now(), ills);
@@ -482,7 +483,7 @@
 void Fleet::step(std::vector<Action>& actions) {
   const double passed = seconds(now_ - stepped_);
   stepped_ = now_;
-  std::vector<Link> due;
+  std::vector<ConnectionId> due;
   for (auto& [link, peer] : peers_) {
     if (!peer.busy || peer.head_sent || peer.answer_at > now_ || mute(peer.door))
       continue;
@@ -512,7 +513,7 @@
       share[i] *= day_.deployment.uplink_kb / of_rack;
   }
   static const std::string blank(256 * 1024, 'v');
-  std::vector<Link> whole;
+  std::vector<ConnectionId> whole;
   for (auto& [link, peer] : peers_) {
     if (!peer.busy || !peer.head_sent || mute(peer.door))
       continue;
@@ -569,7 +570,8 @@
   list_history_.push_back(std::move(state));
 }
 
-void Fleet::serve_list(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions) {
+void Fleet::serve_list(ConnectionId link, Peer& peer, const http::Request& request,
+                       std::vector<Action>& actions) {
   if (ill_with(-1, Ill::list_down)) {
     peer.busy = true;
     return;
@@ -662,7 +664,7 @@
     catalogue_->handle(catalogue::Asked{0, std::nullopt, true, batch});
     catalogue_->handle(catalogue::Kept{catalogue_->present()->revision + 1, std::nullopt});
   }
-  std::vector<Link> waiting;
+  std::vector<ConnectionId> waiting;
   for (const auto& [link, peer] : peers_) {
     if (peer.feed_after)
       waiting.push_back(link);
@@ -691,7 +693,8 @@
   sink_(record);
 }
 
-void Fleet::serve_feed(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions) {
+void Fleet::serve_feed(ConnectionId link, Peer& peer, const http::Request& request,
+                       std::vector<Action>& actions) {
   const bool broken = ill_with(-1, Ill::feed_broken);
   const auto how = broken ? chance_() % 5 : 5;
   if (how == 0) {  // breaks off
@@ -729,7 +732,7 @@
          how == 4 ? reply.body.substr(0, reply.body.size() / 2) : reply.body, actions);
 }
 
-bool Fleet::feed_now(Link link, Peer& peer, std::vector<Action>& actions) {
+bool Fleet::feed_now(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   const auto reply = cataloguewire::feed_reply(*catalogue_, *peer.feed_after);
   if (!reply)
     return false;
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -10,7 +10,7 @@
 
 #include "catalogue/keeper.h"
 #include "http/http.h"
-#include "seams/seams.h"
+#include "io/io.h"
 #include "standins/day.h"
 #include "standins/hls_origin.h"
 #include "standins/issuer.h"
@@ -70,19 +70,19 @@
     std::vector<Duration> started;
   };
 
-  void requests(Link link, Peer& peer, std::vector<Action>& actions);
-  void serve_box(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
-  void serve_list(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
+  void requests(ConnectionId link, Peer& peer, std::vector<Action>& actions);
+  void serve_box(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
+  void serve_list(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
   void begin_catalogue();
   void move_recordings(double passed, std::vector<Action>& actions);
-  void serve_feed(Link link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
-  bool feed_now(Link link, Peer& peer, std::vector<Action>& actions);
+  void serve_feed(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
+  bool feed_now(ConnectionId link, Peer& peer, std::vector<Action>& actions);
   void put_listed(const Peer& peer, const std::string& title, const std::string& box, bool listed);
-  void answer(Link link, Peer& peer, int status, http::Fields fields, const std::string& body,
+  void answer(ConnectionId link, Peer& peer, int status, http::Fields fields, const std::string& body,
               std::vector<Action>& actions);
-  void answer_list(Link link, Peer& peer, std::vector<Action>& actions);
+  void answer_list(ConnectionId link, Peer& peer, std::vector<Action>& actions);
   ListIlls list_ills(int box) const;
-  void begin_object(Link link, Peer& peer, std::vector<Action>& actions);
+  void begin_object(ConnectionId link, Peer& peer, std::vector<Action>& actions);
   void step(std::vector<Action>& actions);
   void live_through_troubles(std::vector<Action>& actions);
   void break_off(int box, std::vector<Action>& actions);
@@ -107,7 +107,7 @@
   Duration now_{0}, stepped_{0};
   std::uint64_t clock_offset_ = 0;
   std::vector<Box> boxes_;
-  std::map<Link, Peer> peers_;
+  std::map<ConnectionId, Peer> peers_;
   std::vector<ListState> list_history_;
   std::map<std::string, std::map<std::string, std::string>> told_;  // to whom, of which box, what
   std::set<std::pair<std::size_t, int>> begun_, ended_;             // troubles and whom
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -61,8 +61,8 @@
 }
 
 void Viewers::arm(Viewer& viewer, Duration in, Bell bell) {
-  bells_.disarm(viewer.timer);
-  viewer.timer = bells_.arm(now_ + in, packed(static_cast<std::uint64_t>(bell), viewer.number));
+  bells_.cancel(viewer.timer);
+  viewer.timer = bells_.schedule(now_ + in, packed(static_cast<std::uint64_t>(bell), viewer.number));
 }
 
 void Viewers::put(trace::Passed::Kind kind, const Viewer& viewer, int status, const std::string& cause) {
@@ -89,36 +89,36 @@
   now_ = std::max(now_, now);
   if (!began_) {
     began_ = true;
-    bells_.arm(now_, packed(static_cast<std::uint64_t>(Bell::arrival), 0));
-    bells_.arm(now_, packed(static_cast<std::uint64_t>(Bell::arrival), 1));
+    bells_.schedule(now_, packed(static_cast<std::uint64_t>(Bell::arrival), 0));
+    bells_.schedule(now_, packed(static_cast<std::uint64_t>(Bell::arrival), 1));
   }
-  const auto of_link = [&](Link link) -> Viewer* {
+  const auto of_link = [&](ConnectionId link) -> Viewer* {
     const auto found = by_link_.find(link);
     return found == by_link_.end() ? nullptr : &viewers_.at(found->second);
   };
-  std::visit(Visit{
+  std::visit(Overloaded{
                  [&](const Connected& c) {
-                   auto* viewer = of_link(c.link);
+                   auto* viewer = of_link(c.connection);
                    if (!viewer)
                      return;
                    viewer->connected = true;
-                   actions.push_back(Send{c.link, viewer->request});
+                   actions.push_back(Send{c.connection, viewer->request});
                  },
                  [&](const Received& r) {
-                   if (auto* viewer = of_link(r.link))
+                   if (auto* viewer = of_link(r.connection))
                      came_part(*viewer, viewer->reader.push(r.bytes), actions);
                  },
                  [&](const HalfClosed& h) {
-                   if (auto* viewer = of_link(h.link))
+                   if (auto* viewer = of_link(h.connection))
                      broke(*viewer, actions);
                  },
-                 [&](const Ended& e) {
-                   if (auto* viewer = of_link(e.link))
-                     broke(*viewer, actions, e.how == Ending::refused);
+                 [&](const Disconnected& e) {
+                   if (auto* viewer = of_link(e.connection))
+                     broke(*viewer, actions, e.reason == CloseReason::refused);
                  },
-                 [&](const StopAsked&) {
+                 [&](const ShutdownRequested&) {
                    stopping_ = true;
-                   actions.push_back(Leave{});
+                   actions.push_back(StopLoop{});
                  },
                  [&](const auto&) {},
              },
@@ -165,7 +165,7 @@
   }
   std::erase_if(viewers_, [](const auto& entry) { return entry.second.state == State::over; });
   if (const auto next = bells_.next())
-    actions.push_back(WakeAt{*next});
+    actions.push_back(StartTimer{*next});
 }
 
 void Viewers::arrive(std::vector<Action>& actions, bool crowd) {
@@ -179,9 +179,9 @@
         leave(viewer, actions, "the day is over");
     }
     if (viewers_.empty() && !crowd)
-      actions.push_back(Leave{});
+      actions.push_back(StopLoop{});
     else if (!crowd)
-      bells_.arm(now_ + 100ms, packed(static_cast<std::uint64_t>(Bell::arrival), 0));
+      bells_.schedule(now_ + 100ms, packed(static_cast<std::uint64_t>(Bell::arrival), 0));
     return;
   }
   double rate = crowd ? 0 : day_.viewers.per_second;
@@ -192,10 +192,10 @@
   }
   const auto code = packed(static_cast<std::uint64_t>(Bell::arrival), crowd ? 1 : 0);
   if (rate <= 0) {
-    bells_.arm(now_ + 100ms, code);
+    bells_.schedule(now_ + 100ms, code);
     return;
   }
-  bells_.arm(now_ + span_of(-std::log(1 - draw()) / rate), code);
+  bells_.schedule(now_ + span_of(-std::log(1 - draw()) / rate), code);
   if (day_now() < 0s)
     return;  // the day has not begun
   Viewer viewer;
@@ -530,7 +530,7 @@
     put(trace::Passed::LEFT, viewer, 0, "cut");
   if (draw() >= day_.viewers.returns) {
     viewer.state = State::over;
-    bells_.disarm(viewer.timer);
+    bells_.cancel(viewer.timer);
     return;
   }
   rest(viewer, span_of(seconds(day_.viewers.rejoin) * (0.5 + draw())), actions);
@@ -541,7 +541,7 @@
     hang(viewer, actions);
   if (now_ + pause >= viewer.came + viewer.watch || day_now() >= day_.length) {
     viewer.state = State::over;
-    bells_.disarm(viewer.timer);
+    bells_.cancel(viewer.timer);
     return;
   }
   viewer.state = State::resting;
@@ -551,7 +551,7 @@
 void Viewers::leave(Viewer& viewer, std::vector<Action>& actions, const char* cause) {
   put(trace::Passed::LEFT, viewer, 0, cause);
   hang(viewer, actions);
-  bells_.disarm(viewer.timer);
+  bells_.cancel(viewer.timer);
   viewer.state = State::over;
 }
 
--- a/src/standins/viewers.h
+++ b/src/standins/viewers.h
@@ -9,12 +9,12 @@
 
 #include "hints/cmcd.h"
 #include "http/http.h"
-#include "seams/seams.h"
+#include "io/io.h"
 #include "standins/day.h"
 #include "standins/hls_player.h"
 #include "standins/issuer.h"
+#include "timerwheel/timer_wheel.h"
 #include "trace/trace.h"
-#include "wheel/wheel.h"
 
 namespace violettide::standins {
 
@@ -45,7 +45,7 @@
     int hints = 0;  // 0 whole, 1 none, 2 malformed
     Duration watch{0}, came{0}, left_to_watch{0};
     State state = State::idle;
-    Link link = 0;
+    ConnectionId link = 0;
     int door = 0;
     bool first = true;  // the request under way begins a playback
     bool ever_played = false, starved = false, connected = false, answered = false;
@@ -68,7 +68,7 @@
     bool goes_on = false;  // where its playlists left it, on a new connection
     int breaks = 0;        // in a row
     int object = 0, status = 0, retry_after = 0, rung = 0;
-    Wheel<std::uint64_t>::Handle timer;
+    TimerWheel<std::uint64_t>::Handle timer;
   };
   enum class Bell : std::uint64_t { arrival, patience, again, next_object };
   void arrive(std::vector<Action>& actions, bool crowd);
@@ -103,12 +103,12 @@
   Duration now_{0};
   bool began_ = false, stopping_ = false;
   std::map<std::uint32_t, Viewer> viewers_;
-  std::map<Link, std::uint32_t> by_link_;
-  Wheel<std::uint64_t> bells_;
+  std::map<ConnectionId, std::uint32_t> by_link_;
+  TimerWheel<std::uint64_t> bells_;
   std::minstd_rand chance_;
   std::vector<double> zipf_;
   std::uint32_t next_viewer_ = 1;
-  Link next_link_ = 1;
+  ConnectionId next_link_ = 1;
   std::size_t asked_ = 0, requests_ = 0;
   std::optional<Issuer> issuer_;
   Duration wall_{0};
--- a/src/wheel/wheel.h
+++ b/src/timerwheel/timer_wheel.h
@@ -13,7 +13,7 @@
 namespace violettide {
 
 template <typename Payload>
-class Wheel {
+class TimerWheel {
  public:
   using Duration = std::chrono::microseconds;
   // Names one armed timer; stays harmless after it has rung, as slots carry a generation.
@@ -23,7 +23,7 @@
   };
 
   // Rings at the first advance() that reaches `at`; a time past rings at the next one.
-  Handle arm(Duration at, Payload payload) {
+  Handle schedule(Duration at, Payload payload) {
     const auto place = take_place();
     auto& timer = timers_[place];
     timer.due = std::max(tick_of_up(at), now_ + 1);
@@ -35,7 +35,7 @@
   }
 
   // False if it has rung or was disarmed before.
-  bool disarm(Handle handle) {
+  bool cancel(Handle handle) {
     if (handle.place >= timers_.size())
       return false;
     auto& timer = timers_[handle.place];
@@ -70,7 +70,7 @@
       return std::nullopt;
     return Duration(static_cast<std::int64_t>(next_busy_tick(~std::uint64_t{0})) * tick_us);
   }
-  std::size_t armed() const { return armed_; }
+  std::size_t pending() const { return armed_; }
 
  private:
   static constexpr std::uint32_t none = ~std::uint32_t{0};
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -258,7 +258,7 @@
   const auto played = play(day_of(calm), {}, [&](std::vector<Action>& actions) {
     std::erase_if(actions, [&](const Action& act) {
       const auto* send = std::get_if<Send>(&act);
-      return send && send->link >= first_accepted && send->bytes.starts_with("HTTP/1.1 200") &&
+      return send && send->connection >= first_accepted && send->bytes.starts_with("HTTP/1.1 200") &&
              ++seen % 40 == 0;
     });
   });
@@ -266,17 +266,17 @@
 }
 
 TEST(Planted, ASecondAnswerIsRule1) {
-  std::map<Link, int> heads;
+  std::map<ConnectionId, int> heads;
   const auto played = play(day_of(calm), {}, [&](std::vector<Action>& actions) {
     std::vector<Action> doubled;
     for (const auto& act : actions) {
       doubled.push_back(act);
       const auto* send = std::get_if<Send>(&act);
-      if (!send || send->link < first_accepted)
+      if (!send || send->connection < first_accepted)
         continue;
       if (send->bytes.starts_with("HTTP/1.1 200"))
-        ++heads[send->link];
-      else if (heads[send->link] == 1 && send->link % 5 == 0)
+        ++heads[send->connection];
+      else if (heads[send->connection] == 1 && send->connection % 5 == 0)
         doubled.push_back(act);
     }
     actions = std::move(doubled);
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -411,7 +411,7 @@
       Keeper keeper({}, numbered(), 2);
       store.restore_to(keeper);
       for (int i = 1; i < 10000; ++i) {
-        if (!store.keep(static_cast<Revision>(i), batch(i), false).empty())
+        if (!store.persist(static_cast<Revision>(i), batch(i), false).empty())
           _exit(1);
         if (write(answers[1], &i, sizeof i) != sizeof i)
           _exit(1);
@@ -444,7 +444,7 @@
     Keeper keeper({}, numbered(), 2);
     store.restore_to(keeper);
     for (int i = 1; i <= 20; ++i)
-      ASSERT_EQ(store.keep(static_cast<Revision>(i), batch(i), false), "");
+      ASSERT_EQ(store.persist(static_cast<Revision>(i), batch(i), false), "");
   }
   // One letter of the tenth batch flips on the disk.
   std::fstream file(folder + "/catalogue.db", std::ios::in | std::ios::out | std::ios::binary);
@@ -464,7 +464,7 @@
     EXPECT_TRUE(keeper.present()->find("t9"));
     EXPECT_FALSE(keeper.present()->find("t11")) << "never half loaded";
     EXPECT_TRUE(std::filesystem::exists(folder + "/catalogue.db.damaged"));
-    EXPECT_EQ(store.keep(10, batch(10), false), "") << "service goes on from there";
+    EXPECT_EQ(store.persist(10, batch(10), false), "") << "service goes on from there";
   }
   // Nothing of the database can be read: the snapshot written above stands in.
   std::ofstream(folder + "/catalogue.db", std::ios::trunc) << std::string(8192, 'x');
@@ -501,8 +501,8 @@
   cataloguestore::Store store(folder);
   Keeper keeper({}, numbered(), 2);
   store.restore_to(keeper);
-  ASSERT_EQ(store.keep(1, batch(1), false), "");
-  EXPECT_FALSE(store.keep(1, batch(2), false).empty()) << "a revision is kept once";
+  ASSERT_EQ(store.persist(1, batch(1), false), "");
+  EXPECT_FALSE(store.persist(1, batch(2), false).empty()) << "a revision is kept once";
   std::ofstream(folder + "/file") << "x";
   EXPECT_THROW(cataloguestore::Store(folder + "/file/below"), cataloguestore::Unusable);
 }
@@ -513,7 +513,7 @@
   Net net;
   Puppet boxes[3], list, viewer, operators;
   std::unique_ptr<manager::Manager> front;
-  Link next = 1;
+  ConnectionId next = 1;
   static constexpr int list_host = 4, viewer_host = 5, operator_host = 6;
   std::string states[3] = {"ready", "ready", "ready"};
   int list_revision = 1;
@@ -542,7 +542,7 @@
     front = std::make_unique<manager::Manager>(terms, 1, "", nullptr);
     net.add(*front, 2);
     for (int b = 0; b < 3; ++b) {
-      boxes[b].on_bytes = [this, b](Puppet& box, Link link, std::vector<Action>& actions) {
+      boxes[b].on_bytes = [this, b](Puppet& box, ConnectionId link, std::vector<Action>& actions) {
         auto& got = box.peers[link].got;
         const auto end = got.find("\r\n\r\n");
         if (end == std::string::npos)
@@ -562,7 +562,7 @@
       };
       net.add(boxes[b], 1);
     }
-    list.on_bytes = [this](Puppet&, Link link, std::vector<Action>& actions) {
+    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
       std::string text =
           "{\"revision\":" + std::to_string(list_revision) + ",\"clock_ms\":100000,\"boxes\":[";
       for (int b = 0; b < 3; ++b) {
@@ -579,8 +579,8 @@
     net.add(operators, 0);
     net.run(50ms);
   }
-  Link ask(const std::string& title, int sid) {
-    const Link link = next++;
+  ConnectionId ask(const std::string& title, int sid) {
+    const ConnectionId link = next++;
     viewer.next.push_back(Dial{link, "", Net::port(0)});
     viewer.next.push_back(Send{link, "GET /a/" + title +
                                          "/r1/0 HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"s" +
@@ -590,7 +590,7 @@
   }
   // The operator's request; its answer is waited for by running the net on.
   std::string change(const std::string& method, const std::string& target, const std::string& body = "") {
-    const Link link = next++;
+    const ConnectionId link = next++;
     operators.next.push_back(Dial{link, "", Net::port(0, 1)});
     operators.next.push_back(Send{link, method + " " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                                             std::to_string(body.size()) + "\r\n\r\n" + body});
@@ -698,7 +698,7 @@
     amid.net.keep_time = Duration(chance() % 6000);
     for (int t = 0; t < 3; ++t)
       amid.put("t" + std::to_string(t), {0, 1, 2});
-    std::vector<Link> asked;
+    std::vector<ConnectionId> asked;
     for (int step = 0; step < 60; ++step) {
       const auto title = "t" + std::to_string(chance() % 3);
       if (chance() % 2 == 0)
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -42,12 +42,12 @@
     net.add(box[1], 1);
     net.add(list, 1);
     net.add(viewer, 0);
-    list.on_bytes = [this](Puppet&, Link link, std::vector<Action>& actions) {
+    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
     for (int b = 0; b < 2; ++b) {
-      box[b].on_bytes = [this, b](Puppet& own, Link link, std::vector<Action>& actions) {
+      box[b].on_bytes = [this, b](Puppet& own, ConnectionId link, std::vector<Action>& actions) {
         serve(b, own, link, actions);
       };
     }
@@ -74,7 +74,7 @@
   }
 
   // What the boxes have, by target; nothing: 404. A list of its own for each box where that is given.
-  void serve(int b, Puppet& own, Link link, std::vector<Action>& actions) {
+  void serve(int b, Puppet& own, ConnectionId link, std::vector<Action>& actions) {
     auto& got = own.peers[link].got;
     for (auto end = got.find("\r\n\r\n"); end != std::string::npos; end = got.find("\r\n\r\n")) {
       const auto head = got.substr(0, end);
@@ -142,8 +142,8 @@
     int status = 0;
     std::string head, body;
   };
-  Link dial() {
-    const Link link = next_link++;
+  ConnectionId dial() {
+    const ConnectionId link = next_link++;
     viewer.next.push_back(Dial{link, "", Net::port(front_host)});
     step();
     return link;
@@ -152,11 +152,11 @@
     net.poke(viewer_host);
     net.run(net.now() + time);
   }
-  void send(Link link, const std::string& target, const std::string& fields = "") {
+  void send(ConnectionId link, const std::string& target, const std::string& fields = "") {
     viewer.next.push_back(Send{link, "GET " + target + " HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n"});
     step();
   }
-  Answer answer(Link link) {
+  Answer answer(ConnectionId link) {
     auto& got = viewer.peers[link].got;
     Answer made;
     const auto end = got.find("\r\n\r\n");
@@ -205,7 +205,7 @@
   std::function<std::vector<Command>(const Event&)> decide;
   ServerId first_box = 0;
   int rung = 1;
-  Link next_link = 1;
+  ConnectionId next_link = 1;
   std::string boxes_json = testing::two_boxes;
 };
 
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -43,7 +43,7 @@
     net.add(other_box, 1);
     net.add(list, 1);
     net.add(viewer, 0);
-    list.on_bytes = [this](Puppet&, Link link, std::vector<Action>& actions) {
+    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
@@ -65,8 +65,8 @@
     return {};
   }
 
-  Link dial() {
-    const Link link = next_link++;
+  ConnectionId dial() {
+    const ConnectionId link = next_link++;
     viewer.next.push_back(Dial{link, "", Net::port(front_host)});
     act(viewer_host);
     return link;
@@ -75,14 +75,14 @@
     net.poke(host);
     net.run(net.now() + 2ms);
   }
-  void send(Link link, const std::string& text) {
+  void send(ConnectionId link, const std::string& text) {
     viewer.next.push_back(Send{link, text});
     act(viewer_host);
   }
   static std::string get(const std::string& path, const std::string& sid = "s1") {
     return "GET " + path + " HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"" + sid + "\"\r\n\r\n";
   }
-  void box_sends(Puppet& from, int host, Link link, const std::string& text) {
+  void box_sends(Puppet& from, int host, ConnectionId link, const std::string& text) {
     from.next.push_back(Send{link, text});
     act(host);
   }
@@ -90,14 +90,14 @@
     return "HTTP/1.1 200 OK\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
   }
-  std::string& got(Link link) { return viewer.peers[link].got; }
+  std::string& got(ConnectionId link) { return viewer.peers[link].got; }
   template <typename Kind>
   std::vector<Kind> told_of() const {
     return testing::of_kind<Kind>(told);
   }
   // The connections that were set up with the box so far that carried a request.
-  static std::vector<Link> asked(Puppet& puppet) {
-    std::vector<Link> links;
+  static std::vector<ConnectionId> asked(Puppet& puppet) {
+    std::vector<ConnectionId> links;
     for (const auto link : puppet.accepted) {
       if (puppet.peers[link].got.starts_with("GET"))
         links.push_back(link);
@@ -112,7 +112,7 @@
   std::vector<Event> told;
   std::map<PlaybackId, int> tries;
   std::function<std::vector<Command>(Duration, const Event&)> decide;
-  Link next_link = 1;
+  ConnectionId next_link = 1;
   std::string boxes_json = testing::two_boxes;
 };
 
@@ -160,7 +160,7 @@
     const auto link = dial();
     send(link, get("/a/t/r2/0", "s" + std::to_string(++n)));
     // A connection that the box left open after an answer of its own is used again.
-    Link at_box = 0;
+    ConnectionId at_box = 0;
     for (const auto accepted : box.accepted) {
       if (!box.peers[accepted].got.empty() && !box.peers[accepted].ended)
         at_box = accepted;
@@ -282,7 +282,7 @@
   net.replace(front_host, *front);
   net.run(net.now() + 50ms);
   for (const bool paid : {true, false}) {
-    Link last = 0;
+    ConnectionId last = 0;
     for (int i = 0; i < 17; ++i)
       send(last = dial(), get(paid ? "/paid/t/r2/0" : "/a/t/r2/0", "s"));
     EXPECT_TRUE(got(last).starts_with(paid ? "HTTP/1.1 502" : "HTTP/1.1 503")) << got(last);
@@ -369,7 +369,7 @@
 }
 
 TEST_F(Mishaps, TooManyWaitersForOneSetUpAreTurnedAway) {
-  std::vector<Link> links;
+  std::vector<ConnectionId> links;
   std::string pipelined;
   const auto link = dial();
   send(link, get("/a/t/r2/0"));
@@ -453,7 +453,7 @@
   told.clear();
   got(link).clear();
   // The box closes it just as the next request is on its way.
-  box.on_bytes = [&](Puppet&, Link at, std::vector<Action>& actions) {
+  box.on_bytes = [&](Puppet&, ConnectionId at, std::vector<Action>& actions) {
     if (at == kept)
       actions.push_back(Close{at, false});
   };
@@ -509,7 +509,7 @@
 
 TEST_F(Mishaps, AViewerThatReadsNothingHoldsItsBoxNotMemory) {
   const auto link = dial();
-  viewer.next.push_back(Hold{link});
+  viewer.next.push_back(PauseReading{link});
   act(viewer_host);
   send(link, get("/a/t/r2/0"));
   const std::string block(64 * 1024, 'v');
@@ -665,7 +665,7 @@
     for (auto& [l, peer] : box.peers)
       peer.got.clear();
   }
-  for (Link link = 1; link < next_link; ++link)
+  for (ConnectionId link = 1; link < next_link; ++link)
     viewer.next.push_back(Close{link, false});
   act(viewer_host);
   net.run(net.now() + 30s);
@@ -693,7 +693,7 @@
   }
   std::map<int, int> slices;
   int polls = 0;
-  list.on_bytes = [&](Puppet&, Link link, std::vector<Action>& actions) {
+  list.on_bytes = [&](Puppet&, ConnectionId link, std::vector<Action>& actions) {
     ++polls, ++slices[static_cast<int>(net.now() / 20ms)];
     actions.push_back(
         Send{link, http::head_text(200, {}, testing::two_boxes.size(), false) + testing::two_boxes});
--- a/tests/program/net.h
+++ b/tests/program/net.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "seams/seams.h"
+#include "io/io.h"
 
 namespace violettide::testing {
 
@@ -19,12 +19,12 @@
 class Net {
  public:
   Duration latency = 200us;
-  std::vector<std::pair<int, Say>> said;  // by host
-  std::vector<std::string> kept;          // by all
+  std::vector<std::pair<int, LogLine>> said;  // by host
+  std::vector<std::string> kept;              // by all
   std::map<int, std::vector<std::string>> kept_by;
   std::function<bool(int from, int to)> lost;  // messages that never arrive, as in a partition
   Duration keep_time = 2ms;
-  std::string keep_fails;  // the cause that each Keep meets from now on; empty: none
+  std::string keep_fails;  // the cause that each Persist meets from now on; empty: none
 
   // Doors get the ports HOST * 1000 + 1, and on.
   int add(Core& core, int doors) {
@@ -32,7 +32,7 @@
     hosts_.push_back({&core, {}, {}, first_accepted, true, Duration(-1), 0});
     for (int i = 0; i < doors; ++i)
       hosts_[host].open.insert(i);
-    post(now_, host, Woken{});
+    post(now_, host, TimerFired{});
     return host;
   }
   static std::uint16_t port(int host, int door = 0) {
@@ -43,22 +43,22 @@
     hosts_[host].alive = true;
     for (int door = 0; door < doors; ++door)
       hosts_[host].open.insert(door);
-    post(now_, host, Woken{});
+    post(now_, host, TimerFired{});
   }
   // The process is gone at once: its peers' connections are reset, its doors refuse.
   void kill(int host) {
     hosts_[host].alive = false;
     hosts_[host].open.clear();
-    std::vector<Link> all;
+    std::vector<ConnectionId> all;
     for (const auto& [link, wire] : hosts_[host].wires)
       all.push_back(link);
     for (const auto link : all)
-      cut(host, link, Ending::reset);
+      cut(host, link, CloseReason::reset);
   }
   // Hears nothing until then; what came meanwhile waits.
   void stand_still(int host, Duration until) { hosts_[host].still_until = until; }
-  void poke(int host) { post(now_, host, Woken{}); }
-  void tell_to_stop(int host) { post(now_, host, StopAsked{}); }
+  void poke(int host) { post(now_, host, TimerFired{}); }
+  void tell_to_stop(int host) { post(now_, host, ShutdownRequested{}); }
   std::size_t waiting_at(int host) const {  // bytes sent to it that it does not read
     std::size_t bytes = 0;
     for (const auto& [link, wire] : hosts_[host].wires)
@@ -80,7 +80,7 @@
       auto& host = hosts_[event.host];
       if (!host.alive)
         continue;
-      if (!event.bytes.empty() && std::holds_alternative<Woken>(event.what) && key.second != host.wake)
+      if (!event.bytes.empty() && std::holds_alternative<TimerFired>(event.what) && key.second != host.wake)
         continue;
       if (now_ < host.still_until) {
         events_.emplace(std::pair(host.still_until, key.second), std::move(event));
@@ -94,7 +94,7 @@
  private:
   struct Wire {
     int host = 0;
-    Link link = 0;
+    ConnectionId link = 0;
     bool held = false;
     std::string waiting = {};  // bytes that a held reader has not read
     bool half_waiting = false;
@@ -102,8 +102,8 @@
   struct Host {
     Core* core;
     std::set<int> open;
-    std::map<Link, Wire> wires;  // own link: the far end
-    Link next;
+    std::map<ConnectionId, Wire> wires;  // own link: the far end
+    ConnectionId next;
     bool alive;
     Duration still_until;
     std::uint64_t wake = 0;
@@ -121,7 +121,7 @@
   void deliver(Event& event) {
     auto& host = hosts_[event.host];
     if (auto* received = std::get_if<Received>(&event.what)) {
-      const auto wire = host.wires.find(received->link);
+      const auto wire = host.wires.find(received->connection);
       if (wire == host.wires.end())
         return;
       if (wire->second.held) {
@@ -132,18 +132,18 @@
       const auto& far = wire->second;
       post(now_, far.host, Flushed{far.link});
     } else if (const auto* half = std::get_if<HalfClosed>(&event.what)) {
-      const auto wire = host.wires.find(half->link);
+      const auto wire = host.wires.find(half->connection);
       if (wire == host.wires.end())
         return;
       if (wire->second.held) {
         wire->second.half_waiting = true;
         return;
       }
-    } else if (const auto* ended = std::get_if<Ended>(&event.what)) {
-      if (!host.wires.erase(ended->link))
+    } else if (const auto* ended = std::get_if<Disconnected>(&event.what)) {
+      if (!host.wires.erase(ended->connection))
         return;
     } else if (const auto* flushed = std::get_if<Flushed>(&event.what)) {
-      if (!host.wires.contains(flushed->link))
+      if (!host.wires.contains(flushed->connection))
         return;
     }
     std::vector<Action> actions;
@@ -155,27 +155,27 @@
   void perform(int at, Action& act) {
     auto& host = hosts_[at];
     std::visit(
-        Visit{
+        Overloaded{
             [&](Dial& a) {
               const int far = (a.port - 1) / 1000, door = (a.port - 1) % 1000;
               if (far >= static_cast<int>(hosts_.size()) || !hosts_[far].open.contains(door)) {
-                host.wires[a.link] = {at, 0};
-                return post(now_ + latency, at, Ended{a.link, Ending::refused});
+                host.wires[a.connection] = {at, 0};
+                return post(now_ + latency, at, Disconnected{a.connection, CloseReason::refused});
               }
-              const Link theirs = hosts_[far].next++;
-              host.wires[a.link] = {far, theirs};
-              hosts_[far].wires[theirs] = {at, a.link};
+              const ConnectionId theirs = hosts_[far].next++;
+              host.wires[a.connection] = {far, theirs};
+              hosts_[far].wires[theirs] = {at, a.connection};
               post(now_ + latency, far, Accepted{theirs, door});
-              post(now_ + 2 * latency, at, Connected{a.link});
+              post(now_ + 2 * latency, at, Connected{a.connection});
             },
             [&](Send& a) {
-              const auto wire = host.wires.find(a.link);
+              const auto wire = host.wires.find(a.connection);
               if (wire == host.wires.end() || (lost && lost(at, wire->second.host)))
                 return;
               post(now_ + latency, wire->second.host, Received{wire->second.link, {}}, std::move(a.bytes));
             },
             [&](Close& a) {
-              const auto wire = host.wires.find(a.link);
+              const auto wire = host.wires.find(a.connection);
               if (wire == host.wires.end())
                 return;
               const auto far = wire->second;
@@ -185,54 +185,56 @@
               if (a.after_sending)
                 post(now_ + latency, far.host, HalfClosed{far.link});
               else
-                post(now_ + latency, far.host, Ended{far.link, Ending::reset});
+                post(now_ + latency, far.host, Disconnected{far.link, CloseReason::reset});
             },
-            [&](Hold& a) {
-              if (const auto wire = host.wires.find(a.link); wire != host.wires.end())
+            [&](PauseReading& a) {
+              if (const auto wire = host.wires.find(a.connection); wire != host.wires.end())
                 wire->second.held = true;
             },
-            [&](Resume& a) {
-              const auto found = host.wires.find(a.link);
+            [&](ResumeReading& a) {
+              const auto found = host.wires.find(a.connection);
               if (found == host.wires.end() || !found->second.held)
                 return;
               auto& wire = found->second;
               wire.held = false;
               if (!wire.waiting.empty())
-                post(now_, at, Received{a.link, {}}, std::exchange(wire.waiting, {}));
+                post(now_, at, Received{a.connection, {}}, std::exchange(wire.waiting, {}));
               if (std::exchange(wire.half_waiting, false))
-                post(now_, at, HalfClosed{a.link});
+                post(now_, at, HalfClosed{a.connection});
             },
-            [&](WakeAt& a) {  // replaces an earlier one
+            [&](StartTimer& a) {  // replaces an earlier one
               host.wake = sequence_;
-              post(std::max(now_, a.at), at, Woken{}, "wake");
+              post(std::max(now_, a.at), at, TimerFired{}, "wake");
             },
-            [&](Open& a) { host.open.insert(a.door); },
-            [&](Shut& a) { host.open.erase(a.door); },
-            [&](Store& a) {
+            [&](Listen& a) { host.open.insert(a.listener); },
+            [&](StopListening& a) { host.open.erase(a.listener); },
+            [&](WriteFile& a) {
               stored_[{at, a.name}] = a.bytes;
             },
-            [&](Keep& a) {
+            [&](Persist& a) {
               kept.push_back(a.bytes);
               if (keep_fails.empty())
                 kept_by[at].push_back(a.bytes);
               const auto failed = keep_fails;
-              post(now_ + keep_time, at, KeepDone{a.ticket, failed});
+              post(now_ + keep_time, at, Persisted{a.ticket, failed});
             },
-            [&](Say& a) { said.emplace_back(at, a); },
-            [&](Settle&) { post(now_, at, Settled{}); },  // after what is under way to it at this time
-            [&](Leave&) { kill(at); },
+            [&](LogLine& a) { said.emplace_back(at, a); },
+            [&](DrainInput&) {
+              post(now_, at, InputDrained{});
+            },  // after what is under way to it at this time
+            [&](StopLoop&) { kill(at); },
         },
         act);
   }
 
-  void cut(int host, Link link, Ending how) {
+  void cut(int host, ConnectionId link, CloseReason how) {
     const auto wire = hosts_[host].wires.find(link);
     if (wire == hosts_[host].wires.end())
       return;
     const auto far = wire->second;
     hosts_[host].wires.erase(wire);
     if (far.link != 0)
-      post(now_ + latency, far.host, Ended{far.link, how});
+      post(now_ + latency, far.host, Disconnected{far.link, how});
   }
 
   std::deque<Host> hosts_;
@@ -249,22 +251,22 @@
     std::string got;
     bool connected = false, half_closed = false, ended = false;
   };
-  std::map<Link, Peer> peers;
-  std::vector<Link> accepted;  // in order
-  std::vector<Action> next;    // done at its next happening
-  std::function<void(Puppet&, Link, std::vector<Action>&)> on_bytes;
+  std::map<ConnectionId, Peer> peers;
+  std::vector<ConnectionId> accepted;  // in order
+  std::vector<Action> next;            // done at its next happening
+  std::function<void(Puppet&, ConnectionId, std::vector<Action>&)> on_bytes;
 
   void handle(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    std::visit(Visit{
-                   [&](const Accepted& a) { peers[a.link], accepted.push_back(a.link); },
-                   [&](const Connected& c) { peers[c.link].connected = true; },
+    std::visit(Overloaded{
+                   [&](const Accepted& a) { peers[a.connection], accepted.push_back(a.connection); },
+                   [&](const Connected& c) { peers[c.connection].connected = true; },
                    [&](const Received& r) {
-                     peers[r.link].got += r.bytes;
+                     peers[r.connection].got += r.bytes;
                      if (on_bytes)
-                       on_bytes(*this, r.link, actions);
+                       on_bytes(*this, r.connection, actions);
                    },
-                   [&](const HalfClosed& h) { peers[h.link].half_closed = true; },
-                   [&](const Ended& e) { peers[e.link].ended = true; },
+                   [&](const HalfClosed& h) { peers[h.connection].half_closed = true; },
+                   [&](const Disconnected& e) { peers[e.connection].ended = true; },
                    [&](const auto&) {},
                },
                what);
--- a/tests/program/peers_test.cpp
+++ b/tests/program/peers_test.cpp
@@ -32,16 +32,16 @@
 
 class Two : public ::testing::Test {
  protected:
-  static constexpr Link in = first_accepted;
+  static constexpr ConnectionId in = first_accepted;
   // `a` dials, `b` challenges; what `a` then sends.
-  std::vector<std::string> greet(Link link_in = in) {
+  std::vector<std::string> greet(ConnectionId link_in = in) {
     std::vector<Action> challenge, answer;
     b.accepted(1s, link_in, challenge);
     a.received(dialed, sent(challenge).at(0), answer);
     return sent(answer);
   }
   Peers a{terms_of(0), 100}, b{terms_of(1), 100};
-  Link dialed = 100;
+  ConnectionId dialed = 100;
   std::vector<Action> actions;
 };
 
@@ -68,7 +68,7 @@
   for (int i = 0; i < 3; ++i)
     a.send(0s, 1, 7, std::to_string(i), actions);
   const auto frames = greet();
-  const auto refused = [&](Link link, const std::string& bytes) {
+  const auto refused = [&](ConnectionId link, const std::string& bytes) {
     actions.clear();
     const bool none = b.received(link, bytes, actions).empty();
     return none && did<Close>(actions) && b.take_remarks().size() == 1;
@@ -119,7 +119,7 @@
       continue;
     dials.push_back(now);
     a.ended(now, dialed);
-    dialed = 100 + static_cast<Link>(dials.size());
+    dialed = 100 + static_cast<ConnectionId>(dials.size());
   }
   EXPECT_GE(dials.size(), 10u);
   EXPECT_LE(dials.size(), 20u) << "in a minute";
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -1,6 +1,6 @@
 // Two events that cross at a session manager on the operators' platform, in both orders. What the kernel
-// brings in one turn of the loop is forced by holding back Settled, which the runtime tells when all that
-// had come is read.
+// brings in one turn of the loop is forced by holding back InputDrained, which the runtime tells when all
+// that had come is read.
 #include "platform_fixture.h"
 
 namespace violettide::platform {
@@ -17,7 +17,7 @@
     };
   }
   // A connection to a server that has carried one refused set-up.
-  Link connected_to_a() {
+  ConnectionId connected_to_a() {
     tries = 0;
     always_at(0);
     come();
@@ -62,7 +62,7 @@
 };
 std::vector<Leaving> ways_to_leave() {
   static const std::string cancel = end();
-  return {{"a reset", {Ended{viewer, Ending::reset}}},
+  return {{"a reset", {Disconnected{viewer, CloseReason::reset}}},
           {"its close", {HalfClosed{viewer}}},
           {"a cancel", {Received{viewer, cancel}}}};
 }
@@ -196,7 +196,7 @@
   hear(viewer, offer());
   now += 600ms;  // beyond the attempt's time
   settles = false;
-  happen(Woken{});
+  happen(TimerFired{});
   EXPECT_TRUE(of_kind<TryEnded>(told).empty());
   hear(link, accept());  // lay unread
   settle();
@@ -208,7 +208,7 @@
   const auto link = playing();
   now += 7s;
   settles = false;
-  happen(Woken{});
+  happen(TimerFired{});
   hear(link, from_server(44, call_number, parameter(150, "kept_up") + parameter(165, "1")));
   settle();
   settles = true;
@@ -220,7 +220,7 @@
   connected_to_a();
   hear(viewer, offer());
   now += 600ms;
-  happen(Woken{});
+  happen(TimerFired{});
   EXPECT_EQ(outcome(), Outcome::late);
 }
 
@@ -257,11 +257,11 @@
 
 TEST_F(Crossing, ADialThatFailsOnThisMachineSaysNothingOfTheServer) {
   const auto link = playing();
-  happen(Ended{link, Ending::reset});
+  happen(Disconnected{link, CloseReason::reset});
   for (int i = 0; i < 30; ++i) {  // no descriptor for far longer than a silent server is given
     const auto dial = dialled("10.1.0.1");
     if (dial)
-      happen(Ended{dial, Ending::unable});
+      happen(Disconnected{dial, CloseReason::local_failure});
     pass(500ms);
   }
   EXPECT_EQ(core->held().playbacks, 1u) << "what plays there goes on";
@@ -274,7 +274,7 @@
   always_at(0);
   come();
   hear(viewer, offer());
-  happen(Ended{dialled("10.1.0.1"), Ending::unable});
+  happen(Disconnected{dialled("10.1.0.1"), CloseReason::local_failure});
   EXPECT_EQ(outcome(), Outcome::not_sent);
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::rejected, 400));
   says = [](const Event& event) -> std::vector<Command> {
@@ -283,12 +283,12 @@
     return {};
   };
   hear(viewer, offer());
-  happen(Ended{dialled("10.1.0.2"), Ending::unable});
+  happen(Disconnected{dialled("10.1.0.2"), CloseReason::local_failure});
   ASSERT_EQ(of_kind<ProbeEnded>(told).size(), 1u);
   EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].answered);
   EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].sent);
   hear(viewer, offer("00000000000000aa"));
-  happen(Ended{dialled("10.1.0.2"), Ending::refused});
+  happen(Disconnected{dialled("10.1.0.2"), CloseReason::refused});
   EXPECT_TRUE(of_kind<ProbeEnded>(told).back().sent) << "a refusal is the server's";
 }
 
@@ -320,7 +320,7 @@
   hear(viewer, offer() + offer("00000000000000aa"));
   settles = false;
   hear(viewer, offer("00000000000000ab"));  // still unsent when the reset is read
-  happen(Ended{link, Ending::reset});
+  happen(Disconnected{link, CloseReason::reset});
   settle();
   std::vector<Outcome> outcomes;
   for (const auto& one : of_kind<TryEnded>(told))
@@ -375,7 +375,7 @@
   hear(next, accept());
   EXPECT_EQ(sent(viewer), "") << "the old one's attempt is not the new one's to answer";
   tries = 1;
-  happen(Ended{link, Ending::reset});
+  happen(Disconnected{link, CloseReason::reset});
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::rejected, 400));
   hear(next, accept(0xaa));
   EXPECT_EQ(sent(viewer), accept_line(0xaa, "server says\r\n"));
@@ -419,7 +419,7 @@
   };
   come();
   std::size_t most = 0;
-  Link first = 0;
+  ConnectionId first = 0;
   for (int i = 0; i < 100; ++i) {
     hear(viewer, offer(call_text(1000 + i)));
     const auto link = connect("10.3.0." + std::to_string(i));
@@ -520,10 +520,10 @@
 TEST_F(Crossing, AChannelThatMovesIsFollowedAtItsLastAddressWhateverTheOldOneSays) {
   enum class During { dial, resume, watch };
   const auto moved = [&](const std::string& to, const std::string& known = "") {
-    happen(Reread{R"({"listen":"10.0.0.4:3868","seed":"1","channel":")" + to + R"(:7070","known":{"cmds":[)" +
-                  known +
-                  R"(]},"settings":{"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
-                  R"("FamilyInfo":{"RatesKb":[1]}}})"});
+    happen(ConfigReloaded{R"({"listen":"10.0.0.4:3868","seed":"1","channel":")" + to +
+                          R"(:7070","known":{"cmds":[)" + known +
+                          R"(]},"settings":{"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
+                          R"("FamilyInfo":{"RatesKb":[1]}}})"});
   };
   for (const auto during : {During::dial, During::resume, During::watch}) {
     make(256);
@@ -554,10 +554,11 @@
   come();
   hear(viewer, offer());
   const auto link = dialled("10.1.0.1");
-  happen(Reread{R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:7070","known":{"cmds":[)" +
-                listed(2, "Terminating", "Ready") +
-                R"(]},"settings":{"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
-                R"("FamilyInfo":{"RatesKb":[1]}}})"});
+  happen(
+      ConfigReloaded{R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:7070","known":{"cmds":[)" +
+                     listed(2, "Terminating", "Ready") +
+                     R"(]},"settings":{"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
+                     R"("FamilyInfo":{"RatesKb":[1]}}})"});
   EXPECT_EQ(outcome(), Outcome::not_sent);
   happen(Connected{link});
   EXPECT_EQ(sent(link), "");
@@ -583,8 +584,8 @@
 
 TEST_F(Crossing, AStopGoesOnlyWhenAllThatCameIsReadAndAnswered) {
   const auto link = connected_to_a();
-  happen(StopAsked{});
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
+  happen(ShutdownRequested{});
   pass(790ms);
   EXPECT_FALSE(left());
   settles = false;
@@ -603,12 +604,12 @@
 
 TEST_F(Crossing, ARequestOnAConnectionStillInTheAcceptQueueAtTheEndIsAnswered) {
   always_at(0);
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   pass(790ms);
   settles = false;
   pass(110ms);  // it would go
   come();       // accepted in that turn, read in the next
-  core->handle(now, Settled{}, actions);
+  core->handle(now, InputDrained{}, actions);
   EXPECT_FALSE(left());
   hear(viewer, offer());
   unsettled = true;
@@ -622,19 +623,19 @@
 }
 
 TEST_F(Crossing, NewcomersWithoutEndKeepNobodyWhoStops) {
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   settles = false;
   pass(900ms);
-  for (Link link = viewer; link < viewer + 10 && !left(); ++link) {
+  for (ConnectionId link = viewer; link < viewer + 10 && !left(); ++link) {
     come(link);
-    core->handle(now, Settled{}, actions);
+    core->handle(now, InputDrained{}, actions);
   }
   EXPECT_TRUE(left());
 }
 
 TEST_F(Crossing, ClientsWhoStillComeAndWriteAfterTheWordToStopAreServed) {
   const auto link = connected_to_a();
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   pass(400ms);
   come(viewer + 1);
   pass(200ms);
@@ -648,7 +649,7 @@
   come();
   hear(viewer, offer());
   const auto link = connect("10.1.0.1");
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   settles = false;
   pass(2210ms);  // the longest of the plans' times, and somewhat more
   come(viewer + 1);
@@ -661,12 +662,12 @@
   EXPECT_EQ(sent(link), release_bytes(call_number, 16)) << "what may still run is given up";
   std::size_t whole = 0;
   for (const auto& act : actions) {
-    if (const auto* hang = std::get_if<Close>(&act); hang && hang->link >= viewer)
+    if (const auto* hang = std::get_if<Close>(&act); hang && hang->connection >= viewer)
       whole += hang->after_sending;
   }
   EXPECT_EQ(whole, 2u) << "no last answer is cut by a reset";
   EXPECT_TRUE(left());
-  EXPECT_LE(std::get<Leave>(actions.back()).within, 200ms) << "whoever reads nothing keeps it no longer";
+  EXPECT_LE(std::get<StopLoop>(actions.back()).timeout, 200ms) << "whoever reads nothing keeps it no longer";
 }
 
 TEST_F(Crossing, AStopBeforeAnythingElseGoesInOrder) {
@@ -677,9 +678,9 @@
   core = std::make_unique<Platform>(
       terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
-  happen(StopAsked{});
-  happen(Woken{});
-  happen(Reread{"half of a fi"});
+  happen(ShutdownRequested{});
+  happen(TimerFired{});
+  happen(ConfigReloaded{"half of a fi"});
   pass(1s);
   EXPECT_TRUE(left());
 }
@@ -731,14 +732,14 @@
   hear(viewer + 1, test_words());
   sent(viewer + 1);
   come(viewer + 2);  // has said nothing yet
-  happen(Ended{viewer, Ending::reset});
+  happen(Disconnected{viewer, CloseReason::reset});
   hear(link, release(16));
   EXPECT_EQ(sent(viewer + 1), end_line(call_number, 16));
 }
 
 TEST_F(Crossing, AnEndThatNobodyIsThereToHearIsToldToTheNextWhoSpeaks) {
   const auto link = playing();
-  happen(Ended{viewer, Ending::reset});
+  happen(Disconnected{viewer, CloseReason::reset});
   hear(link, release(16));
   come(viewer + 1);
   EXPECT_EQ(sent(viewer + 1), "");
@@ -774,7 +775,7 @@
       if (one == Of::refusal)
         hear(link, release(34));
       if (one == Of::deadline)
-        now += 2ms, happen(Woken{});
+        now += 2ms, happen(TimerFired{});
       if (one == Of::cancel)
         hear(viewer, end());
     }
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -13,7 +13,7 @@
 using testing::of_kind;
 using testing::Script;
 
-constexpr Link viewer = first_accepted;
+constexpr ConnectionId viewer = first_accepted;
 inline const std::string call = "9b1f03aa5c7e2d41";
 constexpr CallId call_number = 0x9b1f03aa5c7e2d41;
 
@@ -68,7 +68,7 @@
                                         return says ? says(event) : std::vector<Command>{};
                                       }));
     actions.clear();
-    happen(Woken{});
+    happen(TimerFired{});
     channel_link = dialled("10.2.0.1");
   }
   static std::string listed(int number, const std::string& a, const std::string& b, bool whole = false,
@@ -84,65 +84,66 @@
            entry("s-b", "10.1.0.2", b, "0") + "]}}";
   }
 
-  // As the runtime does, it tells of Settled when asked, unless a test holds that back to force what comes
-  // first.
+  // As the runtime does, it tells of InputDrained when asked, unless a test holds that back to force what
+  // comes first.
   void happen(const IoEvent& what) {
     core->handle(now, what, actions);
-    if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<Settle>(act); }) > 0)
+    if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<DrainInput>(act); }) > 0)
       unsettled = true;
     if (settles)
       settle();
   }
   void settle() {
     while (std::exchange(unsettled, false)) {
-      core->handle(now, Settled{}, actions);
-      if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<Settle>(act); }) > 0)
+      core->handle(now, InputDrained{}, actions);
+      if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<DrainInput>(act); }) >
+          0)
         unsettled = true;
     }
   }
   void pass(Duration time) {  // in steps, as the core's timers ring
     for (const auto until = now + time; now < until;) {
       now = std::min(until, now + 10ms);
-      happen(Woken{});
+      happen(TimerFired{});
     }
   }
-  void hear(Link link, const std::string& bytes) { happen(Received{link, bytes}); }
-  void come(Link link = viewer) { happen(Accepted{link, 0}); }
+  void hear(ConnectionId link, const std::string& bytes) { happen(Received{link, bytes}); }
+  void come(ConnectionId link = viewer) { happen(Accepted{link, 0}); }
 
   // What was dialled last at an address; 0: nothing. Forgets it.
-  Link dialled(const std::string& address) {
-    Link link = 0;
+  ConnectionId dialled(const std::string& address) {
+    ConnectionId link = 0;
     std::erase_if(actions, [&](const Action& act) {
       const auto* dial = std::get_if<Dial>(&act);
       if (!dial || dial->address != address)
         return false;
-      link = dial->link;
+      link = dial->connection;
       return true;
     });
     return link;
   }
-  std::string sent(Link link) {  // and forgets it
+  std::string sent(ConnectionId link) {  // and forgets it
     std::string all;
     std::erase_if(actions, [&](const Action& act) {
       const auto* send = std::get_if<Send>(&act);
-      if (!send || send->link != link)
+      if (!send || send->connection != link)
         return false;
       all += send->bytes;
       return true;
     });
     return all;
   }
-  bool hung(Link link) const {
+  bool hung(ConnectionId link) const {
     return std::any_of(actions.begin(), actions.end(), [&](const Action& act) {
       const auto* hang = std::get_if<Close>(&act);
-      return hang && hang->link == link;
+      return hang && hang->connection == link;
     });
   }
   bool left() const {
     return std::any_of(actions.begin(), actions.end(),
-                       [](const Action& act) { return std::holds_alternative<Leave>(act); });
+                       [](const Action& act) { return std::holds_alternative<StopLoop>(act); });
   }
-  Link connect(const std::string& address) {
+  ConnectionId connect(const std::string& address) {
     const auto link = dialled(address);
     EXPECT_NE(link, 0u) << address;
     happen(Connected{link});
@@ -166,7 +167,7 @@
     };
   }
   // A playback that plays at s-a; its connection there.
-  Link playing() {
+  ConnectionId playing() {
     always_at(0);
     come();
     hear(viewer, offer());
@@ -186,7 +187,7 @@
   std::unique_ptr<Platform> core;
   std::vector<Action> actions;
   Duration now{1s};
-  Link channel_link = 0;
+  ConnectionId channel_link = 0;
   int tries = 0;
   bool settles = true, unsettled = false;
 };
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -85,7 +85,7 @@
   always_at(0);
   come();
   hear(viewer, offer());
-  happen(Ended{dialled("10.1.0.1"), Ending::refused});
+  happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
   EXPECT_EQ(outcome(), Outcome::no_connection);
   tries = 0;
   hear(viewer, offer());
@@ -134,7 +134,7 @@
   EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 1u);
   EXPECT_EQ(outcome(), Outcome::cancelled);
   hear(viewer, offer("00000000000000aa"));
-  happen(Ended{viewer, Ending::reset});
+  happen(Disconnected{viewer, CloseReason::reset});
   EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 2u) << "a connection that ends takes its set-ups with it";
   EXPECT_EQ(core->held().playbacks, 0u);
 }
@@ -142,7 +142,7 @@
 TEST_F(PlatformTest, AViewerEndsWhatPlaysOnAnyConnection) {
   const auto link = playing();
   sent(link);
-  happen(Ended{viewer, Ending::reset});
+  happen(Disconnected{viewer, CloseReason::reset});
   EXPECT_EQ(core->held().playbacks, 1u) << "no connection owns what plays";
   come(viewer + 1);
   hear(viewer + 1, end());
@@ -185,7 +185,7 @@
         offer(call, "1500", "", "home"),
         std::string(R"({"op":"offer","call":")" + call + R"(","with":{}})" + "\n"),
         std::string(R"({"op":"dance","call":")" + call + R"("})" + "\n")}) {
-    const Link link = viewer + static_cast<Link>(++number);
+    const ConnectionId link = viewer + static_cast<ConnectionId>(++number);
     come(link);
     hear(link, bad);
     EXPECT_EQ(sent(link), end_line(call_number, cause::unusable)) << bad;
@@ -222,9 +222,9 @@
 
 TEST_F(PlatformTest, WhatIsTurnedOffIsSaidWithItsCauseOnceASecond) {
   const auto said = [&] {
-    std::vector<Say> all;
+    std::vector<LogLine> all;
     for (const auto& act : actions) {
-      if (const auto* say = std::get_if<Say>(&act); say && say->event == "turned_off")
+      if (const auto* say = std::get_if<LogLine>(&act); say && say->event == "turned_off")
         all.push_back(*say);
     }
     return all;
@@ -291,7 +291,7 @@
   hear(viewer, R"({"op":"test","call":"0000000000000001","with":{},"why":0})"
                "\n");
   now += 300ms;
-  for (Link link = viewer + 1; link < viewer + 200; ++link) {
+  for (ConnectionId link = viewer + 1; link < viewer + 200; ++link) {
     come(link);
     pass(10ms);
   }
@@ -304,7 +304,7 @@
 // All at once, so that none has rested: descriptors are left for the servers and the channel.
 TEST_F(PlatformTest, BeyondFiveEighthsOfTheDescriptorsNewcomersAreRefused) {
   make(64);
-  for (Link link = viewer; link < viewer + 50; ++link)
+  for (ConnectionId link = viewer; link < viewer + 50; ++link)
     come(link);
   EXPECT_EQ(core->held().viewer_links, 40u);
   EXPECT_FALSE(hung(viewer + 39));
@@ -316,7 +316,7 @@
   make(64);
   const auto words = R"({"op":"test","call":"0000000000000001","with":{},"why":0})"
                      "\n";
-  for (Link link = viewer; link < viewer + 33; ++link) {
+  for (ConnectionId link = viewer; link < viewer + 33; ++link) {
     come(link);
     hear(link, words);
     if (link == viewer)
@@ -329,7 +329,7 @@
   now += 300ms;
   come(viewer + 40);
   now += 200ms;  // stood still
-  happen(Woken{});
+  happen(TimerFired{});
   EXPECT_FALSE(hung(viewer));
   hear(viewer, offer());
   pass(50ms);
@@ -356,18 +356,18 @@
 
 TEST_F(PlatformTest, APlaybackOutlivesItsConnectionButNotItsServersProcess) {
   const auto link = playing();
-  happen(Ended{link, Ending::reset});
+  happen(Disconnected{link, CloseReason::reset});
   const auto second = dialled("10.1.0.1");
   ASSERT_NE(second, 0u) << "at once, to hear how playbacks end";
   happen(Connected{second});
   EXPECT_EQ(core->held().playbacks, 1u);
-  happen(Ended{second, Ending::reset});
+  happen(Disconnected{second, CloseReason::reset});
   EXPECT_EQ(dialled("10.1.0.1"), 0u) << "not without end where every connection is reset";
   pass(500ms);
-  happen(Ended{dialled("10.1.0.1"), Ending::refused});
+  happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
   EXPECT_EQ(core->held().playbacks, 1u) << "one refusal may be a moment's";
   pass(550ms);
-  happen(Ended{dialled("10.1.0.1"), Ending::refused});
+  happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
   EXPECT_EQ(core->held().playbacks, 0u);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
 }
@@ -377,7 +377,7 @@
   const auto link = playing();
   for (int i = 0; i < 4; ++i) {
     pass(i == 0 ? 2100ms : 550ms);
-    happen(Ended{dialled("10.1.0.1"), Ending::refused});
+    happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
   }
   EXPECT_EQ(core->held().playbacks, 1u);
   hear(link, release(16));
@@ -434,7 +434,7 @@
   come();
   hear(viewer, offer());
   const auto link = connect("10.1.0.1");
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   hear(viewer, R"({"op":"test","call":"0000000000000001","with":{},"why":0})"
                "\n");
   EXPECT_EQ(sent(viewer), tested_line(1, false)) << "the front is to take it out";
@@ -450,7 +450,7 @@
 
 TEST_F(PlatformTest, AStopEndsInTheLongestAbandonTimeWhateverPlays) {
   playing();
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   pass(2100ms);
   EXPECT_FALSE(left());
   pass(150ms);  // 0.25 s before it is killed
@@ -470,7 +470,7 @@
   actions.clear();
   come();
   hear(viewer, offer(call, "9000", "", "home:0;copies:1;top:0"));
-  happen(StopAsked{});
+  happen(ShutdownRequested{});
   pass(3300ms);
   EXPECT_FALSE(left());
   pass(150ms);
@@ -489,7 +489,7 @@
 TEST_F(PlatformTest, ALongDayOfNewNamesLeavesNothingBehind) {
   always_at(0);
   come();
-  Link link = 0;
+  ConnectionId link = 0;
   std::size_t timers = 0;
   for (int i = 0; i < 20'000; ++i) {
     tries = 0;
@@ -516,13 +516,13 @@
 
 TEST_F(PlatformTest, AnotherConfigurationMovesTheChannelAndOneThatCannotBeReadMovesNothing) {
   happen(Connected{channel_link});
-  happen(Reread{"half of a fi"});
+  happen(ConfigReloaded{"half of a fi"});
   EXPECT_FALSE(hung(channel_link));
   const std::string start = R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.9:7070","settings":)";
-  happen(Reread{start + "{}}"});
+  happen(ConfigReloaded{start + "{}}"});
   EXPECT_FALSE(hung(channel_link)) << "a plan is missing";
-  happen(Reread{start + R"({"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
-                        R"("FamilyInfo":{"RatesKb":[1]}}})"});
+  happen(ConfigReloaded{start + R"({"Classes":[{"Name":"triage","Aim":1000,"GiveUp":2000}],)"
+                                R"("FamilyInfo":{"RatesKb":[1]}}})"});
   EXPECT_TRUE(hung(channel_link));
   pass(300ms);
   const auto next = connect("10.2.0.9");
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -45,13 +45,13 @@
       box_cores_[b] = std::make_unique<Box>(*this, b);
       net_.add(*box_cores_[b], 1);
     }
-    list_.on_bytes = [this](testing::Puppet&, Link link, std::vector<Action>& actions) {
+    list_.on_bytes = [this](testing::Puppet&, ConnectionId link, std::vector<Action>& actions) {
       const auto text = list_text();
       actions.push_back(Send{link, http::head_text(200, {}, text.size(), false) + text});
       actions.push_back(Close{link, true});
     };
     net_.add(list_, 1);
-    viewer_.on_bytes = [this](testing::Puppet& puppet, Link link, std::vector<Action>&) {
+    viewer_.on_bytes = [this](testing::Puppet& puppet, ConnectionId link, std::vector<Action>&) {
       heard(puppet, link);
     };
     net_.add(viewer_, 0);
@@ -99,19 +99,19 @@
     Box(Hall& hall, int number) : hall(hall), number(number) {}
     Hall& hall;
     int number;
-    std::map<Link, std::string> got;
-    std::multimap<Duration, std::pair<Link, std::string>> due;  // empty: a reset
+    std::map<ConnectionId, std::string> got;
+    std::multimap<Duration, std::pair<ConnectionId, std::string>> due;  // empty: a reset
     void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (const auto* received = std::get_if<Received>(&what)) {
-        auto& text = got[received->link];
+        auto& text = got[received->connection];
         text += received->bytes;
         if (text.find("\r\n\r\n") != std::string::npos) {
-          answer(now, received->link, text);
+          answer(now, received->connection, text);
           text.clear();
         }
       }
-      if (const auto* ended = std::get_if<Ended>(&what))
-        hall.try_over(number, ended->link, false);
+      if (const auto* ended = std::get_if<Disconnected>(&what))
+        hall.try_over(number, ended->connection, false);
       while (!due.empty() && due.begin()->first <= now) {
         const auto [link, text] = due.begin()->second;
         due.erase(due.begin());
@@ -124,9 +124,9 @@
         }
       }
       if (!due.empty())
-        actions.push_back(WakeAt{due.begin()->first});
+        actions.push_back(StartTimer{due.begin()->first});
     }
-    void answer(Duration now, Link link, const std::string& text) {
+    void answer(Duration now, ConnectionId link, const std::string& text) {
       const bool set_up = text.find(", su") != std::string::npos || text.find("su,") != std::string::npos ||
                           text.find("CMCD-Status: su") != std::string::npos ||
                           text.find("su\r\n") != std::string::npos;
@@ -231,7 +231,7 @@
     if (!running_[front] || stopping_[front])
       return;
     const int playback = ++asked_;
-    const Link link = next_link_++;
+    const ConnectionId link = next_link_++;
     link_of_[link] = playback;
     front_of_[playback] = front;
     const std::string plan = playback % 2 ? "paid" : "free";
@@ -242,7 +242,7 @@
     net_.poke(viewer_host);
     pending_[playback] = net_.now() + 5 * latency_ + 20ms;
   }
-  void heard(testing::Puppet& puppet, Link link) {
+  void heard(testing::Puppet& puppet, ConnectionId link) {
     const auto found = link_of_.find(link);
     if (found == link_of_.end() || puppet.peers[link].got.find("\r\n\r\n") == std::string::npos)
       return;
@@ -268,10 +268,10 @@
 
   struct Try {
     int box = 0;
-    Link link = 0;
+    ConnectionId link = 0;
     bool out = false;
   };
-  void try_came(int box, Link link, int playback) {
+  void try_came(int box, ConnectionId link, int playback) {
     const int front = front_of_[playback];
     take(playback);
     if (gone_.contains(playback))
@@ -286,7 +286,7 @@
     t = {box, link, true};
     step(What::sent, front, playback, box);
   }
-  void try_over(int box, Link link, bool never_ran, bool plays = false) {
+  void try_over(int box, ConnectionId link, bool never_ran, bool plays = false) {
     for (auto& [playback, t] : tries_) {
       if (!t.out || t.box != box || t.link != link || gone_.contains(playback))
         continue;
@@ -365,8 +365,8 @@
   std::vector<std::string> states_;
   std::vector<std::vector<std::string>> history_{{}, std::vector<std::string>(boxes, "ready")};
   int revision_ = 1, asked_ = 0;
-  Link next_link_ = 1;
-  std::map<Link, int> link_of_;
+  ConnectionId next_link_ = 1;
+  std::map<ConnectionId, int> link_of_;
   std::map<int, int> front_of_;
   std::map<int, Try> tries_;
   std::map<int, Duration> pending_;  // asked, and when its manager surely has it
--- a/tests/program/runtime_test.cpp
+++ b/tests/program/runtime_test.cpp
@@ -27,10 +27,10 @@
   bool gave_up = false;
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) final {
     if (!began_)
-      began_ = true, actions.push_back(WakeAt{limit});
+      began_ = true, actions.push_back(StartTimer{limit});
     if (now >= limit) {
       gave_up = true;
-      actions.push_back(Leave{});
+      actions.push_back(StopLoop{});
       return;
     }
     happened(now, what, actions);
@@ -48,23 +48,23 @@
   std::uint16_t port = 0;
   std::string sent, back;
   bool half_closed = false, refused = false, reset = false;
-  Link server = 0;
+  ConnectionId server = 0;
   void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    std::visit(Visit{
-                   [&](const Woken&) {
+    std::visit(Overloaded{
+                   [&](const TimerFired&) {
                      if (sent.empty()) {
                        for (int i = 0; i < 400'000; ++i)
                          sent += static_cast<char>('a' + i % 23);
                        actions.push_back(Dial{1, "127.0.0.1", port});
                      }
                    },
-                   [&](const Accepted& a) { server = a.link; },
+                   [&](const Accepted& a) { server = a.connection; },
                    [&](const Connected& c) {
-                     if (c.link == 1)
+                     if (c.connection == 1)
                        actions.push_back(Send{1, sent});
                    },
                    [&](const Received& r) {
-                     if (r.link == server) {
+                     if (r.connection == server) {
                        actions.push_back(Send{server, std::string(r.bytes)});
                        echoed_ += r.bytes.size();
                        if (echoed_ == sent.size())
@@ -74,18 +74,18 @@
                      }
                    },
                    [&](const HalfClosed& h) {
-                     if (h.link != 1)
+                     if (h.connection != 1)
                        return;
                      half_closed = true;
                      actions.push_back(Close{1, false});
-                     actions.push_back(Shut{0});
+                     actions.push_back(StopListening{0});
                      actions.push_back(Dial{2, "127.0.0.1", port});
                    },
-                   [&](const Ended& e) {
-                     if (e.link != 2)
+                   [&](const Disconnected& e) {
+                     if (e.connection != 2)
                        return;
-                     refused = e.how == Ending::refused;
-                     actions.push_back(Leave{});
+                     refused = e.reason == CloseReason::refused;
+                     actions.push_back(StopLoop{});
                    },
                    [&](const auto&) {},
                },
@@ -116,24 +116,24 @@
   bool flushed_early = false, flushed = false;
   static constexpr std::size_t size = 32 * 1024 * 1024;
   void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
-    std::visit(Visit{
-                   [&](const Woken&) {
+    std::visit(Overloaded{
+                   [&](const TimerFired&) {
                      if (!dialled_)
                        dialled_ = true, actions.push_back(Dial{1, "127.0.0.1", port});
                      else if (now >= resume_at_ && held_)
-                       held_ = false, actions.push_back(Resume{1});
+                       held_ = false, actions.push_back(ResumeReading{1});
                    },
                    [&](const Accepted& a) {
-                     actions.push_back(Send{a.link, std::string(size, 'x')});
+                     actions.push_back(Send{a.connection, std::string(size, 'x')});
                    },
                    [&](const Connected&) {
                      held_ = true;
                      resume_at_ = now + 200ms;
-                     actions.push_back(Hold{1});
-                     actions.push_back(WakeAt{resume_at_});
+                     actions.push_back(PauseReading{1});
+                     actions.push_back(StartTimer{resume_at_});
                    },
                    [&](const Flushed& f) {
-                     if (f.link < first_accepted)
+                     if (f.connection < first_accepted)
                        return;
                      flushed = true;
                      flushed_early = held_;
@@ -143,7 +143,7 @@
                        got_while_held += r.bytes.size();
                      got += r.bytes.size();
                      if (got == size)
-                       actions.push_back(Leave{});
+                       actions.push_back(StopLoop{});
                    },
                    [&](const auto&) {},
                },
@@ -172,10 +172,10 @@
   try {
     Loop second(two, {{"127.0.0.1", first.port(0)}}, {}, "");
     FAIL() << "two listen at one port";
-  } catch (const Failed& failed) {
+  } catch (const LoopError& failed) {
     EXPECT_NE(failed.what.find("listening at 127.0.0.1:"), std::string::npos) << failed.what;
   }
-  EXPECT_THROW(Loop(two, {{"not an address", 1}}, {}, ""), Failed);
+  EXPECT_THROW(Loop(two, {{"not an address", 1}}, {}, ""), LoopError);
 }
 
 // The manager itself on sockets, with nothing behind it: it answers, and stops in order when asked.
@@ -187,17 +187,17 @@
     bool unable = false, woken = false;
     void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true)) {
-        actions.push_back(WakeAt{now + 50ms});
+        actions.push_back(StartTimer{now + 50ms});
         actions.push_back(Dial{1, "box-1.example", 80});
         due_ = now + 50ms;
         return;
       }
-      if (const auto* ended = std::get_if<Ended>(&what))
-        unable = ended->how == Ending::unable && !woken;
-      if (std::holds_alternative<Woken>(what) && now >= due_)
+      if (const auto* ended = std::get_if<Disconnected>(&what))
+        unable = ended->reason == CloseReason::local_failure && !woken;
+      if (std::holds_alternative<TimerFired>(what) && now >= due_)
         woken = true;
       if (woken)
-        actions.push_back(Leave{});
+        actions.push_back(StopLoop{});
     }
 
    private:
@@ -215,17 +215,17 @@
 TEST(Runtime, ARefusalIsThePeersAndAWantOfDescriptorsOurs) {
   class Dialler : public Bounded {
    public:
-    std::vector<Ending> ends;
+    std::vector<CloseReason> ends;
     std::uint16_t nobody = 0;
     void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true))
         actions.push_back(Dial{1, "127.0.0.1", nobody});
-      const auto* ended = std::get_if<Ended>(&what);
+      const auto* ended = std::get_if<Disconnected>(&what);
       if (!ended)
         return;
-      ends.push_back(ended->how);
+      ends.push_back(ended->reason);
       if (ends.size() == 2)
-        return actions.push_back(Leave{});
+        return actions.push_back(StopLoop{});
       rlimit limit{};
       getrlimit(RLIMIT_NOFILE, &limit);
       was_ = limit.rlim_cur;
@@ -253,10 +253,10 @@
   Loop loop(core, {}, {}, "");
   loop.run();
   EXPECT_FALSE(core.gave_up);
-  EXPECT_EQ(core.ends, (std::vector{Ending::refused, Ending::unable}));
+  EXPECT_EQ(core.ends, (std::vector{CloseReason::refused, CloseReason::local_failure}));
 }
 
-// A client's words and its end, all written before this process looks: its end is told before Settled.
+// A client's words and its end, all written before this process looks: its end is told before InputDrained.
 TEST(Runtime, AllThatHadComeIsToldBeforeSettled) {
   class Settling : public Bounded {
    public:
@@ -267,13 +267,13 @@
         comes();
       if (std::holds_alternative<Received>(what)) {
         order += 'r';
-        actions.push_back(Settle{});
+        actions.push_back(DrainInput{});
       }
-      if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Ended>(what))
+      if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Disconnected>(what))
         order += 'e';
-      if (std::holds_alternative<Settled>(what)) {
+      if (std::holds_alternative<InputDrained>(what)) {
         order += 's';
-        actions.push_back(Leave{});
+        actions.push_back(StopLoop{});
       }
     }
 
@@ -308,22 +308,22 @@
    public:
     int woken = 0, early = 0;
     void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
-      if (std::holds_alternative<Woken>(what)) {
+      if (std::holds_alternative<TimerFired>(what)) {
         if (at_ > 0s)
           ++woken, early += now < at_;
         if (woken == 50)
-          return actions.push_back(Leave{});
+          return actions.push_back(StopLoop{});
         while (in_millisecond() < 800) {
         }
         turn_ = 0;
-        return actions.push_back(Settle{});  // for a turn whose time is read now
+        return actions.push_back(DrainInput{});  // for a turn whose time is read now
       }
-      if (!std::holds_alternative<Settled>(what))
+      if (!std::holds_alternative<InputDrained>(what))
         return;
       if (turn_++ == 0) {
         at_ = now + 3ms;
-        actions.push_back(WakeAt{at_});
-        return actions.push_back(Settle{});
+        actions.push_back(StartTimer{at_});
+        return actions.push_back(DrainInput{});
       }
       while (in_millisecond() >= 800) {
       }
@@ -351,20 +351,20 @@
       if (!std::exchange(dialled_, true))
         actions.push_back(Dial{1, "127.0.0.1", port});
       if (std::holds_alternative<Connected>(what))
-        actions.push_back(Hold{1}), held_ = true;
+        actions.push_back(PauseReading{1}), held_ = true;
       if (const auto* accepted = std::get_if<Accepted>(&what))
-        to_ = accepted->link;
+        to_ = accepted->connection;
       if (!held_ || to_ == 0)
         return;
       actions.push_back(Send{to_, std::string(64 * 1024 * 1024, 'x')});
       actions.push_back(Close{to_, true});
-      actions.push_back(Leave{100ms});
+      actions.push_back(StopLoop{100ms});
       left_at = now;
     }
 
    private:
     bool dialled_ = false, held_ = false;
-    Link to_ = 0;
+    ConnectionId to_ = 0;
   };
   Unread core;
   Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
@@ -382,9 +382,9 @@
     const auto* asked = std::get_if<Received>(&what);
     if (!asked)
       return;
-    actions.push_back(Send{asked->link, std::string(size, 'x')});
-    actions.push_back(Close{asked->link, true});
-    actions.push_back(Leave{});
+    actions.push_back(Send{asked->connection, std::string(size, 'x')});
+    actions.push_back(Close{asked->connection, true});
+    actions.push_back(StopLoop{});
   }
 };
 
@@ -435,23 +435,23 @@
     if (!std::exchange(dialled_, true))
       actions.push_back(Dial{1, "127.0.0.1", port});
     if (const auto* accepted = std::get_if<Accepted>(&what)) {
-      actions.push_back(Send{accepted->link, std::string(size, 'x')});
-      actions.push_back(Close{accepted->link, true});
+      actions.push_back(Send{accepted->connection, std::string(size, 'x')});
+      actions.push_back(Close{accepted->connection, true});
     }
     if (const auto* connected = std::get_if<Connected>(&what)) {
-      actions.push_back(Hold{connected->link});
+      actions.push_back(PauseReading{connected->connection});
       read_at_ = now + 700ms;
-      actions.push_back(WakeAt{read_at_});
+      actions.push_back(StartTimer{read_at_});
     }
-    if (std::holds_alternative<Woken>(what) && read_at_ > 0s && now >= read_at_) {
+    if (std::holds_alternative<TimerFired>(what) && read_at_ > 0s && now >= read_at_) {
       read_at_ = 0s;
-      actions.push_back(Resume{1});
-      actions.push_back(WakeAt{20s});  // the bound again
+      actions.push_back(ResumeReading{1});
+      actions.push_back(StartTimer{20s});  // the bound again
     }
     if (const auto* received = std::get_if<Received>(&what))
       came += received->bytes.size();
-    if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Ended>(what))
-      actions.push_back(Leave{});
+    if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Disconnected>(what))
+      actions.push_back(StopLoop{});
   }
 
  private:
@@ -477,17 +477,17 @@
     bool stopped = false;
     void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
       // Links 1000 and up are the viewer's own.
-      if (const auto* connected = std::get_if<Connected>(&what); connected && connected->link == 1000) {
+      if (const auto* connected = std::get_if<Connected>(&what); connected && connected->connection == 1000) {
         actions.push_back(Send{1000, "GET /a/t/r0/0 HTTP/1.1\r\nHost: x\r\n\r\n"});
         return;
       }
-      if (const auto* received = std::get_if<Received>(&what); received && received->link == 1000) {
+      if (const auto* received = std::get_if<Received>(&what); received && received->connection == 1000) {
         answer += received->bytes;
         if (answer.find("\r\n\r\n") != std::string::npos && !stopped)
-          stopped = true, front->handle(now, StopAsked{}, actions);
+          stopped = true, front->handle(now, ShutdownRequested{}, actions);
         return;
       }
-      if (const auto* half = std::get_if<HalfClosed>(&what); half && half->link == 1000)
+      if (const auto* half = std::get_if<HalfClosed>(&what); half && half->connection == 1000)
         return;
       front->handle(now, what, actions);
       if (!dialled_)
@@ -519,13 +519,13 @@
    public:
     std::string path, text;
     void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-      if (std::holds_alternative<Woken>(what)) {
+      if (std::holds_alternative<TimerFired>(what)) {
         std::ofstream(path) << "the second";
         kill(getpid(), SIGHUP);
       }
-      if (const auto* reread = std::get_if<Reread>(&what)) {
+      if (const auto* reread = std::get_if<ConfigReloaded>(&what)) {
         text = reread->text;
-        actions.push_back(Leave{});
+        actions.push_back(StopLoop{});
       }
     }
   };
@@ -534,7 +534,7 @@
   close(mkstemp(core.path.data()));
   std::ofstream(core.path) << "the first";
   Loop loop(core, {}, {}, "");
-  loop.reread(core.path);
+  loop.reload_on_sighup(core.path);
   loop.run();
   std::filesystem::remove(core.path);
   EXPECT_FALSE(core.gave_up);
--- a/tests/program/seatlog_test.cpp
+++ b/tests/program/seatlog_test.cpp
@@ -43,7 +43,7 @@
   {
     SeatLog log(folder);
     EXPECT_EQ(log.restart(), 1u);
-    EXPECT_EQ(log.keep(1, batch({first, second}), false), "");
+    EXPECT_EQ(log.persist(1, batch({first, second}), false), "");
   }
   SeatLog again(folder);
   EXPECT_EQ(again.restart(), 2u) << "claims of each process have numbers of their own";
@@ -55,7 +55,7 @@
 }
 
 TEST_F(Logged, ADamagedRecordStopsTheStartAndSaysWhich) {
-  { EXPECT_EQ(SeatLog(folder).keep(1, batch({first, second}), false), ""); }
+  { EXPECT_EQ(SeatLog(folder).persist(1, batch({first, second}), false), ""); }
   run("UPDATE log SET bytes = zeroblob(length(bytes)) WHERE at = 2");
   try {
     SeatLog damaged(folder);
@@ -68,7 +68,7 @@
 TEST_F(Logged, ALogThatCanNotBeWrittenSaysSo) {
   SeatLog log(folder);
   run("DROP TABLE log");
-  EXPECT_NE(log.keep(1, batch({first}), false), "");
+  EXPECT_NE(log.persist(1, batch({first}), false), "");
   EXPECT_THROW(SeatLog("/nonexistent/folder"), SeatLog::Unusable);
 }
 
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -44,7 +44,7 @@
     net.add(viewer, 0);
     serves(list, boxes_json);
     serves(keys, issuer.key_set());
-    box.on_bytes = [this](Puppet& own, Link link, std::vector<Action>& actions) {
+    box.on_bytes = [this](Puppet& own, ConnectionId link, std::vector<Action>& actions) {
       auto& got = own.peers[link].got;
       for (auto end = got.find("\r\n\r\n"); end != std::string::npos; end = got.find("\r\n\r\n")) {
         const auto head = got.substr(0, end);
@@ -58,7 +58,7 @@
     net.run(500ms);
   }
   static void serves(Puppet& puppet, std::string body) {
-    puppet.on_bytes = [body](Puppet&, Link link, std::vector<Action>& actions) {
+    puppet.on_bytes = [body](Puppet&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, body.size(), false) + body});
       actions.push_back(Close{link, true});
     };
@@ -118,8 +118,8 @@
     return issuer.token(
         {"jti" + std::to_string(++tokens), who, "red", seats, wall(), wall() + lasts, Duration(0), {}, {}});
   }
-  Link ask(int m, const std::string& sid, const std::string& with, int object = 0) {
-    const Link link = next_link++;
+  ConnectionId ask(int m, const std::string& sid, const std::string& with, int object = 0) {
+    const ConnectionId link = next_link++;
     viewer.next.push_back(Dial{link, "", Net::port(m)});
     net.poke(viewer_host);
     net.run(net.now() + 2ms);
@@ -129,7 +129,7 @@
     net.poke(viewer_host);
     return link;
   }
-  int status(Link link, Duration within = 300ms) {
+  int status(ConnectionId link, Duration within = 300ms) {
     net.run(net.now() + within);
     const auto& got = viewer.peers[link].got;
     return got.size() > 12 ? std::stoi(got.substr(9)) : 0;
@@ -147,7 +147,7 @@
   bool mute = false;
   int set_ups = 0, tokens = 0, wrong_key = -1;
   std::uint32_t restarts = 1;
-  Link next_link = 1;
+  ConnectionId next_link = 1;
   std::string boxes_json =
       R"({"revision":1,"clock_ms":100000,"boxes":[{"name":"b0","address":"127.0.0.1","port":3001,"state":"ready",)"
       R"("kind":0,"cell":0,"hall":"h","weight":1}]})";
@@ -251,7 +251,7 @@
 }
 
 TEST_F(Hall, ACrowdAtThreeManagersGetsTheLastSeatsAndNoMore) {
-  std::vector<Link> all;
+  std::vector<ConnectionId> all;
   for (int i = 0; i < 60; ++i) {
     if (i == 30) {
       issuer.rotate();
@@ -314,7 +314,7 @@
   std::minstd_rand chance(11);
   constexpr int seats = 12, playbacks = 3000;
   int plays = 0, turned = 0;
-  std::vector<Link> asked;
+  std::vector<ConnectionId> asked;
   for (int i = 0; i < playbacks; ++i) {
     const int m = static_cast<int>(chance() % managers);
     const auto sid = "s" + std::to_string(i);
@@ -386,7 +386,7 @@
   // Bytes that are no frame end their connection and nothing else.
   for (const auto& bytes : {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(4, '\xff'),
                             std::string(4, '\0') + "x", std::string("\0\0\0\4abcd", 8)}) {
-    const Link link = next_link++;
+    const ConnectionId link = next_link++;
     viewer.next.push_back(Dial{link, "", Net::port(owner(), 2)});
     net.poke(viewer_host);
     net.run(net.now() + 5ms);
--- a/tests/program/wheel_test.cpp
+++ b/tests/program/timer_wheel_test.cpp
@@ -1,5 +1,5 @@
 // The wheel against a plain sorted map, over random arming, disarming and leaps of time.
-#include "wheel/wheel.h"
+#include "timerwheel/timer_wheel.h"
 
 #include <gtest/gtest.h>
 
@@ -10,15 +10,15 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Timers = Wheel<int>;
+using Timers = TimerWheel<int>;
 
-TEST(Wheel, RingsInOrderWhenDueAndNotBefore) {
+TEST(TimerWheel, RingsInOrderWhenDueAndNotBefore) {
   Timers wheel;
   std::vector<int> rung;
-  wheel.arm(5ms, 5);
-  wheel.arm(3ms, 3);
-  wheel.arm(3500us, 4);  // rounded up: never early
-  wheel.arm(100s, 100);
+  wheel.schedule(5ms, 5);
+  wheel.schedule(3ms, 3);
+  wheel.schedule(3500us, 4);  // rounded up: never early
+  wheel.schedule(100s, 100);
   wheel.advance(2999us, rung);
   EXPECT_TRUE(rung.empty());
   wheel.advance(5ms, rung);
@@ -29,20 +29,20 @@
   EXPECT_FALSE(wheel.next());
 }
 
-TEST(Wheel, AHandleOutlivesItsTimerHarmlessly) {
+TEST(TimerWheel, AHandleOutlivesItsTimerHarmlessly) {
   Timers wheel;
   std::vector<int> rung;
-  const auto first = wheel.arm(1ms, 1);
+  const auto first = wheel.schedule(1ms, 1);
   wheel.advance(1ms, rung);
-  const auto second = wheel.arm(2ms, 2);  // takes the same place
-  EXPECT_FALSE(wheel.disarm(first));
-  EXPECT_TRUE(wheel.disarm(second));
-  EXPECT_FALSE(wheel.disarm(second));
+  const auto second = wheel.schedule(2ms, 2);  // takes the same place
+  EXPECT_FALSE(wheel.cancel(first));
+  EXPECT_TRUE(wheel.cancel(second));
+  EXPECT_FALSE(wheel.cancel(second));
   wheel.advance(1s, rung);
   EXPECT_EQ(rung, std::vector{1});
 }
 
-TEST(Wheel, AgreesWithASortedMap) {
+TEST(TimerWheel, AgreesWithASortedMap) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::minstd_rand chance(seed);
     Timers wheel;
@@ -53,12 +53,12 @@
       if (chance() % 3 != 0) {
         const std::int64_t reach[] = {3, 70, 5000, 300000, 40000000};
         const std::int64_t due = now + static_cast<std::int64_t>(chance()) % reach[chance() % 5];
-        armed[i] = {wheel.arm(due * 1ms, i), std::max(due, now + 1)};
+        armed[i] = {wheel.schedule(due * 1ms, i), std::max(due, now + 1)};
         plain.emplace(armed[i].second, i);
       }
       if (chance() % 4 == 0 && !armed.empty()) {
         const auto which = std::next(armed.begin(), static_cast<long>(chance() % armed.size()));
-        EXPECT_TRUE(wheel.disarm(which->second.first));
+        EXPECT_TRUE(wheel.cancel(which->second.first));
         for (auto [it, end] = plain.equal_range(which->second.second); it != end; ++it) {
           if (it->second == which->first) {
             plain.erase(it);
@@ -86,7 +86,7 @@
           ASSERT_LE(*wheel.next(), plain.begin()->first * 1ms);
         }
       }
-      ASSERT_EQ(wheel.armed(), plain.size());
+      ASSERT_EQ(wheel.pending(), plain.size());
     }
   }
 }
