--- a/src/decider/decider.cpp
+++ b/src/decider/decider.cpp
@@ -1,3 +1,4 @@
+// Implements Decider by the decision module.
 #include "decider/decider.h"
 
 namespace violettide {
@@ -6,7 +7,7 @@
 
 class PolicyDecider : public Decider {
  public:
-  PolicyDecider(const PolicySettings& terms, std::uint64_t seed) : policy_(terms, seed) {}
+  PolicyDecider(const PolicySettings& settings, std::uint64_t seed) : policy_(settings, seed) {}
   std::vector<Command> decide(Duration now, const Event& event) override {
     return policy_.handle(now, event);
   }
@@ -17,8 +18,8 @@
 
 }  // namespace
 
-std::unique_ptr<Decider> make_policy_decider(const PolicySettings& terms, std::uint64_t seed) {
-  return std::make_unique<PolicyDecider>(terms, seed);
+std::unique_ptr<Decider> make_policy_decider(const PolicySettings& settings, std::uint64_t seed) {
+  return std::make_unique<PolicyDecider>(settings, seed);
 }
 
 }  // namespace violettide
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,7 +1,6 @@
-// The decision module. Its caller hands Policy::handle the time (a span since this session manager
-// started) and one thing that happened, and carries out the orders returned, in their order. The
-// interface is in policy.h; all decisions, tables and tuned values are here. docs/design.md tells what
-// is kept of Sunstar.
+// The decision module: placement of playbacks, choice of rungs, retries and probes of one session manager.
+// policy.h has the interface; all decisions and tuned constants are here. docs/design.md lists what is
+// taken over from Sunstar.
 #include "policy/policy.h"
 
 #include <algorithm>
@@ -18,60 +17,84 @@
 
 using namespace std::chrono_literals;
 
-// CUBIC's constants (RFC 8312) and the page's limits for a loss.
-constexpr double window_kept = 0.7;
-constexpr double cubic_scale = 0.4;
-constexpr double mean_drop_is_loss = 0.8;
-constexpr double full_share = 0.98;
-// Chebyshev: nine tenths of all values lie within sqrt(10) deviations of the mean, on either side.
-const double chebyshev_gap = 2 * std::sqrt(10.0);
-constexpr double spread_tie = 0.1;
-constexpr double room_tie = 0.05;  // of a link
-
-// The part of a link that floors and the best step may fill: true rates leave the ladder.
-constexpr double filled_most = 0.95;
-// How steeply that falls with what a step earns, so that some stays free for those who come later: where
-// a front may ask before it fills room, and where it hears only what all hear.
-constexpr double reserve_asked = 0.25;
-constexpr double reserve_told = 0.4;
-constexpr double unheard_fill = 0.85;    // of a link, by the others, before any report
-constexpr double share_memory = 6;       // the share's mean reaches back so many note lags
-constexpr double uplink_memory = 10;     // likewise what an uplink was seen to give
-constexpr int report_memory = 10;        // a report is trusted so many note spacings
-constexpr double caution = 0.7;          // deviations by which a server without reports counts as fuller
-constexpr double rise_spacing = 10;      // a playback's rises lie so many switch costs apart at least
-constexpr double rise_payoff = 8;        // a rise earns so many times its price
-constexpr double pace_kept = 0.8;        // part of a cold server's pace that all fronts take together
-constexpr double earned_weight = 0.1;    // of the latest request in what requests earn
-constexpr double probe_spending = 0.03;  // part of the revenue that probes may cost
-constexpr int most_probes = 2;           // before one set-up
-constexpr double fresh_part = 0.25;      // of a report's memory: so long it needs no probe
-constexpr double most_probes_due = 4;
-constexpr double first_try_share = 0.45;  // part of the time to the startup target that one try may take
-constexpr double first_rest = 1;          // a failing server rests so many startup targets, doubling
-constexpr double come_back_part = 0.5;    // of the longest come-back time
-constexpr Duration first_life = 30s;      // how long playbacks last until this front knows
-constexpr double first_lives = 10;        // so many lives of its own count as much as that
-constexpr double fill_most = 20;          // of a link or an uplink: a report beyond says no more
-constexpr Duration tick = 250ms;
+// Constants of CUBIC (RFC 8312).
+constexpr double cubic_decrease_factor = 0.7;
+constexpr double cubic_scaling_constant = 0.4;
+// Within one shortfall episode a further loss is counted where the mean delivered share falls below this
+// part of the mean at the last loss.
+constexpr double new_loss_mean_ratio = 0.8;
+// A delivered share from here on counts as full.
+constexpr double full_delivery_share = 0.98;
+// Chebyshev's inequality: at least nine tenths of all values lie within sqrt(10) deviations of the mean, on
+// either side.
+const double chebyshev_interval_width = 2 * std::sqrt(10.0);
+constexpr double spread_tie_tolerance = 0.1;
+constexpr double headroom_tie_share = 0.05;  // of a link
+
+// Share of a link that floor rungs and the most valuable step may fill. The rest is kept free because
+// actual rates deviate from the rungs' nominal ones.
+constexpr double max_planned_fill = 0.95;
+// Exponent by which that share falls with the revenue of a step, to keep capacity free for later requests:
+// lower where a front may probe before it uses headroom, higher where it has only the measurements that all
+// fronts get.
+constexpr double reserve_exponent_with_probes = 0.25;
+constexpr double reserve_exponent_without_probes = 0.4;
+// Fill of a link by other fronts that is assumed before any report.
+constexpr double default_external_fill = 0.85;
+// Averaging time of the delivered share, in measurement intervals.
+constexpr double share_averaging_intervals = 6;
+// Decay times of an observed uplink capacity and of a report, in measurement intervals.
+constexpr double uplink_decay_intervals = 10;
+constexpr int report_decay_intervals = 10;
+// Standard deviations added to the mean fill for a server without reports.
+constexpr double unreported_fill_deviations = 0.7;
+// Minimum time between raises of one playback, in switch costs.
+constexpr double min_raise_spacing = 10;
+// A raise on a full link must earn this multiple of its switch cost.
+constexpr double raise_payoff_factor = 8;
+// Part of the pace allowed for a cold server that all fronts together use.
+constexpr double cold_pace_share = 0.8;
+// Weight of the latest request in the mean revenue.
+constexpr double revenue_smoothing = 0.1;
+// Part of the revenue that probes may cost.
+constexpr double probe_revenue_share = 0.03;
+constexpr int max_probes_per_setup = 2;
+// A report younger than this part of its decay time needs no probe.
+constexpr double fresh_report_share = 0.25;
+constexpr double max_probe_credit = 4;
+// Part of the time to the startup target that one try may take.
+constexpr double try_time_share = 0.45;
+// First cooldown of a failing server, in startup targets; doubles with each further failure.
+constexpr double first_cooldown_targets = 1;
+// Part of the longest Retry-After time that a rejected viewer gets.
+constexpr double retry_after_share = 0.5;
+// Playback length assumed until this front has seen enough playbacks, counting as much as
+// `default_length_weight` of them. Also the decay time of the lengths seen.
+constexpr Duration default_playback_length = 30s;
+constexpr double default_length_weight = 10;
+// Reported fills of a link or an uplink are clamped to this.
+constexpr double max_reported_fill = 20;
+constexpr Duration tick_interval = 250ms;
 constexpr std::uint32_t tick_token = 1;
 
-std::size_t wrapped(int place, std::size_t count) {
-  const int most = static_cast<int>(count);
-  return static_cast<std::size_t>((place % most + most) % most);
+std::size_t wrapped_index(int index, std::size_t count) {
+  const int size = static_cast<int>(count);
+  return static_cast<std::size_t>((index % size + size) % size);
 }
-double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
-// Bounded, as nonsensical settings can make a span endless.
-Duration span_of(double seconds) {
-  constexpr double most = 1e9;
-  return Duration(static_cast<std::int64_t>((seconds < most ? std::max(seconds, -most) : most) * 1e6));
+
+double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+// Clamped to 1e9 s either way, because invalid settings can give an infinite value.
+Duration duration_from_seconds(double seconds) {
+  constexpr double limit = 1e9;
+  return Duration(static_cast<std::int64_t>((seconds < limit ? std::max(seconds, -limit) : limit) * 1e6));
 }
 
-// Guards against figures that are none, or beyond all sense: one would stay in a mean for good.
-std::optional<double> sane(std::optional<double> told, double most) {
-  if (!told || !std::isfinite(*told))
+// Drops values that are not finite and clamps the rest to [0, limit]. Guards against one bad value spoiling
+// a mean for good.
+std::optional<double> clamped_if_finite(std::optional<double> value, double limit) {
+  if (!value || !std::isfinite(*value))
     return std::nullopt;
-  return std::clamp(*told, 0.0, most);
+  return std::clamp(*value, 0.0, limit);
 }
 
 template <typename... Visitors>
@@ -79,48 +102,52 @@
   using Visitors::operator()...;
 };
 
-// Mean and variance of the delivered share over time; between notes a server counts as it last sounded.
-class ShareMeter {
+// Exponentially weighted mean and spread of a server's delivered share over time. Between measurements the
+// last value holds.
+class ShareStatistics {
  public:
-  void note(Duration now, double share, Duration silence) {
-    settle(now, silence);
+  void record(Duration now, double share, Duration measurement_interval) {
+    advance(now, measurement_interval);
     current_ = share;
-    noted_ = now;
+    recorded_at_ = now;
+  }
+  double mean(Duration now, Duration measurement_interval) {
+    return advance(now, measurement_interval), mean_;
   }
-  double mean(Duration now, Duration silence) { return settle(now, silence), mean_; }
-  double spread(Duration now, Duration silence) {
-    settle(now, silence);
-    return std::min(1.0, chebyshev_gap * std::sqrt(std::max(0.0, square_ - mean_ * mean_)));
+  double spread(Duration now, Duration measurement_interval) {
+    advance(now, measurement_interval);
+    return std::min(1.0, chebyshev_interval_width * std::sqrt(std::max(0.0, square_ - mean_ * mean_)));
   }
 
  private:
-  void settle(Duration now, Duration silence) {
-    if (current_ < full_share && now - noted_ > 2 * silence) {
-      pull(noted_ + 2 * silence, silence);
-      current_ = 1;  // no note for so long: full share again
+  void advance(Duration now, Duration measurement_interval) {
+    if (current_ < full_delivery_share && now - recorded_at_ > 2 * measurement_interval) {
+      average_until(recorded_at_ + 2 * measurement_interval, measurement_interval);
+      current_ = 1;  // without a measurement for two intervals the share counts as full
     }
-    pull(now, silence);
+    average_until(now, measurement_interval);
   }
-  void pull(Duration until, Duration silence) {
-    const double gone = seconds(until - settled_) / (share_memory * seconds(silence));
-    const double kept = std::exp(-std::max(0.0, gone));
-    mean_ = kept * mean_ + (1 - kept) * current_;
-    square_ = kept * square_ + (1 - kept) * current_ * current_;
-    settled_ = std::max(settled_, until);
+  void average_until(Duration until, Duration measurement_interval) {
+    const double elapsed_windows =
+        seconds(until - averaged_until_) / (share_averaging_intervals * seconds(measurement_interval));
+    const double weight = std::exp(-std::max(0.0, elapsed_windows));
+    mean_ = weight * mean_ + (1 - weight) * current_;
+    square_ = weight * square_ + (1 - weight) * current_ * current_;
+    averaged_until_ = std::max(averaged_until_, until);
   }
   double mean_ = 1;
   double square_ = 1;
   double current_ = 1;
-  Duration noted_{0};
-  Duration settled_{0};
+  Duration recorded_at_{0};
+  Duration averaged_until_{0};
 };
 
-// A sum that fades: brought up to date when read.
-class FadingSum {
+// Exponentially decaying sum, brought up to date on each access.
+class DecayingSum {
  public:
-  void add(Duration now, double value, Duration memory) { sum_ = read(now, memory) + value; }
-  double read(Duration now, Duration memory) {
-    sum_ *= std::exp(-seconds(now - read_at_) / seconds(memory));
+  void add(Duration now, double value, Duration decay_time) { sum_ = read(now, decay_time) + value; }
+  double read(Duration now, Duration decay_time) {
+    sum_ *= std::exp(-seconds(now - read_at_) / seconds(decay_time));
     read_at_ = now;
     return sum_;
   }
@@ -130,54 +157,58 @@
   Duration read_at_{0};
 };
 
-// What the others ask of a link or an uplink, by reports; it counts less the older it is.
-struct OthersUse {
+// Load in kB/s that other fronts put on a link or an uplink, by the last report; its confidence decays with
+// its age.
+struct ExternalLoad {
   std::optional<double> kb;
-  Duration heard_at = -24h;
+  Duration reported_at = -24h;
 
-  void hear(double heard, Duration now) {
-    kb = heard;
-    heard_at = now;
+  void record(double reported_kb, Duration now) {
+    kb = reported_kb;
+    reported_at = now;
   }
-  double trust(Duration now, Duration memory) const {
-    return kb ? std::exp(-seconds(now - heard_at) / seconds(memory)) : 0;
+  double confidence(Duration now, Duration decay_time) const {
+    return kb ? std::exp(-seconds(now - reported_at) / seconds(decay_time)) : 0;
   }
 };
 
-// What reports on all servers say of the others' part of a link or uplink, for where none tells: their
-// mean and so many deviations, as a server that was passed over is likely fuller than those used.
-struct UsualFill {
-  FadingSum fills;
-  FadingSum squares;
-  FadingSum count;
-
-  void hear(double fill, Duration now, Duration memory) {
-    fills.add(now, fill, memory);
-    squares.add(now, fill * fill, memory);
-    count.add(now, 1, memory);
-  }
-  double read(Duration now, Duration memory, double unheard) {
-    const double heard = 1 + count.read(now, memory);
-    const double mean = (unheard + fills.read(now, memory)) / heard;
-    const double square = (unheard * unheard + squares.read(now, memory)) / heard;
-    return std::min(1.0, mean + caution * std::sqrt(std::max(0.0, square - mean * mean)));
+// Estimate of the fill of a link or uplink by other fronts, for servers without a report: the mean over the
+// reports of all servers plus some deviations, because a server that was passed over is likely fuller than
+// those in use.
+struct ExternalFillEstimate {
+  DecayingSum fills;
+  DecayingSum squares;
+  DecayingSum count;
+
+  void record(double fill, Duration now, Duration decay_time) {
+    fills.add(now, fill, decay_time);
+    squares.add(now, fill * fill, decay_time);
+    count.add(now, 1, decay_time);
+  }
+  double estimate(Duration now, Duration decay_time, double default_fill) {
+    const double total = 1 + count.read(now, decay_time);
+    const double mean = (default_fill + fills.read(now, decay_time)) / total;
+    const double square = (default_fill * default_fill + squares.read(now, decay_time)) / total;
+    return std::min(1.0, mean + unreported_fill_deviations * std::sqrt(std::max(0.0, square - mean * mean)));
   }
 };
 
-// A CUBIC window: cut on a loss, regrown by the cubic.
-struct Window {
+// CUBIC window (RFC 8312) in playbacks: reduced on a loss, then grown back along a cubic function of time.
+struct CubicWindow {
   double peak = 0;
-  Duration lost_at{0};
+  Duration last_loss_at{0};
 
   double size(Duration now) const {
-    const double to_peak = std::cbrt((1 - window_kept) * peak / cubic_scale);
-    return cubic_scale * std::pow(seconds(now - lost_at) - to_peak, 3) + peak;
+    const double to_peak = std::cbrt((1 - cubic_decrease_factor) * peak / cubic_scaling_constant);
+    return cubic_scaling_constant * std::pow(seconds(now - last_loss_at) - to_peak, 3) + peak;
   }
-  void open_at(double first, Duration now) { *this = {first / window_kept, now}; }
-  // A front that holds less than its window allows has not tested it (RFC 8312, application-limited).
-  void cut(double held, Duration now) { *this = {std::max(1.0, std::min(size(now), held)), now}; }
+  void reset(double initial_size, Duration now) { *this = {initial_size / cubic_decrease_factor, now}; }
+  // Reduces from the playbacks in use where these are fewer than the window allows, since a window that was
+  // not used was not tested (RFC 8312, application-limited flows).
+  void on_loss(double in_use, Duration now) { *this = {std::max(1.0, std::min(size(now), in_use)), now}; }
 };
 
+// What this front knows of a video server, and what it has there.
 struct Server {
   bool listed = false;
   ServerState state = ServerState::gone;
@@ -187,195 +218,200 @@
   double weight = 1;
   std::optional<Duration> started;
 
-  Window window;
-  bool window_cut = false;
-  ShareMeter shares;
+  CubicWindow window;
+  bool window_has_loss = false;
+  ShareStatistics share_statistics;
   double mean_at_loss = 1;
-  std::optional<Duration> last_short;  // the last note of the train of shortfall notes that runs
-  std::optional<Duration> last_drop;
+  std::optional<Duration> last_shortfall_at;  // last measurement of the current shortfall episode
+  std::optional<Duration> last_lowered_at;
 
-  double own_kb = 0;  // rungs of this front's playbacks there, set-ups included
-  int held = 0;
-  OthersUse others;         // ladder errors included
-  Duration asked_at = -1h;  // by a probe for a rise
-  bool news = false;        // of room, by which no rise has been weighed yet
+  double own_kb = 0;  // rates of this front's playbacks there, set-ups included
+  int own_playbacks = 0;
+  ExternalLoad external_load;     // includes deviations of own playbacks from their nominal rates
+  Duration raise_probe_at = -1h;  // last probe sent for a raise
+  bool headroom_changed = false;  // since raises were last considered
 
-  int strikes = 0;
-  Duration rests_until{0};
+  int consecutive_failures = 0;
+  Duration cooldown_until{0};
   std::optional<Duration> cold_since;
-  Duration last_set_up = -24h;  // as the cold pace counts
+  Duration last_setup_at = -24h;  // for the pace of cold servers
 };
 
+// A request until its end: waiting for a probe, setting up or playing.
 struct Playback {
   enum class State { waiting, setting_up, playing };
   Request request;
   State state = State::waiting;
-  Duration since{0};
+  Duration admitted_at{0};
   Duration target_at{0};
   ServerId server = 0;
   int rung = 0;
   int tries = 0;
-  int probes = 0;                 // made for this playback before it was placed
-  std::optional<ServerId> asked;  // the probe that it waits for
-  Duration asked_at{0};
+  int probes = 0;                         // sent for this playback before its set-up
+  std::optional<ServerId> awaited_probe;  // server whose probe it waits for
+  Duration probe_sent_at{0};
   bool may_have_run = false;
-  bool withdrawn = false;
-  std::optional<Duration> chosen_at;  // when this front last chose its rung
+  bool cancelled = false;
+  std::optional<Duration> rung_changed_at;  // last time this front changed it
   std::optional<Duration> ends_at;
 };
 
+// The servers that share an uplink.
 struct Rack {
   std::vector<ServerId> servers;
-  std::optional<Duration> reckoned_at;  // when asked_kb was, if nothing has changed since
-  double asked_kb = 0;
-  OthersUse others;               // from reports of the uplink, where there are any
-  std::optional<double> gave_kb;  // what an uplink without reports was last seen to give when short
-  Duration gave_at{0};
+  std::optional<Duration> demand_computed_at;  // unset once an input of demand_kb has changed
+  double demand_kb = 0;
+  ExternalLoad external_load;  // from reports of the uplink, if there are any
+  // What an uplink without reports delivered when it last fell short.
+  std::optional<double> observed_capacity_kb;
+  Duration observed_at{0};
 };
 
 }  // namespace
 
 class Policy::Impl {
  public:
-  Impl(PolicySettings terms, std::uint64_t seed) : terms_(std::move(terms)) {
-    chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
-    // Absent or nonsensical settings still give one of each, and floors on the ladder.
-    if (terms_.rung_kb.empty())
-      terms_.rung_kb = {1};
-    if (terms_.plans.empty())
-      terms_.plans.emplace_back();
-    const int last = static_cast<int>(terms_.rung_kb.size()) - 1;
-    for (auto& plan : terms_.plans)
+  Impl(PolicySettings settings, std::uint64_t seed) : settings_(std::move(settings)) {
+    random_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
+    // Absent or invalid settings still give one rung and one plan, and floors within the ladder.
+    if (settings_.rung_kb.empty())
+      settings_.rung_kb = {1};
+    if (settings_.plans.empty())
+      settings_.plans.emplace_back();
+    const int last = static_cast<int>(settings_.rung_kb.size()) - 1;
+    for (auto& plan : settings_.plans)
       plan.floor = std::clamp(plan.floor, 0, last);
-    terms_.rung_revenue.resize(terms_.rung_kb.size(), 1);
-    terms_.front_count = std::max(1, terms_.front_count);
-    const auto fronts = static_cast<std::size_t>(terms_.front_count);
-    number_ = terms_.front_index ? wrapped(*terms_.front_index, fronts) : chance_() % fronts;
-    terms_.cells = std::max(1, terms_.cells);
-    cells_.resize(static_cast<std::size_t>(terms_.cells));  // a request may come before any list
-    racks_.resize(static_cast<std::size_t>(std::max(1, terms_.racks)));
+    settings_.rung_revenue.resize(settings_.rung_kb.size(), 1);
+    settings_.front_count = std::max(1, settings_.front_count);
+    const auto front_count = static_cast<std::size_t>(settings_.front_count);
+    front_index_ =
+        settings_.front_index ? wrapped_index(*settings_.front_index, front_count) : random_() % front_count;
+    settings_.cells = std::max(1, settings_.cells);
+    cells_.resize(static_cast<std::size_t>(settings_.cells));  // a request may arrive before the first list
+    racks_.resize(static_cast<std::size_t>(std::max(1, settings_.racks)));
   }
 
   std::vector<Command> handle(Duration now, const Event& event) {
     now_ = now;
     commands_.clear();
     if (!ticking_)
-      start_ticking();
-    std::visit([this](const auto& what) { on(what); }, event);
+      start_tick_timer();
+    std::visit([this](const auto& typed_event) { on(typed_event); }, event);
     return std::move(commands_);
   }
 
  private:
-  // ---- what happened ----
+  // ---- events ----
   void on(const ServerList& list) {
     if (list.kind != ServerList::Kind::changes) {
       for (auto& server : servers_)
         server.state = ServerState::gone;
     }
     for (const auto& entry : list.entries)
-      take_entry(entry);
-    arrange();
+      apply_entry(entry);
+    index_servers();
   }
 
-  void on(const ServerListFailed&) { ask_for_list_ = terms_.list_needs_subscription; }
+  void on(const ServerListFailed&) { subscription_due_ = settings_.list_needs_subscription; }
 
-  // Guards against a playback taken twice: its account would be opened twice and closed once.
+  // Guards against admitting a playback twice: its load would be added twice and removed once.
   bool is_known(const Request& request) const { return playbacks_.contains(request.playback); }
 
   void on(const Request& request) {
     if (is_known(request))
       return;
-    if (terms_.retry_budget_window > 0s)
-      taken_.push_back(now_);
-    forget_old_tries();
-    probes_due_ = std::min(probes_due_ + probes_per_playback(), most_probes_due);
+    if (settings_.retry_budget_window > 0s)
+      request_times_.push_back(now_);
+    expire_budget_entries();
+    probe_credit_ = std::min(probe_credit_ + probe_credit_per_request(), max_probe_credit);
     auto& playback = admit(request);
-    // Guards against holding a viewer who leaves before the startup target.
-    const Duration target = terms_.plans.at(playback.request.plan).startup_target;
+    // Guards against keeping a request past the abandon time where that comes before the startup target.
+    const Duration target = settings_.plans.at(playback.request.plan).startup_target;
     playback.target_at = std::min(now_ + target, request.abandon_at);
     place(playback);
   }
 
-  // A request that waits is placed by its new holders at once, so that it is not held back for none.
-  void on(const HoldersChanged& what) {
-    const auto found = playbacks_.find(what.playback);
+  // A waiting request is placed among its new holders at once, as the server whose probe it waits for may
+  // hold the title no more.
+  void on(const HoldersChanged& event) {
+    const auto found = playbacks_.find(event.playback);
     if (found == playbacks_.end())
       return;
-    found->second.request.listed_holders = what.listed_holders;
+    found->second.request.listed_holders = event.listed_holders;
     if (found->second.state == Playback::State::waiting)
       place(found->second);
   }
 
-  void on(const PlaybackAdopted& carried) {
-    if (is_known(carried.request))
+  void on(const PlaybackAdopted& adopted) {
+    if (is_known(adopted.request))
       return;
-    auto& playback = admit(carried.request);
+    auto& playback = admit(adopted.request);
     playback.state = Playback::State::playing;
     playback.tries = 1;
     playback.may_have_run = true;
-    attach(playback, carried.server);
+    attach(playback, adopted.server);
   }
 
-  void on(const RequestCancelled& what) {
-    const auto found = playbacks_.find(what.playback);
+  void on(const RequestCancelled& event) {
+    const auto found = playbacks_.find(event.playback);
     if (found == playbacks_.end())
       return;
     if (found->second.state == Playback::State::waiting)
-      return forget(what.playback);
-    found->second.withdrawn = true;
+      return forget(event.playback);
+    found->second.cancelled = true;
   }
 
-  void on(const PlaybackStarted& what) {
-    const auto found = playbacks_.find(what.playback);
+  void on(const PlaybackStarted& event) {
+    const auto found = playbacks_.find(event.playback);
     if (found == playbacks_.end() || found->second.state != Playback::State::setting_up)
       return;
-    if (found->second.server != what.server)
-      return;  // of a try before this one
-    auto& server = servers_[what.server];
+    if (found->second.server != event.server)
+      return;  // belongs to an earlier try
+    auto& server = servers_[event.server];
     found->second.state = Playback::State::playing;
-    server.strikes = 0;
+    server.consecutive_failures = 0;
   }
 
-  void on(const TryEnded& what) {
-    take_report(what.server, what.load);
-    const auto found = playbacks_.find(what.playback);
+  void on(const TryEnded& event) {
+    apply_report(event.server, event.load);
+    const auto found = playbacks_.find(event.playback);
     if (found == playbacks_.end())
       return;
     auto& playback = found->second;
-    // Guards against a second set-up: what ends here is the try that is out there, and no other.
-    const bool of_this = playback.state != Playback::State::waiting && playback.server == what.server;
-    if (!of_this && !what.playback_over)
+    // Guards against a second set-up: only the end of the current try counts, not that of an earlier one.
+    const bool of_this = playback.state != Playback::State::waiting && playback.server == event.server;
+    if (!of_this && !event.playback_over)
       return;
     detach(playback);
-    judge_outcome(server_at(what.server), playback, what.outcome);
-    if (what.outcome == Outcome::served && !playback.request.length)
-      learn_life(now_ - playback.since);
-    if (what.playback_over || playback.withdrawn)
-      return forget(what.playback);
+    apply_outcome(server_at(event.server), playback, event.outcome);
+    if (event.outcome == Outcome::served && !playback.request.length)
+      record_length(now_ - playback.admitted_at);
+    if (event.playback_over || playback.cancelled)
+      return forget(event.playback);
     place(playback);
   }
 
-  void on(const ProbeEnded& what) {
-    take_report(what.server, what.load);
-    if (!what.answered && what.sent)
-      strike(server_at(what.server));
-    place_waiting([&](const Playback& playback) { return playback.asked == what.server; });
+  void on(const ProbeEnded& event) {
+    apply_report(event.server, event.load);
+    if (!event.answered && event.sent)
+      record_failure(server_at(event.server));
+    place_awaiting([&](const Playback& playback) { return playback.awaited_probe == event.server; });
   }
 
-  void on(const Measurement& note) {
-    const auto found = playbacks_.find(note.playback);
-    switch (note.kind) {
+  void on(const Measurement& measurement) {
+    const auto found = playbacks_.find(measurement.playback);
+    switch (measurement.kind) {
       case Measurement::Kind::rung:
         if (found != playbacks_.end())
-          take_rung(found->second, note.value);
+          apply_reported_rung(found->second, measurement.value);
         return;
       case Measurement::Kind::link_fill:
-        return take_report(note.server, {note.value, {}, {}});
+        return apply_report(measurement.server, {measurement.value, {}, {}});
       case Measurement::Kind::uplink_fill:
-        return take_report(note.server, {{}, note.value, {}});
+        return apply_report(measurement.server, {{}, measurement.value, {}});
       case Measurement::Kind::share:
-        if (const auto share = sane(note.value, 1))
-          take_share(server_at(note.server), *share);
+        if (const auto share = clamped_if_finite(measurement.value, 1))
+          apply_share(server_at(measurement.server), *share);
         return;
     }
   }
@@ -383,25 +419,25 @@
   void on(const TimerExpired& timer) {
     if (timer.token != tick_token)
       return;
-    commands_.push_back(SetTimer{tick, tick_token});
-    if (std::exchange(ask_for_list_, false))
+    commands_.push_back(SetTimer{tick_interval, tick_token});
+    if (std::exchange(subscription_due_, false))
       commands_.push_back(SubscribeServerList{});
-    // A probe that stays out must not hold its playback: it is placed by what is known.
-    place_waiting([&](Playback& playback) {
-      if (now_ - playback.asked_at <= tick)
+    // Guards against an unanswered probe blocking its playback, which is placed without the answer.
+    place_awaiting([&](Playback& playback) {
+      if (now_ - playback.probe_sent_at <= tick_interval)
         return false;
-      playback.probes = most_probes;
+      playback.probes = max_probes_per_setup;
       return true;
     });
-    ask_where_playbacks_play();
-    rise();
+    probe_for_raises();
+    raise_rungs();
   }
 
-  // ---- servers and what is known of them ----
-  void start_ticking() {
+  // ---- servers, their capacity and their load ----
+  void start_tick_timer() {
     ticking_ = true;
-    ask_for_list_ = terms_.list_needs_subscription;
-    commands_.push_back(SetTimer{tick * (1 + static_cast<int>(chance_() % 100)) / 100, tick_token});
+    subscription_due_ = settings_.list_needs_subscription;
+    commands_.push_back(SetTimer{tick_interval * (1 + static_cast<int>(random_() % 100)) / 100, tick_token});
   }
 
   Server& server_at(ServerId id) {
@@ -410,29 +446,29 @@
     return servers_[id];
   }
 
-  // Sorts the servers that are there by cell and rack, so that a request costs about its holders. Guards
-  // against names that were listed once deciding for ever what a mean server is.
-  void arrange() {
-    cells_.assign(static_cast<std::size_t>(terms_.cells), {});
+  // Indexes the servers that are not gone by cell and rack, so that the cost of a request depends on its
+  // holders only. Guards against servers that are gone counting in the mean stream capacity for good.
+  void index_servers() {
+    cells_.assign(static_cast<std::size_t>(settings_.cells), {});
     for (auto& rack : racks_)
-      rack.servers.clear(), rack.reckoned_at.reset();
+      rack.servers.clear(), rack.demand_computed_at.reset();
     double streams = 0;
     int count = 0;
     for (ServerId id = 0; id < servers_.size(); ++id) {
       const auto& server = servers_[id];
       if (server.state == ServerState::gone)
         continue;
-      cells_[wrapped(server.cell, cells_.size())].push_back(id);
+      cells_[wrapped_index(server.cell, cells_.size())].push_back(id);
       rack_of(server).servers.push_back(id);
-      streams += streams_of(server);
+      streams += stream_capacity(server);
       ++count;
     }
     mean_streams_ = count == 0 ? 0 : streams / count;
   }
 
-  void take_entry(const ServerEntry& entry) {
+  void apply_entry(const ServerEntry& entry) {
     auto& server = server_at(entry.server);
-    // A start older than the one known is a list that came late: it takes no later start back.
+    // An older start time than the known one comes from a delayed list and does not replace it.
     const bool restarted = server.started && entry.started && *entry.started > *server.started;
     server.kind = entry.kind;
     server.cell = entry.cell;
@@ -441,189 +477,210 @@
     server.state = entry.state;
     server.started = std::max(server.started, entry.started);
     if (restarted)
-      begin_anew(server);
+      reset_after_restart(server);
     if (server.started)
       server.cold_since = std::max(server.cold_since.value_or(*server.started), *server.started);
     if (!server.listed)
-      server.window.open_at(std::max(1.0, streams_of(server) - server.held), now_);
+      server.window.reset(std::max(1.0, stream_capacity(server) - server.own_playbacks), now_);
     server.listed = true;
   }
 
-  // Guards against a process that was just started being judged by the one before it: what this front
-  // has there still is its own, and nothing else of what it knew.
-  static void begin_anew(Server& server) {
-    Server fresh;
-    fresh.kind = server.kind;
-    fresh.cell = server.cell;
-    fresh.hall = server.hall;
-    fresh.weight = server.weight;
-    fresh.state = server.state;
-    fresh.started = server.started;
-    fresh.own_kb = server.own_kb;
-    fresh.held = server.held;
-    fresh.last_set_up = server.last_set_up;
-    fresh.cold_since = server.cold_since;
-    server = fresh;
-  }
-
-  double streams_of(const Server& server) const {
+  // Guards against judging a restarted process by the state of the one before it. Only the list entry, this
+  // front's own load there and the data of the cold pace are kept.
+  static void reset_after_restart(Server& server) {
+    Server reset;
+    reset.kind = server.kind;
+    reset.cell = server.cell;
+    reset.hall = server.hall;
+    reset.weight = server.weight;
+    reset.state = server.state;
+    reset.started = server.started;
+    reset.own_kb = server.own_kb;
+    reset.own_playbacks = server.own_playbacks;
+    reset.last_setup_at = server.last_setup_at;
+    reset.cold_since = server.cold_since;
+    server = reset;
+  }
+
+  double stream_capacity(const Server& server) const {
     const auto kind = static_cast<std::size_t>(server.kind);
-    return kind < terms_.streams_by_kind.size() ? terms_.streams_by_kind[kind] : 1;
+    return kind < settings_.streams_by_kind.size() ? settings_.streams_by_kind[kind] : 1;
   }
 
-  // Where weights say nothing, a machine's kind does: links go with the streams it runs.
-  double link_of(const Server& server) const {
-    if (terms_.has_weights)
-      return terms_.link_kb_per_weight * server.weight;
-    return mean_streams_ > 0 ? terms_.link_kb_per_weight * streams_of(server) / mean_streams_ : 0;
+  // In kB/s. Without weights, the link is taken to be proportional to the stream capacity of the server's
+  // kind.
+  double link_capacity(const Server& server) const {
+    if (settings_.has_weights)
+      return settings_.link_kb_per_weight * server.weight;
+    return mean_streams_ > 0 ? settings_.link_kb_per_weight * stream_capacity(server) / mean_streams_ : 0;
   }
 
-  Rack& rack_of(const Server& server) { return racks_[wrapped(server.cell, racks_.size())]; }
+  Rack& rack_of(const Server& server) { return racks_[wrapped_index(server.cell, racks_.size())]; }
 
-  // A report names the whole fill; what this front doesn't ask itself is the others'.
-  void take_report(ServerId id, const LoadReport& told) {
-    const LoadReport load{sane(told.link_fill, fill_most), sane(told.uplink_fill, fill_most),
-                          sane(told.streams, std::numeric_limits<double>::max())};
+  // A report gives the total fill; what is not this front's own load is external load.
+  void apply_report(ServerId id, const LoadReport& report) {
+    const LoadReport load{clamped_if_finite(report.link_fill, max_reported_fill),
+                          clamped_if_finite(report.uplink_fill, max_reported_fill),
+                          clamped_if_finite(report.streams, std::numeric_limits<double>::max())};
     auto& server = server_at(id);
-    rack_of(server).reckoned_at.reset();
+    rack_of(server).demand_computed_at.reset();
     if (load.link_fill) {
-      const double others = *load.link_fill * link_of(server) - server.own_kb;
-      server.others.hear(others, now_);
-      if (link_of(server) > 0)
-        usual_link_.hear(std::max(0.0, others) / link_of(server), now_, memory());
-      server.news = true;
+      const double external_kb = *load.link_fill * link_capacity(server) - server.own_kb;
+      server.external_load.record(external_kb, now_);
+      if (link_capacity(server) > 0)
+        external_link_fill_.record(std::max(0.0, external_kb) / link_capacity(server), now_,
+                                   report_decay_time());
+      server.headroom_changed = true;
     }
-    // The first window leaves out the streams in use, this front's own aside.
-    if (load.streams && !server.window_cut) {
-      const double free = streams_of(server) - *load.streams;
-      server.window.open_at(std::max(1.0, server.held + free), now_);
+    // The initial window leaves out the streams in use, except this front's own.
+    if (load.streams && !server.window_has_loss) {
+      const double free = stream_capacity(server) - *load.streams;
+      server.window.reset(std::max(1.0, server.own_playbacks + free), now_);
     }
-    if (load.uplink_fill && terms_.uplink_kb > 0) {
+    if (load.uplink_fill && settings_.uplink_kb > 0) {
       auto& rack = rack_of(server);
-      const double others = *load.uplink_fill * terms_.uplink_kb - own_in(rack);
-      rack.others.hear(others, now_);
-      usual_uplink_.hear(std::max(0.0, others) / terms_.uplink_kb, now_, memory());
+      const double external_kb = *load.uplink_fill * settings_.uplink_kb - own_load_in(rack);
+      rack.external_load.record(external_kb, now_);
+      external_uplink_fill_.record(std::max(0.0, external_kb) / settings_.uplink_kb, now_,
+                                   report_decay_time());
     }
   }
 
-  // Guards against acting on old reports as if they were fresh: as a report grows old, the others are
-  // taken to use what they use elsewhere. Covers late reports, and servers that report only while this
-  // front has playbacks there; does harm where the others' use is steady and far from usual.
-  double others_of(const OthersUse& others, double whole, UsualFill& usual) {
-    const double trust = others.trust(now_, memory());
-    const double even = static_cast<double>(terms_.front_count - 1) / terms_.front_count;
-    const double guess = usual.read(now_, memory(), std::min(even, unheard_fill)) * whole;
-    return trust * others.kb.value_or(0) + (1 - trust) * guess;
+  // Guards against acting on old reports as if they were fresh: as a report ages, the estimate moves
+  // towards the fill reported by other servers. Covers late reports, and servers that report only while
+  // this front has playbacks there. The estimate is wrong where the external load is steady and far from
+  // typical.
+  double estimated_external_load(const ExternalLoad& load, double capacity, ExternalFillEstimate& typical) {
+    const double confidence = load.confidence(now_, report_decay_time());
+    const double equal_share = static_cast<double>(settings_.front_count - 1) / settings_.front_count;
+    const double expected_kb =
+        typical.estimate(now_, report_decay_time(), std::min(equal_share, default_external_fill)) * capacity;
+    return confidence * load.kb.value_or(0) + (1 - confidence) * expected_kb;
+  }
+  double external_link_load(const Server& server) {
+    return estimated_external_load(server.external_load, link_capacity(server), external_link_fill_);
   }
-  double others_on(const Server& server) { return others_of(server.others, link_of(server), usual_link_); }
 
-  Duration memory() const { return report_memory * silence(); }
+  Duration report_decay_time() const { return report_decay_intervals * measurement_interval(); }
 
-  double own_in(const Rack& rack) {
+  double own_load_in(const Rack& rack) {
     double own = 0;
     for (const auto id : rack.servers)
       own += servers_[id].own_kb;
     return own;
   }
 
-  Duration silence() const { return std::max<Duration>(terms_.measurement_delay, 500ms) + 500ms; }
+  Duration measurement_interval() const {
+    return std::max<Duration>(settings_.measurement_delay, 500ms) + 500ms;
+  }
 
-  // The page's room: told link times mean share, less own rungs and the others' use.
-  double room(Server& server, double filled) {
-    const double link = link_of(server) * filled * server.shares.mean(now_, silence());
-    const double rest = link - server.own_kb;
-    return std::min(rest - others_of(server.others, link, usual_link_), room_in(rack_of(server), filled));
+  // Free capacity in kB/s: the link times its mean delivered share, less this front's own and the external
+  // load; at most the headroom of the rack's uplink.
+  double headroom(Server& server, double max_fill) {
+    const double usable_link =
+        link_capacity(server) * max_fill * server.share_statistics.mean(now_, measurement_interval());
+    const double unused = usable_link - server.own_kb;
+    return std::min(unused - estimated_external_load(server.external_load, usable_link, external_link_fill_),
+                    rack_headroom(rack_of(server), max_fill));
   }
 
-  double room_in(Rack& rack, double filled) {
-    if (terms_.uplink_kb <= 0)
+  double rack_headroom(Rack& rack, double max_fill) {
+    if (settings_.uplink_kb <= 0)
       return std::numeric_limits<double>::max();
-    const double uplink = uplink_of(rack) * filled;
-    if (!rack.others.kb)
-      return uplink - asked_of(rack);
-    return uplink - own_in(rack) - others_of(rack.others, uplink, usual_uplink_);
-  }
-
-  // What servers' reports tell of all that is asked of a rack. Kept for one moment, as a crowd of
-  // requests at once would else walk whole racks for each holder of each.
-  double asked_of(Rack& rack) {
-    if (rack.reckoned_at == now_)
-      return rack.asked_kb;
-    rack.reckoned_at = now_;
-    rack.asked_kb = 0;
+    const double usable_uplink = uplink_capacity(rack) * max_fill;
+    if (!rack.external_load.kb)
+      return usable_uplink - rack_demand(rack);
+    return usable_uplink - own_load_in(rack) -
+           estimated_external_load(rack.external_load, usable_uplink, external_uplink_fill_);
+  }
+
+  // Total load in kB/s on a rack, from its servers' reports. Cached for one point in time, because a burst
+  // of requests would otherwise walk whole racks for each holder of each request.
+  double rack_demand(Rack& rack) {
+    if (rack.demand_computed_at == now_)
+      return rack.demand_kb;
+    rack.demand_computed_at = now_;
+    rack.demand_kb = 0;
     for (const auto id : rack.servers) {
       const auto& server = servers_[id];
       if (server.state == ServerState::ready)
-        rack.asked_kb += server.own_kb + others_on(server);
+        rack.demand_kb += server.own_kb + external_link_load(server);
     }
-    return rack.asked_kb;
+    return rack.demand_kb;
   }
 
-  // The told uplink, or what it was seen to give, trusted less as that grows old.
-  double uplink_of(const Rack& rack) const {
-    if (!rack.gave_kb)
-      return terms_.uplink_kb;
-    const double kept = std::exp(-seconds(now_ - rack.gave_at) / (uplink_memory * seconds(silence())));
-    return terms_.uplink_kb + kept * (*rack.gave_kb - terms_.uplink_kb);
+  // The configured uplink in kB/s, shifted towards its observed capacity, which counts less as it ages.
+  double uplink_capacity(const Rack& rack) const {
+    if (!rack.observed_capacity_kb)
+      return settings_.uplink_kb;
+    const double weight = std::exp(-seconds(now_ - rack.observed_at) /
+                                   (uplink_decay_intervals * seconds(measurement_interval())));
+    return settings_.uplink_kb + weight * (*rack.observed_capacity_kb - settings_.uplink_kb);
   }
 
-  // Guards against an uplink that no report shows: most servers of a rack short at once while reports
-  // tell room on their links. Also covers a rack's switch or power fault that slows all its servers;
-  // does harm where several links fall short for reasons of their own while their reports are old.
-  void judge_uplink(Server& server, double share) {
+  // Guards against a saturated uplink that no report shows: most servers of a rack deliver short at once
+  // while their reports show headroom on their links. Also covers a fault of a rack's switch or power that
+  // slows all its servers. Underestimates the uplink where several links fall short for reasons of their
+  // own while their reports are old.
+  void detect_uplink_shortage(Server& server, double share) {
     auto& rack = rack_of(server);
-    if (terms_.uplink_kb <= 0 || rack.others.kb)
+    if (settings_.uplink_kb <= 0 || rack.external_load.kb)
       return;
-    int held = 0, cut = 0;
+    int servers_in_use = 0, servers_short = 0;
     for (const auto id : rack.servers) {
       const auto& other = servers_[id];
-      if (other.held == 0)
+      if (other.own_playbacks == 0)
         continue;
-      const bool fits = other.own_kb + other.others.kb.value_or(0) < full_share * link_of(other);
-      ++held;
-      if (other.last_short && now_ - *other.last_short <= 2 * silence() && fits)
-        ++cut;
+      const bool below_capacity =
+          other.own_kb + other.external_load.kb.value_or(0) < full_delivery_share * link_capacity(other);
+      ++servers_in_use;
+      if (other.last_shortfall_at && now_ - *other.last_shortfall_at <= 2 * measurement_interval() &&
+          below_capacity)
+        ++servers_short;
     }
-    if (cut < 2 || 2 * cut <= held)
+    if (servers_short < 2 || 2 * servers_short <= servers_in_use)
       return;
-    rack.gave_kb = asked_of(rack) * share;
-    rack.gave_at = now_;
+    rack.observed_capacity_kb = rack_demand(rack) * share;
+    rack.observed_at = now_;
   }
 
-  // ---- shortfall ----
-  void take_share(Server& server, double share) {
-    server.shares.note(now_, share, silence());
-    if (share >= full_share) {
-      server.last_short.reset();
-      server.news = true;
+  // ---- delivery shortfall ----
+  void apply_share(Server& server, double share) {
+    server.share_statistics.record(now_, share, measurement_interval());
+    if (share >= full_delivery_share) {
+      server.last_shortfall_at.reset();
+      server.headroom_changed = true;
       return;
     }
-    const bool train = server.last_short && now_ - *server.last_short <= 2 * silence();
-    const double mean = server.shares.mean(now_, silence());
-    server.last_short = now_;
-    // A late train of notes about one event is one loss, unless the mean falls on.
-    if (!train || mean < mean_drop_is_loss * server.mean_at_loss) {
-      server.window.cut(server.held, now_);
-      server.window_cut = true;
+    const bool same_episode =
+        server.last_shortfall_at && now_ - *server.last_shortfall_at <= 2 * measurement_interval();
+    const double mean = server.share_statistics.mean(now_, measurement_interval());
+    server.last_shortfall_at = now_;
+    // Late measurements of one event count as one loss, unless the mean keeps falling.
+    if (!same_episode || mean < new_loss_mean_ratio * server.mean_at_loss) {
+      server.window.on_loss(server.own_playbacks, now_);
+      server.window_has_loss = true;
       server.mean_at_loss = mean;
     }
-    judge_uplink(server, share);
-    drop_rungs(server, share);
+    detect_uplink_shortage(server, share);
+    lower_rungs(server, share);
   }
 
-  // Steps playbacks down until this front's part of the shortfall is covered, least lost per kB first. The
-  // notes that follow tell of the time before, so they drop nothing more.
-  void drop_rungs(Server& server, double share) {
-    if (server.last_drop && now_ - *server.last_drop < terms_.measurement_delay + silence())
+  // Lowers rungs until this front's part of the shortfall is covered, least revenue lost per kB/s first.
+  // Measurements that follow shortly still describe the time before, so they lower nothing more.
+  void lower_rungs(Server& server, double share) {
+    if (server.last_lowered_at &&
+        now_ - *server.last_lowered_at < settings_.measurement_delay + measurement_interval())
       return;
-    server.last_drop = now_;
-    double needed = server.own_kb * (1 - filled_most * share);
+    server.last_lowered_at = now_;
+    double needed = server.own_kb * (1 - max_planned_fill * share);
     while (needed > 0) {
-      const auto step = cheapest_step(server);
+      const auto step = cheapest_step_down(server);
       if (!step.playback)
         return;
-      // Guards against all fronts dropping a whole rung for a part of one: the last step is drawn for.
-      if (draw() * step.freed >= needed)
+      // Guards against every front lowering a whole rung where a part of one is enough: the last step is
+      // taken at random, with the needed part as its probability.
+      if (draw_uniform() * step.freed >= needed)
         return;
       needed -= step.freed;
       change_rung(*step.playback, step.rung);
@@ -632,54 +689,55 @@
 
   // ---- rungs ----
   double rate(const Request& request, int rung) const {
-    return terms_.rung_kb.at(rung) * terms_.plans[request.plan].rate_scale;
+    return settings_.rung_kb.at(rung) * settings_.plans[request.plan].rate_scale;
   }
-  // Revenue that the step up to this rung earns for each kB it asks.
-  double step_value(const Request& request, int rung) const {
-    const auto& plan = terms_.plans[request.plan];
-    const double below = rung > 0 ? terms_.rung_revenue.at(rung - 1) : 0;
+  // Revenue of the step up to this rung, per additional kB/s.
+  double step_revenue_per_kb(const Request& request, int rung) const {
+    const auto& plan = settings_.plans[request.plan];
+    const double below = rung > 0 ? settings_.rung_revenue.at(rung - 1) : 0;
     const double kb_below = rung > 0 ? rate(request, rung - 1) : 0;
     const double more_kb = std::max(1e-9, rate(request, rung) - kb_below);
-    return std::max(0.0, plan.revenue * (terms_.rung_revenue.at(rung) - below) / more_kb);
+    return std::max(0.0, plan.revenue * (settings_.rung_revenue.at(rung) - below) / more_kb);
   }
-  int floor_of(const Request& request) const { return terms_.plans[request.plan].floor; }
-  int top_of(const Request& request) const {
-    const int last = static_cast<int>(terms_.rung_kb.size()) - 1;
-    return std::clamp(std::min(request.top, terms_.plans[request.plan].top), 0, last);
+  int floor_rung(const Request& request) const { return settings_.plans[request.plan].floor; }
+  int top_rung(const Request& request) const {
+    const int last = static_cast<int>(settings_.rung_kb.size()) - 1;
+    return std::clamp(std::min(request.top, settings_.plans[request.plan].top), 0, last);
   }
 
-  void set_held_rung(Playback& playback, int rung) {
+  void update_rung(Playback& playback, int rung) {
     auto& server = servers_[playback.server];
-    ask_more(server, rate(playback.request, rung) - rate(playback.request, playback.rung));
+    change_own_load(server, rate(playback.request, rung) - rate(playback.request, playback.rung));
     playback.rung = rung;
   }
 
-  // The rung in force, as told of what plays: never under the floor, whatever is said.
-  void take_rung(Playback& playback, double told) {
-    const auto rung = sane(told, static_cast<double>(terms_.rung_kb.size() - 1));
+  // Takes over the rung reported for a playback, but never one below its floor.
+  void apply_reported_rung(Playback& playback, double reported) {
+    const auto rung = clamped_if_finite(reported, static_cast<double>(settings_.rung_kb.size() - 1));
     if (!rung || playback.state == Playback::State::waiting)
       return;
-    set_held_rung(playback, std::max(static_cast<int>(*rung), floor_of(playback.request)));
+    update_rung(playback, std::max(static_cast<int>(*rung), floor_rung(playback.request)));
   }
 
   void change_rung(Playback& playback, int rung) {
-    set_held_rung(playback, rung);
-    playback.chosen_at = now_;
+    update_rung(playback, rung);
+    playback.rung_changed_at = now_;
     commands_.push_back(SetRung{playback.request.playback, rung});
   }
 
-  // What a playback still has before it, by its hint or else by how long the others have lasted.
-  Duration left_of(const Playback& playback) {
-    const Duration floor = terms_.switch_cost;
-    return playback.ends_at ? std::max(floor, *playback.ends_at - now_) : std::max(floor, usual_life());
+  // Expected time to the playback's end, from its length if known, else from the lengths of other
+  // playbacks.
+  Duration remaining_time(const Playback& playback) {
+    const Duration floor = settings_.switch_cost;
+    return playback.ends_at ? std::max(floor, *playback.ends_at - now_) : std::max(floor, expected_length());
   }
 
-  // Revenue lost by stepping down to `rung`, the switch included.
-  double loss_of(const Playback& playback, int rung) {
-    const auto& revenue = terms_.rung_revenue;
-    return terms_.plans[playback.request.plan].revenue *
-           ((revenue.at(playback.rung) - revenue.at(rung)) * seconds(left_of(playback)) +
-            seconds(terms_.switch_cost));
+  // Revenue lost by lowering the playback to `rung`, switch cost included.
+  double revenue_loss(const Playback& playback, int rung) {
+    const auto& revenue = settings_.rung_revenue;
+    return settings_.plans[playback.request.plan].revenue *
+           ((revenue.at(playback.rung) - revenue.at(rung)) * seconds(remaining_time(playback)) +
+            seconds(settings_.switch_cost));
   }
 
   struct StepDown {
@@ -689,17 +747,17 @@
     double loss = 0;
   };
 
-  // The step down, over one rung or several, that loses least for each kB it frees.
-  StepDown cheapest_step(const Server& server) {
+  // The step down, over one rung or several, with the least revenue lost per kB/s freed.
+  StepDown cheapest_step_down(const Server& server) {
     StepDown best;
     for (auto& [id, playback] : playbacks_) {
-      if (playback.state != Playback::State::playing || playback.withdrawn)
+      if (playback.state != Playback::State::playing || playback.cancelled)
         continue;
       if (&servers_[playback.server] != &server)
         continue;
-      for (int rung = floor_of(playback.request); rung < playback.rung; ++rung) {
+      for (int rung = floor_rung(playback.request); rung < playback.rung; ++rung) {
         const double freed = rate(playback.request, playback.rung) - rate(playback.request, rung);
-        const double loss = loss_of(playback, rung);
+        const double loss = revenue_loss(playback, rung);
         if (!best.playback || loss * best.freed < best.loss * freed)
           best = {&playback, rung, freed, loss};
       }
@@ -707,115 +765,124 @@
     return best;
   }
 
-  // How far a link may be filled for this rung: the less its last step earns for each kB, beside the
-  // ladder's best, the more stays free for those who come later.
-  double filled_for(const Request& request, int rung) const {
-    if (rung <= floor_of(request))
-      return filled_most;
-    double best = 0;
-    for (int step = 0; step < static_cast<int>(terms_.rung_kb.size()); ++step)
-      best = std::max(best, step_value(request, step));
-    const double reserve = terms_.probes_enabled ? reserve_asked : reserve_told;
-    return best > 0 ? filled_most * std::pow(step_value(request, rung) / best, reserve) : 0;
+  // Share of a link that may be filled for this rung. The less its last step earns per kB/s, compared with
+  // the best step of the ladder, the more is kept free for later requests.
+  double max_fill_for(const Request& request, int rung) const {
+    if (rung <= floor_rung(request))
+      return max_planned_fill;
+    double highest = 0;
+    for (int step = 0; step < static_cast<int>(settings_.rung_kb.size()); ++step)
+      highest = std::max(highest, step_revenue_per_kb(request, step));
+    const double exponent =
+        settings_.probes_enabled ? reserve_exponent_with_probes : reserve_exponent_without_probes;
+    return highest > 0 ? max_planned_fill * std::pow(step_revenue_per_kb(request, rung) / highest, exponent)
+                       : 0;
   }
 
-  Duration usual_life() {
-    const double known = lives_known_.read(now_, first_life);
-    const double lives = lives_.read(now_, first_life);
-    return span_of((first_lives * seconds(first_life) + lives) / (first_lives + known));
+  Duration expected_length() {
+    const double count = length_count_.read(now_, default_playback_length);
+    const double sum = length_sum_.read(now_, default_playback_length);
+    return duration_from_seconds((default_length_weight * seconds(default_playback_length) + sum) /
+                                 (default_length_weight + count));
   }
 
-  void learn_life(Duration life) {
-    lives_.add(now_, seconds(life), first_life);
-    lives_known_.add(now_, 1, first_life);
+  void record_length(Duration length) {
+    length_sum_.add(now_, seconds(length), default_playback_length);
+    length_count_.add(now_, 1, default_playback_length);
   }
 
-  // Playbacks whose next step earns most rise first, each to the highest rung that room fits: a switch
-  // costs the same over one rung or several. Between news of room nothing is known that was not weighed.
-  void rise() {
-    std::vector<std::pair<double, Playback*>> wishes;
+  // Raises playbacks in the order of the revenue of their next step, each to the highest rung that fits,
+  // since a switch costs the same over one rung or several. Servers whose headroom has not changed since
+  // the last pass are skipped, as the result would be the same.
+  void raise_rungs() {
+    std::vector<std::pair<double, Playback*>> candidates;
     for (auto& [id, playback] : playbacks_) {
-      if (may_rise(playback) && servers_[playback.server].news)
-        wishes.emplace_back(-step_value(playback.request, playback.rung + 1), &playback);
+      if (can_be_raised(playback) && servers_[playback.server].headroom_changed)
+        candidates.emplace_back(-step_revenue_per_kb(playback.request, playback.rung + 1), &playback);
     }
-    for (const auto& [value, playback] : wishes)
-      servers_[playback->server].news = false;
-    std::stable_sort(wishes.begin(), wishes.end(), [](auto& a, auto& b) { return a.first < b.first; });
-    for (const auto& [value, playback] : wishes) {
-      const int rung = rung_to_rise_to(*playback);
-      if (rung <= playback->rung || !rise_pays(*playback, rung) || !drawn_to_rise(*playback, rung))
+    for (const auto& [value, playback] : candidates)
+      servers_[playback->server].headroom_changed = false;
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [](auto& a, auto& b) { return a.first < b.first; });
+    for (const auto& [value, playback] : candidates) {
+      const int rung = highest_rung_that_fits(*playback);
+      if (rung <= playback->rung || !raise_pays_off(*playback, rung) || !wins_raise_draw(*playback, rung))
         continue;
       change_rung(*playback, rung);
     }
   }
 
-  int rung_to_rise_to(const Playback& playback) {
+  int highest_rung_that_fits(const Playback& playback) {
     const auto& request = playback.request;
     auto& server = servers_[playback.server];
-    int rung = top_of(request);
+    int rung = top_rung(request);
     for (; rung > playback.rung; --rung) {
-      const double more = rate(request, rung) - rate(request, playback.rung);
-      if (more <= room(server, filled_for(request, rung)))
+      const double added_kb = rate(request, rung) - rate(request, playback.rung);
+      if (added_kb <= headroom(server, max_fill_for(request, rung)))
         break;
     }
     return rung;
   }
 
-  // Fronts that hear of the same room rise by chance, so that together they may be expected to fill it.
-  // The answer to a probe one front hears alone; notes reach all that have playbacks there, which are
-  // as many as the others' use at the rate of this front's own.
-  bool drawn_to_rise(const Playback& playback, int rung) {
-    if (terms_.probes_enabled)
+  // Fronts that see the same headroom raise at random, so that their expected total just fills it. The
+  // answer to a probe reaches one front only and needs no draw. Measurements reach every front with
+  // playbacks there; the number of these is estimated as the external load over the mean rate of this
+  // front's own playbacks.
+  bool wins_raise_draw(const Playback& playback, int rung) {
+    if (settings_.probes_enabled)
       return true;
     auto& server = servers_[playback.server];
-    const double more = rate(playback.request, rung) - rate(playback.request, playback.rung);
-    const double rivals = others_on(server) * server.held / server.own_kb;
-    return draw() * more * (1 + std::clamp<double>(rivals, 0, terms_.front_count - 1)) <=
-           room(server, filled_for(playback.request, rung));
+    const double added_kb = rate(playback.request, rung) - rate(playback.request, playback.rung);
+    const double competitors = external_link_load(server) * server.own_playbacks / server.own_kb;
+    return draw_uniform() * added_kb * (1 + std::clamp<double>(competitors, 0, settings_.front_count - 1)) <=
+           headroom(server, max_fill_for(playback.request, rung));
   }
 
-  // A rise pays for its switch, and the more often the fuller the link: it is the sooner taken back.
-  bool rise_pays(const Playback& playback, int rung) {
-    const auto& revenue = terms_.rung_revenue;
+  // A raise must earn back its switch cost, the more so the fuller the link, because it will be reverted
+  // sooner.
+  bool raise_pays_off(const Playback& playback, int rung) {
+    const auto& revenue = settings_.rung_revenue;
     auto& server = servers_[playback.server];
     const double gained = revenue.at(rung) - revenue.at(playback.rung);
-    const double fill = std::clamp(1 - room(server, 1) / link_of(server), 0.0, 1.0);
-    return gained * seconds(left_of(playback)) > rise_payoff * fill * seconds(terms_.switch_cost);
+    const double fill = std::clamp(1 - headroom(server, 1) / link_capacity(server), 0.0, 1.0);
+    return gained * seconds(remaining_time(playback)) >
+           raise_payoff_factor * fill * seconds(settings_.switch_cost);
   }
 
-  bool may_rise(const Playback& playback) {
-    if (playback.state != Playback::State::playing || playback.withdrawn)
+  bool can_be_raised(const Playback& playback) {
+    if (playback.state != Playback::State::playing || playback.cancelled)
       return false;
-    if (playback.rung >= top_of(playback.request))
+    if (playback.rung >= top_rung(playback.request))
       return false;
-    return !playback.chosen_at || now_ - *playback.chosen_at >= rise_spacing * terms_.switch_cost;
+    return !playback.rung_changed_at ||
+           now_ - *playback.rung_changed_at >= min_raise_spacing * settings_.switch_cost;
   }
 
-  // ---- placing ----
+  // ---- placement ----
   Playback& admit(const Request& request) {
     auto& playback = playbacks_[request.playback];
     playback.request = request;
-    playback.request.plan = std::clamp(request.plan, 0, static_cast<int>(terms_.plans.size()) - 1);
-    playback.rung = floor_of(playback.request);
-    playback.since = now_;
+    playback.request.plan = std::clamp(request.plan, 0, static_cast<int>(settings_.plans.size()) - 1);
+    playback.rung = floor_rung(playback.request);
+    playback.admitted_at = now_;
     if (request.length)
-      learn_life(*request.length);
+      record_length(*request.length);
     if (request.length)
       playback.ends_at = now_ + *request.length;
     return playback;
   }
 
-  void ask_more(Server& server, double kb) {
+  void change_own_load(Server& server, double kb) {
     server.own_kb += kb;
-    rack_of(server).reckoned_at.reset();
+    rack_of(server).demand_computed_at.reset();
   }
 
   void attach(Playback& playback, ServerId id) {
     auto& server = server_at(id);
     playback.server = id;
-    ++seated_[{playback.request.plan, playback.request.title}];
-    ask_more(server, rate(playback.request, playback.rung));
-    ++server.held;
+    ++seats_taken_[{playback.request.plan, playback.request.title}];
+    change_own_load(server, rate(playback.request, playback.rung));
+    ++server.own_playbacks;
   }
 
   void detach(Playback& playback) {
@@ -823,10 +890,10 @@
       return;
     auto& server = servers_[playback.server];
     const std::pair seat(playback.request.plan, playback.request.title);
-    if (--seated_[seat] == 0)
-      seated_.erase(seat);
-    ask_more(server, -rate(playback.request, playback.rung));
-    if (--server.held == 0)
+    if (--seats_taken_[seat] == 0)
+      seats_taken_.erase(seat);
+    change_own_load(server, -rate(playback.request, playback.rung));
+    if (--server.own_playbacks == 0)
       server.own_kb = 0;
     playback.state = Playback::State::waiting;
   }
@@ -836,345 +903,360 @@
     playbacks_.erase(id);
   }
 
-  // The servers that hold the request's title and may be given it now, by id.
-  std::vector<ServerId> open_holders(const Request& request) {
-    std::vector<ServerId> open;
+  // Servers that hold the request's title and may get a set-up now, by rising id.
+  std::vector<ServerId> eligible_holders(const Request& request) {
+    std::vector<ServerId> eligible;
     if (request.listed_holders) {
       for (const auto id : *request.listed_holders) {
-        if (id < servers_.size() && servers_[id].listed && is_open(servers_[id]))
-          open.push_back(id);
+        if (id < servers_.size() && servers_[id].listed && is_eligible(servers_[id]))
+          eligible.push_back(id);
       }
-      return open;
+      return eligible;
     }
-    for (int i = 0; i < std::min(request.cell_count, terms_.cells); ++i) {
-      for (const auto id : cells_[wrapped(request.first_cell + i, cells_.size())]) {
-        if (is_open(servers_[id]))
-          open.push_back(id);
+    for (int i = 0; i < std::min(request.cell_count, settings_.cells); ++i) {
+      for (const auto id : cells_[wrapped_index(request.first_cell + i, cells_.size())]) {
+        if (is_eligible(servers_[id]))
+          eligible.push_back(id);
       }
     }
-    std::sort(open.begin(), open.end());
-    return open;
+    std::sort(eligible.begin(), eligible.end());
+    return eligible;
   }
 
-  bool is_open(const Server& server) const {
+  bool is_eligible(const Server& server) const {
     if (server.state != ServerState::ready)
       return false;
-    if (now_ < server.rests_until)
+    if (now_ < server.cooldown_until)
       return false;
-    return server.held + 1 <= server.window.size(now_) && within_pace(server);
+    return server.own_playbacks + 1 <= server.window.size(now_) && within_cold_pace(server);
   }
 
-  // A front that has itself just started can't tell who else has; few others start with it, so half of
-  // the pace is its.
-  bool within_pace(const Server& server) const {
-    return has_turn(server) && now_ - server.last_set_up >= own_interval(server);
+  // A front that has just started itself can't tell which other fronts have. Few start at the same time, so
+  // it takes half of the pace.
+  bool within_cold_pace(const Server& server) const {
+    return has_turn(server) && now_ - server.last_setup_at >= own_start_setup_interval(server);
   }
 
-  // Guards against fronts falling into step at a server that was just started or seen failing: they take
-  // turns, each one set-up long at the pace allowed. A turn that is not used is over, so that none are saved
-  // up for a crowd, and all fronts together stay under the multiple whatever is asked of them.
+  // Guards against bursts of set-ups from several fronts at a server that has just started or failed:
+  // fronts take turns of one set-up each, at the allowed pace. An unused turn expires, so turns can't be
+  // saved up for a burst, and all fronts together stay under the overload multiple at any demand.
   bool has_turn(const Server& server) const {
-    if (!server.cold_since || now_ - *server.cold_since >= terms_.warmup_time)
+    if (!server.cold_since || now_ - *server.cold_since >= settings_.warmup_time)
       return true;
-    const auto turn = turn_at(server, now_);
-    const bool used = server.last_set_up >= *server.cold_since && turn_at(server, server.last_set_up) == turn;
-    return !used && turn % static_cast<std::size_t>(terms_.front_count) == number_;
+    const auto turn = turn_number(server, now_);
+    const bool used =
+        server.last_setup_at >= *server.cold_since && turn_number(server, server.last_setup_at) == turn;
+    return !used && turn % static_cast<std::size_t>(settings_.front_count) == front_index_;
   }
 
-  // How many set-ups the pace has let through since the start: the number of the turn that it is.
-  std::size_t turn_at(const Server& server, Duration at) const {
-    const double age = std::max(0.0, seconds(at - *server.cold_since) / seconds(terms_.warmup_time));
-    const double warmed =
-        terms_.warmup_initial_share * age + (1 - terms_.warmup_initial_share) * age * age * age / 3;
-    const double let_through = pace_kept * terms_.overload_multiple * streams_of(server) * warmed;
-    return static_cast<std::size_t>(std::fmax(0, std::fmin(let_through, 1e9)));
+  // Number of set-ups that the pace has allowed since the start, which is the number of the current turn.
+  std::size_t turn_number(const Server& server, Duration at) const {
+    const double elapsed = std::max(0.0, seconds(at - *server.cold_since) / seconds(settings_.warmup_time));
+    const double capacity_integral = settings_.warmup_initial_share * elapsed +
+                                     (1 - settings_.warmup_initial_share) * elapsed * elapsed * elapsed / 3;
+    const double allowed_setups =
+        cold_pace_share * settings_.overload_multiple * stream_capacity(server) * capacity_integral;
+    return static_cast<std::size_t>(std::fmax(0, std::fmin(allowed_setups, 1e9)));
   }
 
-  // How far apart this front sends set-ups to a server that may have started when it did.
-  Duration own_interval(const Server& server) const {
-    if (now_ >= terms_.warmup_time)
+  // Minimum time between this front's set-ups to a server that may have started when the front did.
+  Duration own_start_setup_interval(const Server& server) const {
+    if (now_ >= settings_.warmup_time)
       return 0s;
-    const double warmed = seconds(now_) / seconds(terms_.warmup_time);
-    const double warmth = terms_.warmup_initial_share + (1 - terms_.warmup_initial_share) * warmed * warmed;
-    const double pace = streams_of(server) / seconds(terms_.warmup_time) * warmth * terms_.overload_multiple;
-    return span_of(std::min(terms_.front_count, 2) / (pace * pace_kept));
+    const double elapsed = seconds(now_) / seconds(settings_.warmup_time);
+    const double capacity_share =
+        settings_.warmup_initial_share + (1 - settings_.warmup_initial_share) * elapsed * elapsed;
+    const double pace = stream_capacity(server) / seconds(settings_.warmup_time) * capacity_share *
+                        settings_.overload_multiple;
+    return duration_from_seconds(std::min(settings_.front_count, 2) / (pace * cold_pace_share));
   }
 
-  bool has_seat(const Request& request) const {
-    const int seats = terms_.plans[request.plan].seats;
+  bool has_free_seat(const Request& request) const {
+    const int seats = settings_.plans[request.plan].seats;
     if (seats <= 0)
       return true;
-    const auto taken = seated_.find({request.plan, request.title});
-    return taken == seated_.end() || taken->second < seats;
+    const auto taken = seats_taken_.find({request.plan, request.title});
+    return taken == seats_taken_.end() || taken->second < seats;
   }
 
-  // Tries beyond the first, this one too, stay within the free few and the share of playbacks taken.
-  bool within_budget(const Playback& playback) {
-    if (playback.tries == 0 || terms_.retry_budget_window <= 0s)
+  // Retries within the window, this one included, stay within the base plus the share of requests.
+  bool within_retry_budget(const Playback& playback) {
+    if (playback.tries == 0 || settings_.retry_budget_window <= 0s)
       return true;
-    forget_old_tries();
-    return further_.size() + 1.0 <=
-           terms_.retry_budget_base + terms_.retry_budget_share * static_cast<double>(taken_.size());
+    expire_budget_entries();
+    return retry_times_.size() + 1.0 <=
+           settings_.retry_budget_base +
+               settings_.retry_budget_share * static_cast<double>(request_times_.size());
   }
 
-  // With each request, so that a front which seldom tries again does not count its requests for ever.
-  void forget_old_tries() {
-    while (!taken_.empty() && taken_.front() <= now_ - terms_.retry_budget_window)
-      taken_.pop_front();
-    while (!further_.empty() && further_.front() < now_ - terms_.retry_budget_window)
-      further_.pop_front();
+  // Runs on each request too. Guards against a front that seldom retries keeping all its requests in
+  // memory.
+  void expire_budget_entries() {
+    while (!request_times_.empty() && request_times_.front() <= now_ - settings_.retry_budget_window)
+      request_times_.pop_front();
+    while (!retry_times_.empty() && retry_times_.front() < now_ - settings_.retry_budget_window)
+      retry_times_.pop_front();
   }
 
-  bool may_try(const Playback& playback) {
-    const auto& plan = terms_.plans[playback.request.plan];
+  bool may_set_up(const Playback& playback) {
+    const auto& plan = settings_.plans[playback.request.plan];
     if (plan.pay_at_setup && playback.may_have_run)
       return false;
     if (now_ >= playback.target_at)
       return false;
-    return playback.tries < terms_.max_tries && within_budget(playback) && has_seat(playback.request);
+    return playback.tries < settings_.max_tries && within_retry_budget(playback) &&
+           has_free_seat(playback.request);
   }
 
   void place(Playback& playback) {
-    playback.asked.reset();
-    if (!may_try(playback))
-      return give_up(playback);
+    playback.awaited_probe.reset();
+    if (!may_set_up(playback))
+      return turn_down(playback);
     const auto& request = playback.request;
-    const auto open = open_holders(request);
-    std::optional<ServerId> best;
-    int rung = top_of(request);
-    for (; !best && rung >= floor_of(request); --rung)
-      best = choose(open, rate(request, rung), filled_for(request, rung));
+    const auto eligible = eligible_holders(request);
+    std::optional<ServerId> chosen;
+    int rung = top_rung(request);
+    for (; !chosen && rung >= floor_rung(request); --rung)
+      chosen = choose_server(eligible, rate(request, rung), max_fill_for(request, rung));
     ++rung;
-    // A holder just heard of that fits the top rung is good enough; else the others are asked first.
-    const bool sure = best && rung == top_of(request) && just_heard(servers_[*best]);
-    const auto stalest = stalest_of(open);
-    if (!sure && stalest && may_ask(playback, servers_[*stalest]))
-      return ask(playback, *stalest);
-    best ? send(playback, *best, rung) : give_up(playback);
+    // A holder with a fresh report that fits the top rung is taken at once; else the stalest one is probed
+    // first.
+    const bool good_enough = chosen && rung == top_rung(request) && has_fresh_report(servers_[*chosen]);
+    const auto stalest = stalest_holder(eligible);
+    if (!good_enough && stalest && should_probe(playback, servers_[*stalest]))
+      return probe_before_setup(playback, *stalest);
+    chosen ? start_setup(playback, *chosen, rung) : turn_down(playback);
   }
 
-  template <typename Which>
-  void place_waiting(Which which) {
+  template <typename Predicate>
+  void place_awaiting(Predicate predicate) {
     std::vector<Playback*> waiting;
     for (auto& [id, playback] : playbacks_) {
-      if (playback.asked && which(playback))
+      if (playback.awaited_probe && predicate(playback))
         waiting.push_back(&playback);
     }
     for (auto* playback : waiting)
       place(*playback);
   }
 
-  // The page's choice: window room and room for the rung, least spread, ties to most room. Of those
-  // nearly tied in room too, one just heard of goes first; else one is drawn, as fronts that see alike
-  // would otherwise all choose alike.
-  std::optional<ServerId> choose(const std::vector<ServerId>& open, double kb, double filled) {
+  // Among servers with headroom for `kb`, chooses by least spread of the delivered share, then own hall,
+  // then most headroom, then a fresh report; spreads and headrooms within the tolerances count as equal.
+  // What is still tied is drawn, as fronts with the same data would otherwise all choose the same server.
+  std::optional<ServerId> choose_server(const std::vector<ServerId>& eligible, double kb, double max_fill) {
     std::optional<ServerId> best;
-    double best_spread = 0, best_room = 0;
-    int alike = 0;
-    for (const auto id : open) {
+    double best_spread = 0, best_headroom = 0;
+    int tie_count = 0;
+    for (const auto id : eligible) {
       auto& server = servers_[id];
-      const double left = room(server, filled) - kb;
-      if (left < 0)
+      const double remaining = headroom(server, max_fill) - kb;
+      if (remaining < 0)
         continue;
-      const double spread = server.shares.spread(now_, silence());
-      const double more = left - best_room;
-      if (best && std::abs(spread - best_spread) > spread_tie) {
+      const double spread = server.share_statistics.spread(now_, measurement_interval());
+      const double gain = remaining - best_headroom;
+      if (best && std::abs(spread - best_spread) > spread_tie_tolerance) {
         if (spread > best_spread)
           continue;
-        alike = 1;
-      } else if (best && crosses(server) != crosses(servers_[*best])) {
-        if (crosses(server))
+        tie_count = 1;
+      } else if (best && is_in_other_hall(server) != is_in_other_hall(servers_[*best])) {
+        if (is_in_other_hall(server))
           continue;
-        alike = 1;
-      } else if (best && std::abs(more) > room_tie * link_of(server)) {
-        if (more < 0)
+        tie_count = 1;
+      } else if (best && std::abs(gain) > headroom_tie_share * link_capacity(server)) {
+        if (gain < 0)
           continue;
-        alike = 1;
-      } else if (best && just_heard(server) != just_heard(servers_[*best])) {
-        if (!just_heard(server))
+        tie_count = 1;
+      } else if (best && has_fresh_report(server) != has_fresh_report(servers_[*best])) {
+        if (!has_fresh_report(server))
           continue;
-        alike = 1;
-      } else if (draw() * ++alike >= 1) {
+        tie_count = 1;
+      } else if (draw_uniform() * ++tie_count >= 1) {
         continue;
       }
       best = id;
       best_spread = spread;
-      best_room = left;
+      best_headroom = remaining;
     }
     return best;
   }
 
-  bool crosses(const Server& server) const {
-    return terms_.cross_hall_cost > 0 && server.hall != terms_.own_hall;
+  bool is_in_other_hall(const Server& server) const {
+    return settings_.cross_hall_cost > 0 && server.hall != settings_.own_hall;
   }
 
-  bool just_heard(const Server& server) const {
-    return server.others.kb && now_ - server.others.heard_at <= fresh();
+  bool has_fresh_report(const Server& server) const {
+    return server.external_load.kb && now_ - server.external_load.reported_at <= fresh_report_age();
+  }
+  Duration fresh_report_age() const {
+    return duration_from_seconds(fresh_report_share * seconds(report_decay_time()));
   }
-  Duration fresh() const { return span_of(fresh_part * seconds(memory())); }
 
-  // A number drawn from 0 up to 1.
-  double draw() { return std::uniform_real_distribution<>()(chance_); }
+  // Uniform in [0, 1).
+  double draw_uniform() { return std::uniform_real_distribution<>()(random_); }
 
-  void send(Playback& playback, ServerId id, int rung) {
+  void start_setup(Playback& playback, ServerId id, int rung) {
     const auto& request = playback.request;
     auto& server = servers_[id];
     playback.rung = rung;
-    earned_ += earned_weight * (terms_.rung_revenue.at(rung) - earned_);
+    mean_revenue_ += revenue_smoothing * (settings_.rung_revenue.at(rung) - mean_revenue_);
     attach(playback, id);
     playback.state = Playback::State::setting_up;
-    if (playback.tries > 0 && terms_.retry_budget_window > 0s)
-      further_.push_back(now_);
+    if (playback.tries > 0 && settings_.retry_budget_window > 0s)
+      retry_times_.push_back(now_);
     ++playback.tries;
-    server.last_set_up = now_;
+    server.last_setup_at = now_;
     commands_.push_back(SetRung{request.playback, rung});
     commands_.push_back(SetUp{request.playback, id, time_limit(playback)});
   }
 
-  // A try leaves time for another before the startup target, unless it is the last that may be made.
+  // A try leaves time for another one before the startup target, unless it is the last one allowed.
   Duration time_limit(const Playback& playback) {
-    const Duration left = playback.request.abandon_at - now_;
-    if (terms_.plans[playback.request.plan].pay_at_setup)
-      return left;
-    if (playback.tries >= terms_.max_tries)
-      return left;
-    return std::min(left, span_of(first_try_share * seconds(playback.target_at - now_)) + 50ms);
+    const Duration until_abandon = playback.request.abandon_at - now_;
+    if (settings_.plans[playback.request.plan].pay_at_setup)
+      return until_abandon;
+    if (playback.tries >= settings_.max_tries)
+      return until_abandon;
+    return std::min(until_abandon,
+                    duration_from_seconds(try_time_share * seconds(playback.target_at - now_)) + 50ms);
   }
 
-  void give_up(Playback& playback) {
-    earned_ -= earned_weight * earned_;
+  void turn_down(Playback& playback) {
+    mean_revenue_ -= revenue_smoothing * mean_revenue_;
     const auto id = playback.request.playback;
-    const auto come_back = span_of(come_back_part * seconds(terms_.max_retry_after));
-    if (terms_.plans[playback.request.plan].pay_at_setup && playback.may_have_run)
+    const auto retry_after = duration_from_seconds(retry_after_share * seconds(settings_.max_retry_after));
+    if (settings_.plans[playback.request.plan].pay_at_setup && playback.may_have_run)
       commands_.push_back(Abort{id});
     else
-      commands_.push_back(Reject{id, come_back});
+      commands_.push_back(Reject{id, retry_after});
     forget(id);
   }
 
-  // ---- health, from what this front's own tries met ----
-  void judge_outcome(Server& server, Playback& playback, Outcome outcome) {
-    const bool proof =
+  // ---- server health, from the outcomes of this front's tries and probes ----
+  void apply_outcome(Server& server, Playback& playback, Outcome outcome) {
+    const bool never_ran =
         outcome == Outcome::full || outcome == Outcome::no_connection || outcome == Outcome::not_sent;
-    if (!proof)
+    if (!never_ran)
       playback.may_have_run = true;
     if (outcome == Outcome::reset || outcome == Outcome::no_connection || outcome == Outcome::late)
-      strike(server);
+      record_failure(server);
     if (outcome == Outcome::full)
-      server.others.hear(link_of(server) - server.own_kb, now_);
+      server.external_load.record(link_capacity(server) - server.own_kb, now_);
   }
 
-  // Silence, a reset or a refused connection: rest, the longer the more in a row until a try starts.
-  // What failed may come back cold.
-  void strike(Server& server) {
-    if (now_ < server.rests_until)
+  // After no answer, a reset or a refused connection the server gets nothing for a cooldown, which doubles
+  // with each further failure until a try starts. It counts as cold, since it may have restarted.
+  void record_failure(Server& server) {
+    if (now_ < server.cooldown_until)
       return;
-    const double rest = first_rest * std::exp2(std::min(server.strikes, 3)) * seconds(shortest_target());
-    ++server.strikes;
-    server.rests_until = now_ + span_of(rest);
+    const double cooldown = first_cooldown_targets * std::exp2(std::min(server.consecutive_failures, 3)) *
+                            seconds(shortest_target());
+    ++server.consecutive_failures;
+    server.cooldown_until = now_ + duration_from_seconds(cooldown);
     server.cold_since = now_;
   }
 
   Duration shortest_target() const {
     Duration shortest = Duration::max();
-    for (const auto& plan : terms_.plans)
+    for (const auto& plan : settings_.plans)
       shortest = std::min(shortest, plan.startup_target);
     return shortest;
   }
 
   // ---- probes ----
-  double probes_per_playback() const {
-    if (!terms_.probes_enabled)
+  double probe_credit_per_request() const {
+    if (!settings_.probes_enabled)
       return 0;
-    return terms_.probe_cost > 0 ? std::min(2.0, probe_spending * earned_ / terms_.probe_cost) : 2.0;
+    return settings_.probe_cost > 0
+               ? std::min(2.0, probe_revenue_share * mean_revenue_ / settings_.probe_cost)
+               : 2.0;
   }
 
-  // Old knowledge of the server chosen is renewed before the set-up, where price and startup target
-  // allow.
-  bool may_ask(const Playback& playback, const Server& server) const {
-    if (!terms_.probes_enabled || probes_due_ < 1 || playback.probes >= most_probes)
+  // A stale report is renewed before the set-up, where probe credit and startup target allow.
+  bool should_probe(const Playback& playback, const Server& server) const {
+    if (!settings_.probes_enabled || probe_credit_ < 1 || playback.probes >= max_probes_per_setup)
       return false;
-    if (playback.target_at - now_ < 2 * tick)
+    if (playback.target_at - now_ < 2 * tick_interval)
       return false;
-    return !just_heard(server);
+    return !has_fresh_report(server);
   }
 
-  // Where playbacks that may rise play, a probe tells of room: at once for those handed over, and then
-  // as far as probes are left, the oldest report first.
-  void ask_where_playbacks_play() {
-    if (!terms_.probes_enabled)
+  // Probes a server whose playbacks could be raised, the one with the oldest report first. A server without
+  // any report, as under an adopted playback, is probed at once; others as far as probe credit allows.
+  void probe_for_raises() {
+    if (!settings_.probes_enabled)
       return;
     Server* oldest = nullptr;
     ServerId oldest_id = 0;
     for (const auto& [id, playback] : playbacks_) {
       auto& server = servers_[playback.server];
-      if (!may_rise(playback) || now_ - std::max(server.asked_at, server.others.heard_at) < fresh())
+      if (!can_be_raised(playback) ||
+          now_ - std::max(server.raise_probe_at, server.external_load.reported_at) < fresh_report_age())
         continue;
-      if (oldest && oldest->others.heard_at <= server.others.heard_at)
+      if (oldest && oldest->external_load.reported_at <= server.external_load.reported_at)
         continue;
       oldest = &server;
       oldest_id = playback.server;
     }
-    if (!oldest || (probes_due_ < 1 && oldest->others.kb))
+    if (!oldest || (probe_credit_ < 1 && oldest->external_load.kb))
       return;
-    if (oldest->others.kb)
-      probes_due_ -= 1;
-    oldest->asked_at = now_;
+    if (oldest->external_load.kb)
+      probe_credit_ -= 1;
+    oldest->raise_probe_at = now_;
     commands_.push_back(Probe{oldest_id});
   }
 
-  // Guards against turning viewers away for room that has since come free.
-  std::optional<ServerId> stalest_of(const std::vector<ServerId>& open) {
+  // The holder with the oldest report. Guards against rejecting viewers although headroom has become free
+  // since.
+  std::optional<ServerId> stalest_holder(const std::vector<ServerId>& eligible) {
     std::optional<ServerId> stalest;
-    int alike = 0;
-    for (const auto id : open) {
-      if (just_heard(servers_[id]))
+    int tie_count = 0;
+    for (const auto id : eligible) {
+      if (has_fresh_report(servers_[id]))
         continue;
       const auto rank = [&](ServerId of) {
-        return std::pair(crosses(servers_[of]), servers_[of].others.heard_at);
+        return std::pair(is_in_other_hall(servers_[of]), servers_[of].external_load.reported_at);
       };
       if (stalest && rank(id) > rank(*stalest))
         continue;
-      alike = !stalest || rank(id) < rank(*stalest) ? 1 : alike + 1;
-      if (alike == 1 || draw() * alike < 1)
+      tie_count = !stalest || rank(id) < rank(*stalest) ? 1 : tie_count + 1;
+      if (tie_count == 1 || draw_uniform() * tie_count < 1)
         stalest = id;
     }
     return stalest;
   }
 
-  void ask(Playback& playback, ServerId id) {
+  void probe_before_setup(Playback& playback, ServerId id) {
     ++playback.probes;
-    playback.asked = id;
-    playback.asked_at = now_;
-    probes_due_ -= 1;
+    playback.awaited_probe = id;
+    playback.probe_sent_at = now_;
+    probe_credit_ -= 1;
     commands_.push_back(Probe{id});
   }
 
-  PolicySettings terms_;
-  std::minstd_rand chance_;
-  std::size_t number_ = 0;  // of this front among all
+  PolicySettings settings_;
+  std::minstd_rand random_;
+  std::size_t front_index_ = 0;
   Duration now_{0};
   std::vector<Command> commands_;
   bool ticking_ = false;
-  bool ask_for_list_ = false;
-  std::deque<Server> servers_;                // by id
-  std::vector<std::vector<ServerId>> cells_;  // the servers listed in each
+  bool subscription_due_ = false;
+  std::deque<Server> servers_;                // by ServerId
+  std::vector<std::vector<ServerId>> cells_;  // servers in each cell that are not gone
   std::vector<Rack> racks_;
-  double mean_streams_ = 0;  // of a listed server
+  double mean_streams_ = 0;  // stream capacity of the mean server that is not gone
   std::map<PlaybackId, Playback> playbacks_;
-  std::map<std::pair<int, TitleId>, int> seated_;  // playbacks of a plan and title, set-ups included
-  std::deque<Duration> taken_;
-  std::deque<Duration> further_;
-  double probes_due_ = 0;
-  double earned_ = 1;  // of its top rung's revenue, by a request of late
-  UsualFill usual_link_;
-  UsualFill usual_uplink_;
-  FadingSum lives_;
-  FadingSum lives_known_;
+  std::map<std::pair<int, TitleId>, int> seats_taken_;  // per plan and title, set-ups included
+  std::deque<Duration> request_times_;
+  std::deque<Duration> retry_times_;
+  double probe_credit_ = 0;
+  double mean_revenue_ = 1;  // moving average of a request's rung revenue, 0 for a rejected one
+  ExternalFillEstimate external_link_fill_;
+  ExternalFillEstimate external_uplink_fill_;
+  DecayingSum length_sum_;
+  DecayingSum length_count_;
 };
 
-Policy::Policy(PolicySettings terms, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(std::move(terms), seed)) {}
+Policy::Policy(PolicySettings settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
