--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 using testing::Net;
 using testing::RulesModel;
-using What = RulesModel::What;
+using StepKind = RulesModel::StepKind;
 
 constexpr int fronts = 3, boxes = 4;
 constexpr int list_host = fronts + boxes, viewer_host = list_host + 1;
@@ -38,7 +38,7 @@
       running_.push_back(true);
       cores_.push_back(make(f, false));
       net_.add(*cores_.back(), 1);
-      step(What::began, f);
+      step(StepKind::front_started, f);
     }
     box_cores_.resize(boxes);
     for (int b = 0; b < boxes; ++b) {
@@ -57,8 +57,8 @@
     net_.add(viewer_, 0);
   }
 
-  std::optional<RulesModel::Broken> run() {
-    for (Duration at = 10ms; at < 16s && !model_.broken(); at += 10ms) {
+  std::optional<RulesModel::Violation> run() {
+    for (Duration at = 10ms; at < 16s && !model_.violation(); at += 10ms) {
       net_.run(at);
       told();
       if (at < 10s && number(0, 99) < 25)
@@ -89,10 +89,10 @@
       if (wrong_ = stops(); !wrong_.empty())
         break;
     }
-    return model_.broken();
+    return model_.violation();
   }
   const std::string& wrong() const { return wrong_; }
-  std::size_t count(What what) const { return model_.count(what); }
+  std::size_t count(StepKind what) const { return model_.count(what); }
 
  private:
   struct Box : Core {
@@ -146,12 +146,12 @@
     }
   };
 
-  static testing::RulesTerms rules(Duration latency) {
-    testing::RulesTerms rules;
+  static testing::RuleSettings rules(Duration latency) {
+    testing::RuleSettings rules;
     rules.plans = {{false, 0, 0}, {true, 0, 0}};
     rules.answer_slack = 150ms;
-    rules.grace = latency + 1ms;  // what was written before the word is on its way
-    rules.longest_come_back = 10s;
+    rules.drain_grace = latency + 1ms;  // what was written before the word is on its way
+    rules.max_retry_after = 10s;
     return rules;
   }
   int number(int least, int most) { return std::uniform_int_distribution<int>(least, most)(chance_); }
@@ -183,14 +183,14 @@
                                               kept, nullptr);
   }
 
-  void step(What what, int front, int playback = 0, int server = 0, bool never_ran = false) {
+  void step(StepKind what, int front, int playback = 0, int server = 0, bool never_ran = false) {
     RulesModel::Step step{net_.now(), what, front, static_cast<std::uint64_t>(playback), server};
     if (playback > 0)
       step.plan = playback % 2;
-    if (what == What::taken)
+    if (what == StepKind::requested)
       step.until = net_.now() + abandon;
     step.never_ran = never_ran;
-    if (what == What::rejected)
+    if (what == StepKind::rejected)
       step.until = 1s;
     model_.step(step);
   }
@@ -221,7 +221,7 @@
           continue;
         const auto& states = history_[static_cast<std::size_t>(std::get<std::int64_t>(value))];
         for (int b = 0; b < boxes; ++b)
-          step(states[b] == "ready" ? What::listed_ready : What::listed_off, host, 0, b);
+          step(states[b] == "ready" ? StepKind::listed_ready : StepKind::listed_off, host, 0, b);
       }
     }
   }
@@ -252,18 +252,18 @@
     take(playback);
     const auto run = tries_.find(playback);
     if (got.starts_with("HTTP/1.1 200"))
-      return step(What::plays, front, playback);
+      return step(StepKind::started, front, playback);
     // Tries that the manager gave up are over to it when it answers.
     if (run != tries_.end() && run->second.out) {
-      step(What::ended, front, playback, run->second.box);
+      step(StepKind::try_ended, front, playback, run->second.box);
       run->second.out = false;
     }
-    step(got.starts_with("HTTP/1.1 503") ? What::rejected : What::aborted, front, playback);
+    step(got.starts_with("HTTP/1.1 503") ? StepKind::rejected : StepKind::aborted, front, playback);
   }
   // It is the manager's from when it was sent: what is refused at the door got its answer too.
   void take(int playback) {
     if (pending_.erase(playback))
-      step(What::taken, front_of_[playback], playback);
+      step(StepKind::requested, front_of_[playback], playback);
   }
 
   struct Try {
@@ -284,7 +284,7 @@
     }
     auto& t = tries_[playback];
     t = {box, link, true};
-    step(What::sent, front, playback, box);
+    step(StepKind::setup_sent, front, playback, box);
   }
   void try_over(int box, ConnectionId link, bool never_ran, bool plays = false) {
     for (auto& [playback, t] : tries_) {
@@ -293,7 +293,7 @@
       if (plays)
         return;
       t.out = false;
-      return step(What::ended, front_of_[playback], playback, box, never_ran);
+      return step(StepKind::try_ended, front_of_[playback], playback, box, never_ran);
     }
   }
 
@@ -311,7 +311,7 @@
     lost(front);
   }
   void lost(int front) {
-    step(What::killed, front);
+    step(StepKind::front_killed, front);
     running_[front] = false;
     stopping_[front] = false;
     back_at_[front] = net_.now() + std::chrono::milliseconds(number(50, 600));
@@ -325,9 +325,9 @@
     ++lives_[front];
     cores_[front] = make(front, true);
     running_[front] = true;
-    step(What::began, front);
+    step(StepKind::front_started, front);
     for (int b = 0; b < boxes; ++b)
-      step(What::listed_ready, front, 0, b);  // as kept
+      step(StepKind::listed_ready, front, 0, b);  // as kept
     net_.replace(front, *cores_[front]);
   }
 
@@ -380,12 +380,12 @@
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     Hall hall(seed);
     const auto broken = hall.run();
-    ASSERT_FALSE(broken) << "seed " << seed << ": rule " << broken->rule << ": " << broken->what;
+    ASSERT_FALSE(broken) << "seed " << seed << ": rule " << broken->rule << ": " << broken->message;
     ASSERT_TRUE(hall.wrong().empty()) << "seed " << seed << ": " << hall.wrong();
-    sent += hall.count(What::sent);
-    taken += hall.count(What::taken);
-    killed += hall.count(What::killed);
-    off += hall.count(What::listed_off);
+    sent += hall.count(StepKind::setup_sent);
+    taken += hall.count(StepKind::requested);
+    killed += hall.count(StepKind::front_killed);
+    off += hall.count(StepKind::listed_off);
   }
   EXPECT_GT(taken, 60u * 100);
   EXPECT_GT(sent, taken / 3);
--- a/tests/program/rules_model.h
+++ b/tests/program/rules_model.h
@@ -1,6 +1,6 @@
-// The six rules, plain and slow: all that was told and ordered, by all fronts, is kept, and each step is
-// judged by walking the whole of it. Shares nothing with the module, the manager or the auditor: what a rule
-// means is written here a second time, from its words.
+// A slow reference model of the six rules: it keeps every step of all fronts and checks each new one by
+// walking the whole history. Shares no code with the module, the manager or the auditor, so that a
+// misreading of a rule does not hide itself.
 #pragma once
 
 #include <algorithm>
@@ -12,49 +12,54 @@
 
 namespace violettide::testing {
 
-struct RulesTerms {
+// The limits that the rules check. Times are in microseconds.
+struct RuleSettings {
   using Duration = std::chrono::microseconds;
   struct Plan {
-    bool paid = false;
+    bool pay_at_setup = false;
     int floor = 0;
-    int seats = 0;  // 0: no cap
+    int seats = 0;  // 0: no limit
   };
   std::vector<Plan> plans;
-  Duration answer_slack{0};  // past a viewer's time, for the way
-  Duration grace{0};         // after word that a server drains or is gone
-  Duration cold{0};          // 0: servers are never cold
-  double warmup_initial_share = 1, multiple = 1, streams = 1;
-  Duration fall{0};
-  double cold_slack = 0;            // set-ups
+  Duration answer_slack{0};  // past the abandon time, for the transport
+  Duration drain_grace{0};   // after the news that a server drains or is gone
+  Duration warmup_time{0};   // 0: servers are never cold
+  double warmup_initial_share = 1;
+  double overload_multiple = 1;
+  double stream_capacity = 1;
+  Duration cold_window{0};          // length of the window in which the pace is counted
+  double cold_window_slack = 0;     // set-ups
   Duration retry_budget_window{0};  // 0: no budget
-  double retry_budget_base = 0, retry_budget_share = 0;
-  Duration longest_come_back{0};
+  double retry_budget_base = 0;
+  double retry_budget_share = 0;
+  Duration max_retry_after{0};  // 0: no Retry-After time may be given
 };
 
+// Checks the rules over the steps of all fronts and keeps the first violation.
 class RulesModel {
  public:
   using Duration = std::chrono::microseconds;
-  enum class What {
-    began,      // a front's process; it knows nothing
-    killed,     // and is no more
-    taken,      // a request, by a front; `until`: its viewer's time
-    carried,    // a playback that plays, handed over to a front
-    withdrawn,  // its viewer left, or the front no longer owes an answer
-    sent,       // a set-up try
-    plays,      // the try has started
-    ended,      // the try; `never_ran`: provably; `over`: and the playback with it
-    rejected,
+  enum class StepKind {
+    front_started,  // a front's process starts and knows nothing
+    front_killed,
+    requested,   // a front takes a request; `until`: the viewer's abandon time
+    adopted,     // a playing playback is handed over to a front
+    cancelled,   // the viewer left, or the front owes no answer any more
+    setup_sent,  // a try starts
+    started,     // the try succeeded
+    try_ended,   // `never_ran`: provably; `playback_over`: no further try follows
+    rejected,    // `until`: the Retry-After time
     aborted,
-    rung,            // set by the front
-    listed_ready,    // a front is told
-    listed_off,      // draining, gone, or named no more
-    listed_start,    // with its start, `until`
-    server_started,  // in truth
+    rung_set,        // by the front
+    listed_ready,    // a list reaches a front
+    listed_off,      // as draining, gone or left out
+    listed_start,    // with the server's start time in `until`
+    server_started,  // the actual event, which fronts learn of later
     server_stopped
   };
   struct Step {
     Duration at{0};
-    What what = What::began;
+    StepKind kind = StepKind::front_started;
     int front = 0;
     std::uint64_t playback = 0;
     int server = 0;
@@ -62,282 +67,297 @@
     std::uint64_t title = 0;
     int rung = 0;
     Duration until{0};
-    bool never_ran = false, over = false;
-    bool failed = false;  // silence, a reset or a refused connection
+    bool never_ran = false;
+    bool playback_over = false;
+    bool failed = false;  // no answer, a reset or a refused connection
   };
-  struct Broken {
-    int rule = 0;  // 0: what is given up on gets its come-back time
-    std::string what;
+  struct Violation {
+    int rule = 0;  // 0: the limits on the Retry-After time
+    std::string message;
   };
 
-  explicit RulesModel(RulesTerms terms) : terms_(std::move(terms)) {}
+  explicit RulesModel(RuleSettings settings) : settings_(std::move(settings)) {}
 
-  // Steps come in order of time. The first that breaks a rule is told by broken().
+  // Adds a step and checks it. Steps must be in order of time.
   void step(const Step& step) {
     history_.push_back(step);
-    one_answer();
-    no_second_set_up();
-    drains();
-    cold_pace();
-    terms_kept();
-    budget();
-    come_back();
+    check_single_answer();
+    check_no_second_set_up();
+    check_drains();
+    check_cold_pace();
+    check_floor_and_seats();
+    check_retry_budget();
+    check_retry_after();
   }
-  // Time alone may break a rule: an answer that is overdue.
+  // Checks for answers that are overdue at `now`.
   void check(Duration now) {
-    for (const auto& asked : history_) {
-      if (asked.what != What::taken || now <= asked.until + terms_.answer_slack)
+    for (const auto& request : history_) {
+      if (request.kind != StepKind::requested || now <= request.until + settings_.answer_slack)
         continue;
-      bool owed = true, later = false;
+      bool answer_due = true, after_request = false;
       for (const auto& step : history_) {
-        later = later || &step == &asked;
-        if (!later)
+        after_request = after_request || &step == &request;
+        if (!after_request)
           continue;
-        if (step.what == What::killed && step.front == asked.front)
-          owed = false;
-        if (same(step, asked) && (step.what == What::withdrawn || step.what == What::plays || is_final(step)))
-          owed = false;
+        if (step.kind == StepKind::front_killed && step.front == request.front)
+          answer_due = false;
+        if (same_playback(step, request) &&
+            (step.kind == StepKind::cancelled || step.kind == StepKind::started || is_final(step)))
+          answer_due = false;
       }
-      if (owed)
-        broke(1, asked, "not answered");
+      if (answer_due)
+        report_violation(1, request, "not answered");
     }
   }
-  const std::optional<Broken>& broken() const { return broken_; }
-  // The most that any cold window was filled, 1 being what the fourth rule allows.
-  double fullest_cold_window() const { return fullest_; }
+  const std::optional<Violation>& violation() const { return violation_; }
+  // Highest fill of any cold window, 1 being the limit of rule 4.
+  double max_cold_window_fill() const { return max_cold_window_fill_; }
   const std::vector<Step>& history() const { return history_; }
-  std::size_t count(What what) const {
+  std::size_t count(StepKind kind) const {
     return static_cast<std::size_t>(
-        std::count_if(history_.begin(), history_.end(), [&](const Step& s) { return s.what == what; }));
+        std::count_if(history_.begin(), history_.end(), [&](const Step& s) { return s.kind == kind; }));
   }
 
  private:
-  void broke(int rule, const Step& at, const std::string& what) {
-    if (!broken_)
-      broken_ = Broken{rule, what + " (front " + std::to_string(at.front) + ", playback " +
-                                 std::to_string(at.playback) + ", server " + std::to_string(at.server) +
-                                 ", at " + std::to_string(at.at.count()) + " us)"};
+  void report_violation(int rule, const Step& at, const std::string& message) {
+    if (!violation_)
+      violation_ = Violation{rule, message + " (front " + std::to_string(at.front) + ", playback " +
+                                       std::to_string(at.playback) + ", server " + std::to_string(at.server) +
+                                       ", at " + std::to_string(at.at.count()) + " us)"};
+  }
+  static bool same_playback(const Step& a, const Step& b) {
+    return a.front == b.front && a.playback == b.playback;
   }
-  static bool same(const Step& a, const Step& b) { return a.front == b.front && a.playback == b.playback; }
   static bool is_final(const Step& s) {
-    return s.what == What::rejected || s.what == What::aborted || (s.what == What::ended && s.over);
+    return s.kind == StepKind::rejected || s.kind == StepKind::aborted ||
+           (s.kind == StepKind::try_ended && s.playback_over);
   }
 
-  // 1. Each request taken gets one answer, in time; what has its end gets nothing more.
-  void one_answer() {
+  // Rule 1: each request gets one answer, in time, and nothing more after its end.
+  void check_single_answer() {
     const auto& now = history_.back();
-    if (now.what != What::sent && now.what != What::plays && !is_final(now))
+    if (now.kind != StepKind::setup_sent && now.kind != StepKind::started && !is_final(now))
       return;
-    const Step* asked = nullptr;
-    bool answered = false, over = false, owed = true;
+    const Step* request = nullptr;
+    bool answered = false, finished = false, answer_due = true;
     for (const auto& step : history_) {
-      if (&step == &now || !same(step, now))
+      if (&step == &now || !same_playback(step, now))
         continue;
-      if (step.what == What::taken || step.what == What::carried)
-        asked = &step;
-      if (step.what == What::withdrawn)
-        owed = false;
-      if (step.what == What::plays || step.what == What::carried)
+      if (step.kind == StepKind::requested || step.kind == StepKind::adopted)
+        request = &step;
+      if (step.kind == StepKind::cancelled)
+        answer_due = false;
+      if (step.kind == StepKind::started || step.kind == StepKind::adopted)
         answered = true;
       if (is_final(step))
-        over = true;
+        finished = true;
     }
-    if (!asked)
-      return broke(1, now, "nobody asked for it");
-    if (!owed && now.what == What::sent)
-      broke(1, now, "sent after its viewer had left");
-    if (!owed)
+    if (!request)
+      return report_violation(1, now, "nobody asked for it");
+    if (!answer_due && now.kind == StepKind::setup_sent)
+      report_violation(1, now, "sent after its viewer had left");
+    if (!answer_due)
       return;
-    if (over)
-      return broke(1, now, now.what == What::sent ? "sent after its end" : "answered twice");
-    if (!answered && now.what != What::sent && now.at > asked->until + terms_.answer_slack)
-      broke(1, now, "answered after its viewer's time");
+    if (finished)
+      return report_violation(1, now,
+                              now.kind == StepKind::setup_sent ? "sent after its end" : "answered twice");
+    if (!answered && now.kind != StepKind::setup_sent && now.at > request->until + settings_.answer_slack)
+      report_violation(1, now, "answered after its viewer's time");
   }
 
-  // 2. Paid at set-up: nothing more unless every earlier try provably never ran. Two tries out: never.
-  void no_second_set_up() {
+  // Rule 2: with payment at set-up nothing follows a try that may have run. No plan has two tries at once.
+  void check_no_second_set_up() {
     const auto& now = history_.back();
-    if (now.what != What::sent && now.what != What::rejected)
+    if (now.kind != StepKind::setup_sent && now.kind != StepKind::rejected)
       return;
-    bool out = false, may_have_run = false;
+    bool try_pending = false, may_have_run = false;
     for (const auto& step : history_) {
-      if (&step == &now || !same(step, now))
+      if (&step == &now || !same_playback(step, now))
         continue;
-      if (step.what == What::sent || step.what == What::carried)
-        out = true;
-      if (step.what == What::ended) {
-        out = false;
+      if (step.kind == StepKind::setup_sent || step.kind == StepKind::adopted)
+        try_pending = true;
+      if (step.kind == StepKind::try_ended) {
+        try_pending = false;
         if (!step.never_ran)
           may_have_run = true;
       }
     }
-    if (now.what == What::sent && out)
-      broke(2, now, "two tries out at once");
-    if (plan(now).paid && (out || may_have_run))
-      broke(2, now, now.what == What::sent ? "paid and sent again" : "paid and rejected");
+    if (now.kind == StepKind::setup_sent && try_pending)
+      report_violation(2, now, "two tries at once");
+    if (plan(now).pay_at_setup && (try_pending || may_have_run))
+      report_violation(2, now,
+                       now.kind == StepKind::setup_sent ? "paid and sent again" : "paid and rejected");
   }
 
-  // 3. Nothing new past the grace after the first word of it since the server was last told to be ready.
-  void drains() {
+  // Rule 3: no set-up later than the grace after the first news that a server drains or is gone.
+  void check_drains() {
     const auto& now = history_.back();
-    if (now.what != What::sent)
+    if (now.kind != StepKind::setup_sent)
       return;
-    std::optional<Duration> off;
-    bool named = false;
-    for (const auto& word : history_) {
-      if (word.front != now.front)
+    std::optional<Duration> off_since;
+    bool listed_ready_before = false;
+    for (const auto& step : history_) {
+      if (step.front != now.front)
         continue;
-      if (word.what == What::began)
-        off.reset(), named = false;
-      if (word.server != now.server)
+      if (step.kind == StepKind::front_started)
+        off_since.reset(), listed_ready_before = false;
+      if (step.server != now.server)
         continue;
-      if (word.what == What::listed_ready)
-        off.reset(), named = true;
-      if (word.what == What::listed_off && !off)
-        off = word.at;
+      if (step.kind == StepKind::listed_ready)
+        off_since.reset(), listed_ready_before = true;
+      if (step.kind == StepKind::listed_off && !off_since)
+        off_since = step.at;
     }
-    if (!named)
-      broke(3, now, "sent to a server that was never listed as ready");
-    if (off && now.at > *off + terms_.grace)
-      broke(3, now, "sent past the grace");
+    if (!listed_ready_before)
+      report_violation(3, now, "sent to a server that was never listed as ready");
+    if (off_since && now.at > *off_since + settings_.drain_grace)
+      report_violation(3, now, "sent past the grace");
   }
 
-  // 4. A server just started: in the window that ends with this set-up all fronts together stay under the
-  // multiple of what it can take by now. Counted where most of the senders knew.
-  void cold_pace() {
+  // Rule 4: in the window that ends with this set-up, all fronts together stay under the overload multiple of
+  // a cold server's capacity. Only counted where most of the senders knew of the start.
+  void check_cold_pace() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.cold <= Duration(0))
+    if (now.kind != StepKind::setup_sent || settings_.warmup_time <= Duration(0))
       return;
     std::optional<Duration> started;
     for (const auto& step : history_) {
-      if (step.what == What::server_started && step.server == now.server)
+      if (step.kind == StepKind::server_started && step.server == now.server)
         started = step.at;
     }
-    if (!started || now.at - *started >= terms_.cold)
+    if (!started || now.at - *started >= settings_.warmup_time)
       return;
-    int count = 0, knew = 0;
+    int count = 0, informed = 0;
     for (const auto& sent : history_) {
-      if (sent.what != What::sent || sent.server != now.server)
+      if (sent.kind != StepKind::setup_sent || sent.server != now.server)
         continue;
-      if (sent.at <= now.at - terms_.fall || sent.at < *started)
+      if (sent.at <= now.at - settings_.cold_window || sent.at < *started)
         continue;
       ++count;
       if (knew_of_start(sent, *started))
-        ++knew;
+        ++informed;
     }
-    const double age = std::chrono::duration<double>(now.at - *started) / terms_.cold;
-    const double warmth = terms_.warmup_initial_share + (1 - terms_.warmup_initial_share) * age * age;
-    const double pace = terms_.streams / std::chrono::duration<double>(terms_.cold).count();
-    const double may = pace * warmth * terms_.multiple * std::chrono::duration<double>(terms_.fall).count();
-    if (2 * knew > count)
-      fullest_ = std::max(fullest_, count / (may + terms_.cold_slack));
-    if (count > may + terms_.cold_slack && 2 * knew > count)
-      broke(4, now, std::to_string(count) + " set-ups where a cold server may get " + std::to_string(may));
+    const double elapsed = std::chrono::duration<double>(now.at - *started) / settings_.warmup_time;
+    const double capacity_share =
+        settings_.warmup_initial_share + (1 - settings_.warmup_initial_share) * elapsed * elapsed;
+    const double pace =
+        settings_.stream_capacity / std::chrono::duration<double>(settings_.warmup_time).count();
+    const double allowed = pace * capacity_share * settings_.overload_multiple *
+                           std::chrono::duration<double>(settings_.cold_window).count();
+    if (2 * informed > count)
+      max_cold_window_fill_ =
+          std::max(max_cold_window_fill_, count / (allowed + settings_.cold_window_slack));
+    if (count > allowed + settings_.cold_window_slack && 2 * informed > count)
+      report_violation(
+          4, now, std::to_string(count) + " set-ups where a cold server may get " + std::to_string(allowed));
   }
-  // Told of the start, met a failure there since it went down, or younger than the start itself.
+  // The front was told of the start, saw a failure since the server stopped, or started after it itself.
   bool knew_of_start(const Step& sent, Duration started) const {
-    bool knew = false, met = false;
-    for (const auto& word : history_) {
-      if (&word == &sent)
+    bool informed = false, saw_failure = false;
+    for (const auto& step : history_) {
+      if (&step == &sent)
         break;
-      if (word.what == What::server_stopped && word.server == sent.server)
-        met = false;
-      if (word.front != sent.front)
+      if (step.kind == StepKind::server_stopped && step.server == sent.server)
+        saw_failure = false;
+      if (step.front != sent.front)
         continue;
-      if (word.what == What::began)
-        knew = word.at >= started, met = false;
-      if (word.server != sent.server)
+      if (step.kind == StepKind::front_started)
+        informed = step.at >= started, saw_failure = false;
+      if (step.server != sent.server)
         continue;
-      if (word.what == What::listed_start && word.until >= started)
-        knew = true;
-      if (word.what == What::ended && word.failed)
-        met = true;
+      if (step.kind == StepKind::listed_start && step.until >= started)
+        informed = true;
+      if (step.kind == StepKind::try_ended && step.failed)
+        saw_failure = true;
     }
-    return knew || met;
+    return informed || saw_failure;
   }
 
-  // 5. No rung under the floor; no more playbacks of a title and plan than seats, set-ups included.
-  void terms_kept() {
+  // Rule 5: no rung under the floor, no more playbacks of a title and plan than seats, set-ups included.
+  void check_floor_and_seats() {
     const auto& now = history_.back();
-    if (now.what == What::rung && now.rung < plan(now).floor)
-      broke(5, now, "set under its plan's floor");
-    if (now.what != What::sent || plan(now).seats <= 0)
+    if (now.kind == StepKind::rung_set && now.rung < plan(now).floor)
+      report_violation(5, now, "set under its plan's floor");
+    if (now.kind != StepKind::setup_sent || plan(now).seats <= 0)
       return;
-    std::vector<std::uint64_t> held;
+    std::vector<std::uint64_t> seats_taken;
     for (const auto& step : history_) {
       if (step.front != now.front)
         continue;
-      if (step.what == What::began)
-        held.clear();
-      if (step.what != What::sent && step.what != What::carried && step.what != What::ended)
+      if (step.kind == StepKind::front_started)
+        seats_taken.clear();
+      if (step.kind != StepKind::setup_sent && step.kind != StepKind::adopted &&
+          step.kind != StepKind::try_ended)
         continue;
-      if (asked(step).plan != asked(now).plan || asked(step).title != asked(now).title)
+      if (request_of(step).plan != request_of(now).plan || request_of(step).title != request_of(now).title)
         continue;
-      std::erase(held, step.playback);
-      if (step.what != What::ended)
-        held.push_back(step.playback);
+      std::erase(seats_taken, step.playback);
+      if (step.kind != StepKind::try_ended)
+        seats_taken.push_back(step.playback);
     }
-    if (held.size() > static_cast<std::size_t>(plan(now).seats))
-      broke(5, now, "more playbacks than seats");
+    if (seats_taken.size() > static_cast<std::size_t>(plan(now).seats))
+      report_violation(5, now, "more playbacks than seats");
   }
 
-  // 6. Tries beyond a playback's first, in the window that ends with one.
-  void budget() {
+  // Rule 6: retries in the window that ends with one stay within the budget.
+  void check_retry_budget() {
     const auto& now = history_.back();
-    if (now.what != What::sent || terms_.retry_budget_window <= Duration(0) || !is_further(now))
+    if (now.kind != StepKind::setup_sent || settings_.retry_budget_window <= Duration(0) || !is_retry(now))
       return;
-    double further = 0, taken = 0;
+    double retries = 0, requests = 0;
     for (const auto& step : history_) {
       if (step.front != now.front)
         continue;
-      if (step.what == What::began)
-        further = taken = 0;
-      if (step.at <= now.at - terms_.retry_budget_window)
+      if (step.kind == StepKind::front_started)
+        retries = requests = 0;
+      if (step.at <= now.at - settings_.retry_budget_window)
         continue;
-      if (step.what == What::taken)
-        taken += 1;
-      if (step.what == What::sent && is_further(step))
-        further += 1;
+      if (step.kind == StepKind::requested)
+        requests += 1;
+      if (step.kind == StepKind::setup_sent && is_retry(step))
+        retries += 1;
     }
-    if (further > terms_.retry_budget_base + terms_.retry_budget_share * taken)
-      broke(6, now, "over the try budget");
+    if (retries > settings_.retry_budget_base + settings_.retry_budget_share * requests)
+      report_violation(6, now, "over the try budget");
   }
-  bool is_further(const Step& sent) const {
+  bool is_retry(const Step& sent) const {
     for (const auto& before : history_) {
       if (&before == &sent)
         return false;
-      if (same(before, sent) && (before.what == What::sent || before.what == What::carried))
+      if (same_playback(before, sent) &&
+          (before.kind == StepKind::setup_sent || before.kind == StepKind::adopted))
         return true;
     }
     return false;
   }
 
-  // What is given up on gets a come-back time where allowed, and none beyond the longest.
-  void come_back() {
+  // A rejected viewer gets a Retry-After time where this is allowed, and never above the limit.
+  void check_retry_after() {
     const auto& now = history_.back();
-    if (now.what != What::rejected)
+    if (now.kind != StepKind::rejected)
       return;
-    if (now.until > terms_.longest_come_back ||
-        (terms_.longest_come_back > Duration(0) && now.until <= Duration(0)))
-      broke(0, now, "rejected with a come-back time of " + std::to_string(now.until.count()) + " us");
+    if (now.until > settings_.max_retry_after ||
+        (settings_.max_retry_after > Duration(0) && now.until <= Duration(0)))
+      report_violation(0, now,
+                       "rejected with a come-back time of " + std::to_string(now.until.count()) + " us");
   }
 
-  // As it was asked for.
-  const Step& asked(const Step& step) const {
+  // The request that the step belongs to; the step itself if there is none.
+  const Step& request_of(const Step& step) const {
     for (const auto& s : history_) {
-      if ((s.what == What::taken || s.what == What::carried) && same(s, step))
+      if ((s.kind == StepKind::requested || s.kind == StepKind::adopted) && same_playback(s, step))
         return s;
     }
     return step;
   }
-  const RulesTerms::Plan& plan(const Step& step) const {
-    return terms_.plans.at(static_cast<std::size_t>(asked(step).plan));
+  const RuleSettings::Plan& plan(const Step& step) const {
+    return settings_.plans.at(static_cast<std::size_t>(request_of(step).plan));
   }
 
-  RulesTerms terms_;
+  RuleSettings settings_;
   std::vector<Step> history_;
-  std::optional<Broken> broken_;
-  double fullest_ = 0;
+  std::optional<Violation> violation_;
+  double max_cold_window_fill_ = 0;
 };
 
 }  // namespace violettide::testing
--- a/tests/program/rules_module_test.cpp
+++ b/tests/program/rules_module_test.cpp
@@ -1,4 +1,5 @@
-// The module stepped beside the model of the rules, several fronts to a world, on fixed seeds.
+// Checks the decision module against the reference model of the rules, in simulations of several fronts with
+// fixed seeds.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,114 +11,117 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Bend;
+using testing::Fault;
 using testing::RulesModel;
-using testing::World;
+using testing::Simulation;
 
-constexpr std::uint32_t worlds = 300;
+constexpr std::uint32_t seed_count = 300;
 
-void keeps_all(const World::Shape& shape) {
+void expect_no_violation(const Simulation::Shape& shape) {
   std::size_t sent = 0, taken = 0, ended = 0, restarts = 0;
-  for (std::uint32_t seed = 1; seed <= worlds; ++seed) {
-    World world(seed, shape);
-    const bool kept = world.run();
+  for (std::uint32_t seed = 1; seed <= seed_count; ++seed) {
+    Simulation simulation(seed, shape);
+    const bool kept = simulation.run();
     ASSERT_TRUE(kept) << "seed " << seed << ": "
-                      << (world.model().broken() ? "rule " + std::to_string(world.model().broken()->rule) +
-                                                       ": " + world.model().broken()->what
-                                                 : world.wrong());
-    sent += world.model().count(RulesModel::What::sent);
-    taken += world.model().count(RulesModel::What::taken);
-    ended += world.model().count(RulesModel::What::ended);
-    restarts += world.model().count(RulesModel::What::killed);
+                      << (simulation.model().violation()
+                              ? "rule " + std::to_string(simulation.model().violation()->rule) + ": " +
+                                    simulation.model().violation()->message
+                              : simulation.inconsistency());
+    sent += simulation.model().count(RulesModel::StepKind::setup_sent);
+    taken += simulation.model().count(RulesModel::StepKind::requested);
+    ended += simulation.model().count(RulesModel::StepKind::try_ended);
+    restarts += simulation.model().count(RulesModel::StepKind::front_killed);
   }
-  // A world in which nothing happens keeps every rule.
-  EXPECT_GT(taken, 100u * worlds);
+  // Guards against runs in which nothing happens, as they violate no rule.
+  EXPECT_GT(taken, 100u * seed_count);
   EXPECT_GT(sent, taken / 4);
   EXPECT_GT(ended, sent / 2);
-  EXPECT_GT(restarts, worlds / 2);
+  EXPECT_GT(restarts, seed_count / 2);
 }
 
-TEST(RulesOfTheModule, HoldInEveryWorld) { keeps_all({}); }
+TEST(PolicyRules, HoldInEverySimulation) { expect_no_violation({}); }
 
-TEST(RulesOfTheModule, HoldWhateverItsCallerSays) { keeps_all({Bend::none, true}); }
+TEST(PolicyRules, HoldUnderMalformedEvents) { expect_no_violation({Fault::none, true}); }
 
-TEST(RulesOfTheModule, ASeedGivesTheSameOrders) {
+TEST(PolicyRules, SameSeedGivesTheSameCommands) {
   for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-    World one(seed, {}), other(seed, {});
+    Simulation one(seed, {}), other(seed, {});
     one.run();
     other.run();
-    EXPECT_GT(one.commands().size(), 50u);
-    EXPECT_EQ(one.commands(), other.commands());
+    EXPECT_GT(one.command_log().size(), 50u);
+    EXPECT_EQ(one.command_log(), other.command_log());
   }
 }
 
-// What the module is kept from knowing, or made to do, is found for the rule it breaks and no other.
-TEST(RulesOfTheModule, TheModelFindsEachRuleBroken) {
-  const std::pair<Bend, int> bends[] = {
-      {Bend::drops_answer, 1}, {Bend::answers_twice, 1}, {Bend::not_paid, 2},
-      {Bend::two_out, 2},      {Bend::no_drains, 3},     {Bend::no_cold, 4},
-      {Bend::no_floor, 5},     {Bend::no_seats, 5},      {Bend::no_budget, 6}};
-  for (const auto& [bend, rule] : bends) {
+// Each deliberate fault is found as a violation of its rule and no other.
+TEST(PolicyRules, TheModelFindsEachFault) {
+  const std::pair<Fault, int> faults[] = {
+      {Fault::drops_answer, 1},    {Fault::answers_twice, 1},  {Fault::ignores_payment, 2},
+      {Fault::sends_two_tries, 2}, {Fault::ignores_drains, 3}, {Fault::ignores_cold_start, 4},
+      {Fault::ignores_floor, 5},   {Fault::ignores_seats, 5},  {Fault::ignores_retry_budget, 6}};
+  for (const auto& [fault, rule] : faults) {
     std::uint32_t seed = 0;
-    std::optional<RulesModel::Broken> broken;
-    while (!broken && seed < 60) {
-      World world(++seed, {bend});
-      world.run();
-      broken = world.model().broken();
+    std::optional<RulesModel::Violation> violation;
+    while (!violation && seed < 60) {
+      Simulation simulation(++seed, {fault});
+      simulation.run();
+      violation = simulation.model().violation();
     }
-    ASSERT_TRUE(broken) << "bend " << static_cast<int>(bend) << " was not found in " << seed << " worlds";
-    EXPECT_EQ(broken->rule, rule) << broken->what;
-    RecordProperty("bend_" + std::to_string(static_cast<int>(bend)) + "_found_at_seed",
+    ASSERT_TRUE(violation) << "fault " << static_cast<int>(fault) << " was not found in " << seed
+                           << " simulations";
+    EXPECT_EQ(violation->rule, rule) << violation->message;
+    RecordProperty("fault_" + std::to_string(static_cast<int>(fault)) + "_found_at_seed",
                    static_cast<int>(seed));
   }
 }
 
-// Many fronts that hear of one start at one moment, all with viewers for what lies there alone. Returns the
-// most that any window was filled, 1 being the stated multiple.
-double fullest_window(int fronts, bool numbered, double asked_a_second, double quiet, std::uint32_t seed) {
-  PolicySettings terms;
-  terms.plans.resize(1);
-  terms.plans[0].startup_target = 1500ms;
-  terms.rung_kb = terms.rung_revenue = {1};
-  terms.streams_by_kind = {35};
-  terms.link_kb_per_weight = 1e6;
-  terms.front_count = fronts;
-  terms.warmup_time = 12s;
-  terms.warmup_initial_share = 0.4;
-  terms.overload_multiple = 3;
-  terms.max_tries = 5;
-  testing::RulesTerms rules;
+// Many fronts learn of one server start at the same time, all with viewers for titles on that server alone.
+// Returns the highest fill of any window, 1 being the overload multiple.
+double max_window_fill(int fronts, bool indices_set, double requests_per_second, double idle_seconds,
+                       std::uint32_t seed) {
+  PolicySettings settings;
+  settings.plans.resize(1);
+  settings.plans[0].startup_target = 1500ms;
+  settings.rung_kb = settings.rung_revenue = {1};
+  settings.streams_by_kind = {35};
+  settings.link_kb_per_weight = 1e6;
+  settings.front_count = fronts;
+  settings.warmup_time = 12s;
+  settings.warmup_initial_share = 0.4;
+  settings.overload_multiple = 3;
+  settings.max_tries = 5;
+  testing::RuleSettings rules;
   rules.plans = {{false, 0, 0}};
-  rules.cold = terms.warmup_time;
-  rules.warmup_initial_share = terms.warmup_initial_share;
-  rules.multiple = terms.overload_multiple;
-  rules.streams = terms.streams_by_kind[0];
-  rules.fall = 3s;
+  rules.warmup_time = settings.warmup_time;
+  rules.warmup_initial_share = settings.warmup_initial_share;
+  rules.overload_multiple = settings.overload_multiple;
+  rules.stream_capacity = settings.streams_by_kind[0];
+  rules.cold_window = 3s;
   RulesModel model(rules);
-  using What = RulesModel::What;
-  const Duration started = 30s, told = 31s;
+  using StepKind = RulesModel::StepKind;
+  const Duration started_at = 30s, listed_at = 31s;
   std::vector<Policy> policies;
-  model.step({started, What::server_started});
+  model.step({started_at, StepKind::server_started});
   for (int front = 0; front < fronts; ++front) {
-    if (numbered)
-      terms.front_index = front;
-    policies.emplace_back(terms, seed * 1000 + static_cast<std::uint32_t>(front));
+    if (indices_set)
+      settings.front_index = front;
+    policies.emplace_back(settings, seed * 1000 + static_cast<std::uint32_t>(front));
     policies.back().handle(Duration(0), ServerList{});
     ServerEntry entry;
-    entry.started = started;
-    policies.back().handle(told, ServerList{ServerList::Kind::complete, {entry}});
-    model.step({told, What::listed_ready, front});
-    model.step({told, What::listed_start, front, 0, 0, 0, 0, 0, started});
+    entry.started = started_at;
+    policies.back().handle(listed_at, ServerList{ServerList::Kind::complete, {entry}});
+    model.step({listed_at, StepKind::listed_ready, front});
+    model.step({listed_at, StepKind::listed_start, front, 0, 0, 0, 0, 0, started_at});
   }
-  std::mt19937 chance(seed);
-  std::exponential_distribution<> gap(asked_a_second);
-  std::multimap<Duration, int> asks;
+  std::mt19937 random(seed);
+  std::exponential_distribution<> gap(requests_per_second);
+  std::multimap<Duration, int> requests;
   for (int front = 0; front < fronts; ++front) {
-    for (double at = quiet + gap(chance); at < 11; at += gap(chance))
-      asks.emplace(told + Duration(static_cast<std::int64_t>(at * 1e6)), front);
+    for (double at = idle_seconds + gap(random); at < 11; at += gap(random))
+      requests.emplace(listed_at + Duration(static_cast<std::int64_t>(at * 1e6)), front);
   }
   PlaybackId next = 0;
-  for (const auto& [at, front] : asks) {
+  for (const auto& [at, front] : requests) {
     Request request;
     request.playback = next++;
     request.abandon_at = at + 4s;
@@ -125,42 +129,43 @@
     for (const auto& command : policy.handle(at, request)) {
       if (!std::holds_alternative<violettide::SetUp>(command))
         continue;
-      model.step({at, What::taken, front, request.playback, 0, 0, 0, 0, request.abandon_at});
-      model.step({at, What::sent, front, request.playback});
+      model.step({at, StepKind::requested, front, request.playback, 0, 0, 0, 0, request.abandon_at});
+      model.step({at, StepKind::setup_sent, front, request.playback});
       policy.handle(at, PlaybackStarted{request.playback, 0, 0s});
     }
   }
-  EXPECT_GT(model.count(What::sent), 1u) << "closed altogether";
-  return model.fullest_cold_window();
+  EXPECT_GT(model.count(StepKind::setup_sent), 1u) << "too few set-ups";
+  return model.max_cold_window_fill();
 }
 
-TEST(RulesOfTheModule, AHallThatHearsOfAStartTogetherTakesTurns) {
+TEST(PolicyRules, FrontsThatLearnOfAStartTogetherTakeTurns) {
   for (const int fronts : {1, 3, 30, 270}) {
-    for (const double quiet : {0.0, 6.0}) {
-      const double fullest = fullest_window(fronts, true, std::max(2.0, 20.0 / fronts), quiet, 1);
-      EXPECT_LE(fullest, 1) << fronts << " fronts, the first viewers " << quiet
-                            << " s after word of the start";
-      RecordProperty(std::to_string(fronts) + "_fronts_" + std::to_string(quiet), std::to_string(fullest));
+    for (const double idle_seconds : {0.0, 6.0}) {
+      const double max_fill = max_window_fill(fronts, true, std::max(2.0, 20.0 / fronts), idle_seconds, 1);
+      EXPECT_LE(max_fill, 1) << fronts << " fronts, the first viewers " << idle_seconds
+                             << " s after the news of the start";
+      RecordProperty(std::to_string(fronts) + "_fronts_" + std::to_string(idle_seconds),
+                     std::to_string(max_fill));
     }
   }
-  // Numbers drawn for want of better spread as chance does.
+  // Indices drawn at random spread the turns by chance only.
   for (std::uint32_t seed = 1; seed <= 5; ++seed)
-    EXPECT_LE(fullest_window(100, false, 2, 0, seed), 1);
+    EXPECT_LE(max_window_fill(100, false, 2, 0, seed), 1);
 }
 
-// A probe for which this machine had no descriptor or port is no fault of the server's.
-TEST(RulesOfTheModule, AProbeThatNeverLeftRestsNoServer) {
-  for (const bool left : {false, true}) {
-    PolicySettings terms;
-    terms.plans.resize(1);
-    terms.plans[0].startup_target = 2s;
-    terms.rung_kb = {1};
-    terms.streams_by_kind = {10};
-    terms.has_weights = true;
-    terms.link_kb_per_weight = 100;
-    terms.max_tries = 2;
-    terms.probes_enabled = true;
-    Policy policy(terms, 1);
+// Guards against blaming a server for a probe that failed for want of a descriptor or port on this machine.
+TEST(PolicyRules, AProbeThatWasNotSentCausesNoCooldown) {
+  for (const bool sent : {false, true}) {
+    PolicySettings settings;
+    settings.plans.resize(1);
+    settings.plans[0].startup_target = 2s;
+    settings.rung_kb = {1};
+    settings.streams_by_kind = {10};
+    settings.has_weights = true;
+    settings.link_kb_per_weight = 100;
+    settings.max_tries = 2;
+    settings.probes_enabled = true;
+    Policy policy(settings, 1);
     ServerList list;
     list.entries.push_back({});
     policy.handle(0s, list);
@@ -170,11 +175,11 @@
     ASSERT_TRUE(std::any_of(first.begin(), first.end(),
                             [](const Command& command) { return std::holds_alternative<Probe>(command); }));
     bool set_up = false;
-    for (int probe = 0; probe < 2; ++probe) {  // it may ask once more
-      for (const auto& command : policy.handle(2ms, ProbeEnded{0, false, {}, left}))
+    for (int probe = 0; probe < 2; ++probe) {  // a second probe may follow
+      for (const auto& command : policy.handle(2ms, ProbeEnded{0, false, {}, sent}))
         set_up = set_up || std::holds_alternative<violettide::SetUp>(command);
     }
-    EXPECT_EQ(set_up, !left);
+    EXPECT_EQ(set_up, !sent);
   }
 }
 
