--- a/src/io/io.h
+++ b/src/io/io.h
@@ -1,5 +1,5 @@
-// What passes between a core and whatever drives it: libuv in service, a virtual clock and network in
-// rehearsals. A core is a function of time and happenings; it owns no socket, clock or file.
+// Interface between a core and the driver that runs it: libuv in service, a virtual clock and network in
+// simulation. A core is a state machine over time and I/O events; it owns no socket, clock or file.
 #pragma once
 
 #include <chrono>
@@ -14,48 +14,60 @@
 
 using Duration = std::chrono::microseconds;
 
-// A connection. The driver numbers accepted ones from `first_accepted` up, a core those it dials below it.
+// The driver numbers accepted connections from `first_accepted` up; a core numbers those it dials below it.
 using ConnectionId = std::uint32_t;
 constexpr ConnectionId first_accepted = 1u << 31;
 
-// `local_failure`: a dial that failed on this machine, for want of a descriptor or a port; it says nothing of
-// the peer, and nothing reached it.
+// Why a connection was lost. `local_failure`: the dial failed on this machine, for lack of a descriptor or
+// a port, so it says nothing about the peer, which received nothing.
 enum class CloseReason { finished, refused, reset, local_failure };
 
+// The driver accepted a connection. `listener` is an index in the order of the listen addresses.
 struct Accepted {
   ConnectionId connection;
   int listener;
-};  // `listener`: the listening place, in the order listened on
+};
+// A dialled connection is established.
 struct Connected {
   ConnectionId connection;
 };
+// `bytes` is valid only during the call.
 struct Received {
   ConnectionId connection;
   std::string_view bytes;
-};  // bytes live as long as the call
+};
+// The peer shut down its sending side.
 struct HalfClosed {
   ConnectionId connection;
-};  // the peer writes no more
+};
+// The connection is gone. Never follows the core's own Close.
 struct Disconnected {
   ConnectionId connection;
   CloseReason reason;
-};  // never after the core's own Close
+};
+// All bytes sent so far have been handed to the kernel.
 struct Flushed {
   ConnectionId connection;
-};                  // all that was sent has left for the kernel
-struct Persisted {  // of Persist, in the order asked
+};
+// A Persist is done; results come in the order of the requests.
+struct Persisted {
   std::uint64_t ticket;
-  std::string error;  // the cause; empty: it is on the disk
+  std::string error;  // empty on success
 };
-struct TimerFired {};  // the time asked for by StartTimer has come
+// The time set by StartTimer has been reached. Also the first event of a run.
+struct TimerFired {};
+// The process was asked to terminate.
 struct ShutdownRequested {};
+// SIGHUP: the current content of the reloadable file.
 struct ConfigReloaded {
   std::string text;
-};                       // the file to read again, as it is now
-struct InputDrained {};  // of DrainInput: all that had come to this machine by then has been told
+};
+// Answers DrainInput: all input that had reached this machine by then has been delivered.
+struct InputDrained {};
 using IoEvent = std::variant<Accepted, Connected, Received, HalfClosed, Disconnected, Flushed, Persisted,
                              TimerFired, ShutdownRequested, ConfigReloaded, InputDrained>;
 
+// Opens a connection to an IPv4 address; answered by Connected or Disconnected.
 struct Dial {
   ConnectionId connection;
   std::string address;
@@ -65,57 +77,69 @@
   ConnectionId connection;
   std::string bytes;
 };
+// With `after_sending`, unsent bytes are delivered first; without it they are dropped and the peer sees a
+// reset.
 struct Close {
   ConnectionId connection;
   bool after_sending;
-};  // not after sending: unsent bytes are lost, the peer reset
+};
+// Stops reading, so that TCP flow control slows the sender down.
 struct PauseReading {
   ConnectionId connection;
-};  // read no more from it, so that its sender feels it
+};
 struct ResumeReading {
   ConnectionId connection;
 };
+// Requests TimerFired at `at`; replaces an earlier request.
 struct StartTimer {
   Duration at;
-};  // replaces an earlier one
+};
+// Listens again after StopListening.
 struct Listen {
   int listener;
-};  // listen again at a door that was shut
+};
+// Closes the listening socket, so that new connections are refused.
 struct StopListening {
   int listener;
-};  // refuse connections at it
+};
+// Replaces the file `name` atomically.
 struct WriteFile {
   std::string name;
   std::string bytes;
-};  // keep as a whole or not at all
-// Tickets of Persist from here on are of another book than those below.
+};
+// Persist tickets from here on belong to the seat log, those below it to the catalogue.
 constexpr std::uint64_t first_seat_ticket = std::uint64_t{1} << 62;
-struct Persist {  // on the disk for good, before Persisted comes; `replaces_all`: in place of all kept before
+// Writes `bytes` durably; answered by Persisted. `replaces_all`: they replace everything stored before.
+struct Persist {
   std::uint64_t ticket;
   std::string bytes;
   bool replaces_all;
 };
 using LogField = std::pair<std::string, std::variant<std::int64_t, double, std::string>>;
+// Writes one structured log line.
 struct LogLine {
   std::string event;
   std::vector<LogField> fields;
-};  // one log line
-// Everything that has come by now is to be told before InputDrained. Guards against acting on what is older
-// than its own end, which waits unread behind it or beside it.
+};
+// Requests InputDrained after everything that has arrived by now is delivered. Guards against acting on
+// outdated input while newer input, such as the end of the same connection, is still unread.
 struct DrainInput {};
-struct StopLoop {  // the core is done; end the loop, once its last answers have been taken
+// Ends the loop once closing connections have sent their last bytes, after `timeout` at the latest.
+struct StopLoop {
   Duration timeout{10'000'000};
 };
 using Action = std::variant<Dial, Send, Close, PauseReading, ResumeReading, StartTimer, Listen, StopListening,
                             WriteFile, Persist, LogLine, DrainInput, StopLoop>;
 
+// An event-driven state machine without I/O of its own.
 class Core {
  public:
   virtual ~Core() = default;
-  // `now` never goes back. Appends what is to be done, in order.
-  virtual void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
+  // Handles one event and appends the resulting actions in order. `now` never decreases.
+  virtual void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) = 0;
 };
 
+// Builds one visitor for std::visit from several lambdas.
 template <typename... Visitors>
 struct Overloaded : Visitors... {
   using Visitors::operator()...;
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,5 +1,5 @@
-// Drives one core with libuv: the only package that touches sockets, timers, signals and files. What a
-// core decides it does; it decides nothing itself.
+// Runs one core on a libuv event loop: performs the core's actions on sockets, timers, signals and files,
+// and makes no decisions of its own.
 #pragma once
 
 #include <functional>
@@ -11,48 +11,53 @@
 
 namespace violettide::runtime {
 
+// An IPv4 address to listen on.
 struct ListenAddress {
   std::string address;
-  std::uint16_t port = 0;  // 0: any that is free
+  std::uint16_t port = 0;  // 0: any free port
 };
 
-// A door that could not be opened, or a loop that could not be made: says which and why.
+// A failure to set up the loop or one of its resources, such as a listening socket.
 struct LoopError {
   std::string what;
 };
 
-// Where Persist puts its bytes. Called on a thread of its own, one at a time.
+// Durable storage behind the Persist action. Called on a worker thread, one call at a time.
 class Storage {
  public:
   virtual ~Storage() = default;
-  // On the disk for good when it returns; else why not.
-  virtual std::string persist(std::uint64_t ticket, const std::string& bytes, bool whole) = 0;
+  // Returns an empty string once `bytes` is durable, else the cause of the failure.
+  virtual std::string persist(std::uint64_t ticket, const std::string& bytes, bool replaces_all) = 0;
 };
 
+// An event loop that runs one core in the calling thread.
 class Loop {
  public:
-  // `disk`: without one, Persist is done at once and nothing is kept. `said`: takes the core's log lines.
-  // `folder`: where WriteFile puts its files; empty: nowhere. Doors in the core's numbering. Throws
-  // LoopError.
-  Loop(Core& core, std::vector<ListenAddress> doors, std::function<void(Duration, const LogLine&)> said,
-       std::string folder, Storage* disk = nullptr);
+  // Binds all listen addresses; their order gives the core's listener numbers. `log` takes the log lines.
+  // WriteFile writes into `folder`; if that is empty, it does nothing. Without `storage`, each Persist
+  // succeeds at once and stores nothing. Throws LoopError if an address cannot be bound.
+  Loop(Core& core, std::vector<ListenAddress> listen_addresses,
+       std::function<void(Duration, const LogLine&)> log, std::string folder, Storage* storage = nullptr);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  std::uint16_t port(int door) const;  // as bound
-  // On SIGHUP the core is told what the file holds; without one, SIGHUP ends the process.
+  // The bound port, also where the configured one was 0.
+  std::uint16_t port(int listener) const;
+  // Delivers the content of `path` as ConfigReloaded on each SIGHUP. Without it, SIGHUP ends the process.
   void reload_on_sighup(std::string path);
-  // Until the core leaves. SIGINT and SIGTERM reach it as ShutdownRequested.
+  // Returns after StopLoop. SIGINT and SIGTERM are delivered as ShutdownRequested.
   void run();
-  // The time that the core is given: microseconds of the machine's monotonic clock since `origin`.
+  // The core's time: microseconds of the machine's monotonic clock since origin_us().
   Duration now() const;
-  static std::uint64_t machine_clock_us();  // the same in all processes of a machine
+  // The monotonic clock, the same in all processes of a machine.
+  static std::uint64_t machine_clock_us();
+  // The monotonic clock at the construction of this loop.
   std::uint64_t origin_us() const;
 
  private:
-  class Inside;
-  std::unique_ptr<Inside> inside_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace violettide::runtime
--- a/tests/program/runtime_test.cpp
+++ b/tests/program/runtime_test.cpp
@@ -1,4 +1,5 @@
-// The runtime on loopback sockets: free ports, events waited for, every loop bounded by its own core.
+// Tests the runtime on loopback sockets. Ports are chosen by the kernel, tests wait for events instead of
+// sleeping, and each core stops its loop after a time limit.
 #include "runtime/runtime.h"
 
 #include <gtest/gtest.h>
@@ -21,11 +22,11 @@
 
 using namespace std::chrono_literals;
 
-// Gives up after a while, so that a failure ends too.
+// Stops the loop after a time limit, so that a failing test ends.
 class Bounded : public Core {
  public:
   bool gave_up = false;
-  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) final {
+  void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) final {
     if (!began_)
       began_ = true, actions.push_back(StartTimer{limit});
     if (now >= limit) {
@@ -33,23 +34,23 @@
       actions.push_back(StopLoop{});
       return;
     }
-    happened(now, what, actions);
+    handle_event(now, event, actions);
   }
-  virtual void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) = 0;
+  virtual void handle_event(Duration now, const IoEvent& event, std::vector<Action>& actions) = 0;
 
  private:
   static constexpr Duration limit = 20s;
   bool began_ = false;
 };
 
-// One core that listens and dials itself: it sees both ends.
+// Listens and dials itself, so that it sees both ends of its connections.
 class Echo : public Bounded {
  public:
   std::uint16_t port = 0;
   std::string sent, back;
   bool half_closed = false, refused = false, reset = false;
   ConnectionId server = 0;
-  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle_event(Duration, const IoEvent& event, std::vector<Action>& actions) override {
     std::visit(Overloaded{
                    [&](const TimerFired&) {
                      if (sent.empty()) {
@@ -89,14 +90,14 @@
                    },
                    [&](const auto&) {},
                },
-               what);
+               event);
   }
 
  private:
   std::size_t echoed_ = 0;
 };
 
-TEST(Runtime, SendsAllThenClosesThenRefuses) {
+TEST(Runtime, SendsAllBytesThenClosesThenRefuses) {
   Echo echo;
   Loop loop(echo, {{"127.0.0.1", 0}}, {}, "");
   echo.port = loop.port(0);
@@ -108,26 +109,26 @@
   EXPECT_TRUE(echo.refused);
 }
 
-// A sender to a reader that holds: what is unsent stays until it resumes, and Flushed says when it left.
-class Holder : public Bounded {
+// Sends to a reader that pauses: unsent bytes wait until it resumes, and Flushed follows them.
+class PausedReader : public Bounded {
  public:
   std::uint16_t port = 0;
-  std::size_t got = 0, got_while_held = 0;
+  std::size_t got = 0, got_while_paused = 0;
   bool flushed_early = false, flushed = false;
   static constexpr std::size_t size = 32 * 1024 * 1024;
-  void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle_event(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
     std::visit(Overloaded{
                    [&](const TimerFired&) {
                      if (!dialled_)
                        dialled_ = true, actions.push_back(Dial{1, "127.0.0.1", port});
-                     else if (now >= resume_at_ && held_)
-                       held_ = false, actions.push_back(ResumeReading{1});
+                     else if (now >= resume_at_ && paused_)
+                       paused_ = false, actions.push_back(ResumeReading{1});
                    },
                    [&](const Accepted& a) {
                      actions.push_back(Send{a.connection, std::string(size, 'x')});
                    },
                    [&](const Connected&) {
-                     held_ = true;
+                     paused_ = true;
                      resume_at_ = now + 200ms;
                      actions.push_back(PauseReading{1});
                      actions.push_back(StartTimer{resume_at_});
@@ -136,67 +137,66 @@
                      if (f.connection < first_accepted)
                        return;
                      flushed = true;
-                     flushed_early = held_;
+                     flushed_early = paused_;
                    },
                    [&](const Received& r) {
-                     if (held_)
-                       got_while_held += r.bytes.size();
+                     if (paused_)
+                       got_while_paused += r.bytes.size();
                      got += r.bytes.size();
                      if (got == size)
                        actions.push_back(StopLoop{});
                    },
                    [&](const auto&) {},
                },
-               what);
+               event);
   }
 
  private:
-  bool dialled_ = false, held_ = false;
+  bool dialled_ = false, paused_ = false;
   Duration resume_at_{0};
 };
 
-TEST(Runtime, AHeldReaderHoldsItsSender) {
-  Holder holder;
-  Loop loop(holder, {{"127.0.0.1", 0}}, {}, "");
-  holder.port = loop.port(0);
+TEST(Runtime, PausedReadingHoldsBackTheSender) {
+  PausedReader core;
+  Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
+  core.port = loop.port(0);
   loop.run();
-  EXPECT_FALSE(holder.gave_up);
-  EXPECT_EQ(holder.got, Holder::size);
-  EXPECT_EQ(holder.got_while_held, 0u);
-  EXPECT_FALSE(holder.flushed_early);
+  EXPECT_FALSE(core.gave_up);
+  EXPECT_EQ(core.got, PausedReader::size);
+  EXPECT_EQ(core.got_while_paused, 0u);
+  EXPECT_FALSE(core.flushed_early);
 }
 
-TEST(Runtime, ADoorThatIsTakenSaysSo) {
+TEST(Runtime, ListeningOnAUsedPortFailsWithItsAddress) {
   Echo one, two;
   Loop first(one, {{"127.0.0.1", 0}}, {}, "");
   try {
     Loop second(two, {{"127.0.0.1", first.port(0)}}, {}, "");
-    FAIL() << "two listen at one port";
-  } catch (const LoopError& failed) {
-    EXPECT_NE(failed.what.find("listening at 127.0.0.1:"), std::string::npos) << failed.what;
+    FAIL() << "two loops listen on one port";
+  } catch (const LoopError& error) {
+    EXPECT_NE(error.what.find("listening at 127.0.0.1:"), std::string::npos) << error.what;
   }
   EXPECT_THROW(Loop(two, {{"not an address", 1}}, {}, ""), LoopError);
 }
 
-// The manager itself on sockets, with nothing behind it: it answers, and stops in order when asked.
-// A dial that can't even be begun is told, as this machine's doing and no peer's, and the time that was
-// asked for still comes.
-TEST(Runtime, ADialThatFailsAtOnceIsToldAsOursAndTakesNoTimer) {
+// Guards against a dial that fails at once being blamed on the peer or replacing the core's timer: the
+// failure is reported as local, and the timer still fires.
+TEST(Runtime, ADialThatFailsAtOnceIsALocalFailureAndKeepsTheTimer) {
   class Dialler : public Core {
    public:
-    bool unable = false, woken = false;
-    void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
+    bool local_failure = false, fired = false;
+    void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true)) {
         actions.push_back(StartTimer{now + 50ms});
         actions.push_back(Dial{1, "box-1.example", 80});
         due_ = now + 50ms;
         return;
       }
-      if (const auto* ended = std::get_if<Disconnected>(&what))
-        unable = ended->reason == CloseReason::local_failure && !woken;
-      if (std::holds_alternative<TimerFired>(what) && now >= due_)
-        woken = true;
-      if (woken)
+      if (const auto* disconnected = std::get_if<Disconnected>(&event))
+        local_failure = disconnected->reason == CloseReason::local_failure && !fired;
+      if (std::holds_alternative<TimerFired>(event) && now >= due_)
+        fired = true;
+      if (fired)
         actions.push_back(StopLoop{});
     }
 
@@ -207,71 +207,72 @@
   Dialler dialler;
   Loop loop(dialler, {}, {}, "");
   loop.run();
-  EXPECT_TRUE(dialler.unable);
-  EXPECT_TRUE(dialler.woken);
+  EXPECT_TRUE(dialler.local_failure);
+  EXPECT_TRUE(dialler.fired);
 }
 
-// A machine without a descriptor left refuses nobody: what the peer does and what is ours are told apart.
-TEST(Runtime, ARefusalIsThePeersAndAWantOfDescriptorsOurs) {
+// Guards against a lack of file descriptors on this machine being reported as a refusal by the peer.
+TEST(Runtime, TellsARefusalFromALackOfDescriptors) {
   class Dialler : public Bounded {
    public:
-    std::vector<CloseReason> ends;
-    std::uint16_t nobody = 0;
-    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
+    std::vector<CloseReason> reasons;
+    std::uint16_t unused_port = 0;
+    void handle_event(Duration, const IoEvent& event, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true))
-        actions.push_back(Dial{1, "127.0.0.1", nobody});
-      const auto* ended = std::get_if<Disconnected>(&what);
-      if (!ended)
+        actions.push_back(Dial{1, "127.0.0.1", unused_port});
+      const auto* disconnected = std::get_if<Disconnected>(&event);
+      if (!disconnected)
         return;
-      ends.push_back(ended->reason);
-      if (ends.size() == 2)
+      reasons.push_back(disconnected->reason);
+      if (reasons.size() == 2)
         return actions.push_back(StopLoop{});
       rlimit limit{};
       getrlimit(RLIMIT_NOFILE, &limit);
-      was_ = limit.rlim_cur;
+      saved_limit_ = limit.rlim_cur;
       limit.rlim_cur = 3;
       setrlimit(RLIMIT_NOFILE, &limit);
-      actions.push_back(Dial{2, "127.0.0.1", nobody});
+      actions.push_back(Dial{2, "127.0.0.1", unused_port});
     }
     ~Dialler() override {
       rlimit limit{};
       getrlimit(RLIMIT_NOFILE, &limit);
-      limit.rlim_cur = was_;
+      limit.rlim_cur = saved_limit_;
       setrlimit(RLIMIT_NOFILE, &limit);
     }
 
    private:
     bool began_ = false;
-    rlim_t was_ = RLIM_INFINITY;
+    rlim_t saved_limit_ = RLIM_INFINITY;
   };
   Echo taken;
   Dialler core;
   {
     Loop other(taken, {{"127.0.0.1", 0}}, {}, "");
-    core.nobody = other.port(0);
-  }  // nobody listens there now
+    core.unused_port = other.port(0);
+  }  // the port is free again
   Loop loop(core, {}, {}, "");
   loop.run();
   EXPECT_FALSE(core.gave_up);
-  EXPECT_EQ(core.ends, (std::vector{CloseReason::refused, CloseReason::local_failure}));
+  EXPECT_EQ(core.reasons, (std::vector{CloseReason::refused, CloseReason::local_failure}));
 }
 
-// A client's words and its end, all written before this process looks: its end is told before InputDrained.
-TEST(Runtime, AllThatHadComeIsToldBeforeSettled) {
-  class Settling : public Bounded {
+// Guards against InputDrained before the end of a connection whose bytes and end had both arrived: the client
+// sends and closes before the loop reads.
+TEST(Runtime, DeliversAllArrivedInputBeforeInputDrained) {
+  class Draining : public Bounded {
    public:
     std::string order;
-    std::function<void()> comes;
-    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
+    std::function<void()> send_and_close;
+    void handle_event(Duration, const IoEvent& event, std::vector<Action>& actions) override {
       if (!std::exchange(began_, true))
-        comes();
-      if (std::holds_alternative<Received>(what)) {
+        send_and_close();
+      if (std::holds_alternative<Received>(event)) {
         order += 'r';
         actions.push_back(DrainInput{});
       }
-      if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Disconnected>(what))
+      if (std::holds_alternative<HalfClosed>(event) || std::holds_alternative<Disconnected>(event))
         order += 'e';
-      if (std::holds_alternative<InputDrained>(what)) {
+      if (std::holds_alternative<InputDrained>(event)) {
         order += 's';
         actions.push_back(StopLoop{});
       }
@@ -281,15 +282,15 @@
     bool began_ = false;
   };
   for (const bool reset : {false, true}) {
-    Settling core;
+    Draining core;
     Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
-    core.comes = [&] {
+    core.send_and_close = [&] {
       const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-      sockaddr_in place{};
-      place.sin_family = AF_INET;
-      place.sin_port = htons(loop.port(0));
-      place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr*>(&place), sizeof place), 0);
+      sockaddr_in address{};
+      address.sin_family = AF_INET;
+      address.sin_port = htons(loop.port(0));
+      address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+      ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
       ASSERT_EQ(::send(socket, "?", 1, 0), 1);
       if (reset)
         ::shutdown(socket, SHUT_WR);
@@ -301,156 +302,159 @@
   }
 }
 
-// A core that waits for a time and is woken before it would wait for good. It asks late in a millisecond of
-// the machine's clock and takes a further turn early in the next, where a timer of whole ones rings early.
-TEST(Runtime, NobodyIsWokenBeforeTheTimeAskedFor) {
+// Guards against a timer that fires early, after which a core would wait forever. The core starts its timer
+// late in a millisecond of the machine's clock and spends another loop iteration early in the next one, where
+// a timer that counts whole milliseconds fires early.
+TEST(Runtime, TheTimerNeverFiresEarly) {
   class Sleeper : public Core {
    public:
-    int woken = 0, early = 0;
-    void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
-      if (std::holds_alternative<TimerFired>(what)) {
+    int fired = 0, early = 0;
+    void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
+      if (std::holds_alternative<TimerFired>(event)) {
         if (at_ > 0s)
-          ++woken, early += now < at_;
-        if (woken == 50)
+          ++fired, early += now < at_;
+        if (fired == 50)
           return actions.push_back(StopLoop{});
-        while (in_millisecond() < 800) {
+        while (microseconds_into_millisecond() < 800) {
         }
-        turn_ = 0;
-        return actions.push_back(DrainInput{});  // for a turn whose time is read now
+        iterations_ = 0;
+        return actions.push_back(DrainInput{});  // for an iteration with a fresh time
       }
-      if (!std::holds_alternative<InputDrained>(what))
+      if (!std::holds_alternative<InputDrained>(event))
         return;
-      if (turn_++ == 0) {
+      if (iterations_++ == 0) {
         at_ = now + 3ms;
         actions.push_back(StartTimer{at_});
         return actions.push_back(DrainInput{});
       }
-      while (in_millisecond() >= 800) {
+      while (microseconds_into_millisecond() >= 800) {
       }
     }
 
    private:
-    static std::uint64_t in_millisecond() { return Loop::machine_clock_us() % 1000; }
+    static std::uint64_t microseconds_into_millisecond() { return Loop::machine_clock_us() % 1000; }
     Duration at_{0};
-    int turn_ = 0;
+    int iterations_ = 0;
   };
   Sleeper core;
   Loop loop(core, {}, {}, "");
   loop.run();
-  EXPECT_EQ(core.woken, 50);
+  EXPECT_EQ(core.fired, 50);
   EXPECT_EQ(core.early, 0);
 }
 
-// Sends more than any buffer holds to a reader who reads nothing, and leaves.
-TEST(Runtime, AReaderWhoReadsNothingKeepsNobodyWhoLeaves) {
-  class Unread : public Bounded {
+// Guards against a peer that never reads keeping the process alive: it is sent more than any buffer holds
+// before StopLoop.
+TEST(Runtime, APeerThatNeverReadsCannotBlockStopLoop) {
+  class NeverRead : public Bounded {
    public:
     std::uint16_t port = 0;
-    Duration left_at{0};
-    void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
+    Duration stopped_at{0};
+    void handle_event(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
       if (!std::exchange(dialled_, true))
         actions.push_back(Dial{1, "127.0.0.1", port});
-      if (std::holds_alternative<Connected>(what))
-        actions.push_back(PauseReading{1}), held_ = true;
-      if (const auto* accepted = std::get_if<Accepted>(&what))
-        to_ = accepted->connection;
-      if (!held_ || to_ == 0)
+      if (std::holds_alternative<Connected>(event))
+        actions.push_back(PauseReading{1}), paused_ = true;
+      if (const auto* accepted = std::get_if<Accepted>(&event))
+        accepted_ = accepted->connection;
+      if (!paused_ || accepted_ == 0)
         return;
-      actions.push_back(Send{to_, std::string(64 * 1024 * 1024, 'x')});
-      actions.push_back(Close{to_, true});
+      actions.push_back(Send{accepted_, std::string(64 * 1024 * 1024, 'x')});
+      actions.push_back(Close{accepted_, true});
       actions.push_back(StopLoop{100ms});
-      left_at = now;
+      stopped_at = now;
     }
 
    private:
-    bool dialled_ = false, held_ = false;
-    ConnectionId to_ = 0;
+    bool dialled_ = false, paused_ = false;
+    ConnectionId accepted_ = 0;
   };
-  Unread core;
+  NeverRead core;
   Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
   core.port = loop.port(0);
   loop.run();
   EXPECT_FALSE(core.gave_up);
-  EXPECT_LT(loop.now() - core.left_at, 5s) << "far less than a last answer may take";
+  EXPECT_LT(loop.now() - core.stopped_at, 5s) << "less than the limit on sending a last answer";
 }
 
-// Sends a long answer to whoever asks, hangs up behind it and leaves.
+// Sends a long answer to each request, closes the connection behind it and stops the loop.
 class LastAnswer : public Bounded {
  public:
   static constexpr std::size_t size = 16 * 1024 * 1024;
-  void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-    const auto* asked = std::get_if<Received>(&what);
-    if (!asked)
+  void handle_event(Duration, const IoEvent& event, std::vector<Action>& actions) override {
+    const auto* request = std::get_if<Received>(&event);
+    if (!request)
       return;
-    actions.push_back(Send{asked->connection, std::string(size, 'x')});
-    actions.push_back(Close{asked->connection, true});
+    actions.push_back(Send{request->connection, std::string(size, 'x')});
+    actions.push_back(Close{request->connection, true});
     actions.push_back(StopLoop{});
   }
 };
 
-// Asks, and reads to the end. How many bytes came.
-std::size_t asks(std::uint16_t port, bool writes_no_more) {
+// Sends a request and reads to the end of the stream. Returns the number of bytes received.
+std::size_t bytes_answered(std::uint16_t port, bool half_close) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in place{};
-  place.sin_family = AF_INET;
-  place.sin_port = htons(port);
-  place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  std::size_t came = 0;
-  if (::connect(socket, reinterpret_cast<const sockaddr*>(&place), sizeof place) == 0 &&
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  std::size_t received = 0;
+  if (::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
       ::send(socket, "?", 1, 0) == 1) {
-    if (writes_no_more)
+    if (half_close)
       ::shutdown(socket, SHUT_WR);
     std::vector<char> bytes(64 * 1024);
     for (ssize_t got = 0; (got = ::recv(socket, bytes.data(), bytes.size(), 0)) > 0;)
-      came += static_cast<std::size_t>(got);
+      received += static_cast<std::size_t>(got);
   }
   ::close(socket);
-  return came;
+  return received;
 }
 
-TEST(Runtime, TheLastAnswerIsWholeBeforeItLeaves) {
-  for (const bool writes_no_more : {false, true}) {
+TEST(Runtime, SendsTheLastAnswerCompletelyBeforeStopping) {
+  for (const bool half_close : {false, true}) {
     LastAnswer core;
-    std::size_t came = 0;
+    std::size_t received = 0;
     std::thread viewer;
     {
       Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
-      viewer = std::thread([&, port = loop.port(0)] { came = asks(port, writes_no_more); });
+      viewer = std::thread([&, port = loop.port(0)] { received = bytes_answered(port, half_close); });
       loop.run();
     }
     viewer.join();
     EXPECT_FALSE(core.gave_up);
-    EXPECT_EQ(came, LastAnswer::size) << (writes_no_more ? "having written its last" : "still open to write");
+    EXPECT_EQ(received, LastAnswer::size)
+        << (half_close ? "after the client shut down its sending side" : "with both directions open");
   }
 }
 
-// A reader that is slower than the time to linger, which begins when all is with the kernel. It sees both
-// ends.
+// Guards against closing before a slow reader has the answer: it starts to read after more than the linger
+// time, which begins only when the kernel has all bytes. Sees both ends.
 class SlowReader : public Bounded {
  public:
   static constexpr std::size_t size = 16 * 1024 * 1024;
   std::uint16_t port = 0;
-  std::size_t came = 0;
-  void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
+  std::size_t bytes_received = 0;
+  void handle_event(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
     if (!std::exchange(dialled_, true))
       actions.push_back(Dial{1, "127.0.0.1", port});
-    if (const auto* accepted = std::get_if<Accepted>(&what)) {
+    if (const auto* accepted = std::get_if<Accepted>(&event)) {
       actions.push_back(Send{accepted->connection, std::string(size, 'x')});
       actions.push_back(Close{accepted->connection, true});
     }
-    if (const auto* connected = std::get_if<Connected>(&what)) {
+    if (const auto* connected = std::get_if<Connected>(&event)) {
       actions.push_back(PauseReading{connected->connection});
       read_at_ = now + 700ms;
       actions.push_back(StartTimer{read_at_});
     }
-    if (std::holds_alternative<TimerFired>(what) && read_at_ > 0s && now >= read_at_) {
+    if (std::holds_alternative<TimerFired>(event) && read_at_ > 0s && now >= read_at_) {
       read_at_ = 0s;
       actions.push_back(ResumeReading{1});
-      actions.push_back(StartTimer{20s});  // the bound again
+      actions.push_back(StartTimer{20s});  // restores the time limit
     }
-    if (const auto* received = std::get_if<Received>(&what))
-      came += received->bytes.size();
-    if (std::holds_alternative<HalfClosed>(what) || std::holds_alternative<Disconnected>(what))
+    if (const auto* received = std::get_if<Received>(&event))
+      bytes_received += received->bytes.size();
+    if (std::holds_alternative<HalfClosed>(event) || std::holds_alternative<Disconnected>(event))
       actions.push_back(StopLoop{});
   }
 
@@ -459,37 +463,39 @@
   Duration read_at_{0};
 };
 
-TEST(Runtime, ASlowReaderGetsItsAnswerWhole) {
+TEST(Runtime, ASlowReaderGetsTheCompleteAnswer) {
   SlowReader core;
   Loop loop(core, {{"127.0.0.1", 0}}, {}, "");
   core.port = loop.port(0);
   loop.run();
   EXPECT_FALSE(core.gave_up);
-  EXPECT_EQ(core.came, SlowReader::size);
+  EXPECT_EQ(core.bytes_received, SlowReader::size);
 }
 
-TEST(Runtime, AManagerWithoutBoxesRejectsAndStopsInOrder) {
+// A manager on real sockets with no video servers: it answers a request, and shuts down when asked.
+TEST(Runtime, AManagerWithoutBoxesRejectsAndShutsDown) {
   class Viewer : public Bounded {
    public:
     std::unique_ptr<manager::Manager> front;
     std::uint16_t port = 0;
     std::string answer;
     bool stopped = false;
-    void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
-      // Links 1000 and up are the viewer's own.
-      if (const auto* connected = std::get_if<Connected>(&what); connected && connected->connection == 1000) {
+    void handle_event(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
+      // Connection 1000 is the viewer's own.
+      if (const auto* connected = std::get_if<Connected>(&event);
+          connected && connected->connection == 1000) {
         actions.push_back(Send{1000, "GET /a/t/r0/0 HTTP/1.1\r\nHost: x\r\n\r\n"});
         return;
       }
-      if (const auto* received = std::get_if<Received>(&what); received && received->connection == 1000) {
+      if (const auto* received = std::get_if<Received>(&event); received && received->connection == 1000) {
         answer += received->bytes;
         if (answer.find("\r\n\r\n") != std::string::npos && !stopped)
           stopped = true, front->handle(now, ShutdownRequested{}, actions);
         return;
       }
-      if (const auto* half = std::get_if<HalfClosed>(&what); half && half->connection == 1000)
+      if (const auto* half = std::get_if<HalfClosed>(&event); half && half->connection == 1000)
         return;
-      front->handle(now, what, actions);
+      front->handle(now, event, actions);
       if (!dialled_)
         dialled_ = true, actions.push_back(Dial{1000, "127.0.0.1", port});
     }
@@ -514,17 +520,17 @@
   EXPECT_NE(viewer.answer.find("Retry-After: "), std::string::npos);
 }
 
-TEST(Runtime, AHangupBringsTheFileAsItIsThen) {
+TEST(Runtime, SighupDeliversTheCurrentFile) {
   class Waiting : public Bounded {
    public:
     std::string path, text;
-    void happened(Duration, const IoEvent& what, std::vector<Action>& actions) override {
-      if (std::holds_alternative<TimerFired>(what)) {
+    void handle_event(Duration, const IoEvent& event, std::vector<Action>& actions) override {
+      if (std::holds_alternative<TimerFired>(event)) {
         std::ofstream(path) << "the second";
         kill(getpid(), SIGHUP);
       }
-      if (const auto* reread = std::get_if<ConfigReloaded>(&what)) {
-        text = reread->text;
+      if (const auto* reloaded = std::get_if<ConfigReloaded>(&event)) {
+        text = reloaded->text;
         actions.push_back(StopLoop{});
       }
     }
@@ -541,10 +547,10 @@
   EXPECT_EQ(core.text, "the second");
 }
 
-TEST(Runtime, AHangupEndsWhoHasNoFileToReadAgain) {
+TEST(Runtime, SighupEndsAProcessWithoutAFileToReload) {
   class Waiting : public Bounded {
    public:
-    void happened(Duration, const IoEvent&, std::vector<Action>&) override { kill(getpid(), SIGHUP); }
+    void handle_event(Duration, const IoEvent&, std::vector<Action>&) override { kill(getpid(), SIGHUP); }
   };
   const auto run = [] {
     Waiting core;
