--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -39,7 +39,7 @@
   if (const auto name = told("GW_NAME"); !name.empty())
     terms.name = name;
   if (const auto listen = told("GW_LISTEN"); !listen.empty()) {
-    const auto place = platform::read_place(listen);
+    const auto place = platform::parse_endpoint(listen);
     if (!place)
       return wrong("GW_LISTEN: expected address:port");
     terms.listen = *place;
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -50,7 +50,7 @@
 }
 
 std::optional<int> whole_figure(const std::string& text, int least, int most) {
-  const auto value = figure(text);
+  const auto value = parse_non_negative(text);
   if (!value || *value != std::floor(*value) || *value < least || *value > most)
     return std::nullopt;
   return static_cast<int>(*value);
@@ -61,7 +61,7 @@
     return Outcome::full;
   if (why == cause::error)
     return Outcome::error;
-  if (why == cause::moot)
+  if (why == cause::not_attempted)
     return Outcome::not_sent;
   return Outcome::reset;
 }
@@ -104,8 +104,8 @@
   now_ = now;
   actions_ = &actions;
   if (!std::exchange(begun_, true)) {
-    channel_.connect_to(terms_.channel);
-    take_lists(channel_.take_known(terms_.known), true);
+    channel_.set_endpoint(terms_.channel);
+    take_lists(channel_.take_configured_events(terms_.known), true);
     terms_.known.clear();
     arm(sweep_every, Ring::sweep);
     say("begun", {{"name", terms_.name}, {"servers", static_cast<std::int64_t>(servers_.size())}});
@@ -186,7 +186,7 @@
   for (auto& [link, viewer] : viewers_) {
     const bool carries = !viewer.open.empty() || viewer.standing > 0;
     if ((!viewer.spoke && now_ - viewer.since > first_word_limit) ||
-        (viewer.reader.midway() && now_ - viewer.heard_at > first_word_limit) ||
+        (viewer.reader.has_partial_message() && now_ - viewer.heard_at > first_word_limit) ||
         (!carries && now_ - viewer.heard_at > idle_viewer_limit))
       choose_to_part(link, viewer);
   }
@@ -293,9 +293,9 @@
   if (const auto* fault = std::get_if<StartFault>(&read))
     return say("reread_passed_over", {{"cause", fault->cause}});
   const auto& terms = std::get<StartTerms>(read);
-  take_lists(channel_.take_known(terms.known), false);
-  channel_.connect_to(terms.channel);
-  say("reread", {{"channel", terms.channel->address}, {"last", channel_.last()}});
+  take_lists(channel_.take_configured_events(terms.known), false);
+  channel_.set_endpoint(terms.channel);
+  say("reread", {{"channel", terms.channel->address}, {"last", channel_.last_event()}});
 }
 
 // ---- connections ----
@@ -409,19 +409,19 @@
 
 void Platform::on(const Received& what) {
   if (what.connection == channel_link_) {
-    const auto news = channel_.received(now_, what.bytes);
-    return take_lists(news, false);
+    const auto updates = channel_.received(now_, what.bytes);
+    return take_lists(updates, false);
   }
   if (const auto found = viewers_.find(what.connection); found != viewers_.end()) {
     found->second.heard_at = now_;
-    std::vector<std::variant<Unreadable, ViewerMessage>> messages;
-    found->second.reader.take(what.bytes, messages);
+    std::vector<std::variant<ParseError, ViewerMessage>> messages;
+    found->second.reader.feed(what.bytes, messages);
     for (auto& message : messages) {
       const auto still = viewers_.find(what.connection);
       if (still == viewers_.end())
         return;
-      if (const auto* unreadable = std::get_if<Unreadable>(&message)) {
-        turn_off(what.connection, unreadable->call, unreadable->cause);
+      if (const auto* unreadable = std::get_if<ParseError>(&message)) {
+        turn_off(what.connection, unreadable->call, unreadable->message);
         continue;
       }
       still->second.spoke = true;
@@ -436,7 +436,7 @@
   found->second.heard_at = found->second.used_at = now_;
   answered_sign(found->second);
   std::vector<ServerMessage> messages;
-  const auto unreadable = found->second.reader.take(what.bytes, messages);
+  const auto unreadable = found->second.reader.feed(what.bytes, messages);
   for (auto& message : messages) {
     if (!links_.contains(what.connection))
       return;
@@ -457,7 +457,7 @@
 void Platform::on(const Disconnected& what) {
   if (what.connection == channel_link_) {
     channel_link_ = 0;
-    return channel_.ended(now_);
+    return channel_.disconnected(now_);
   }
   if (viewers_.contains(what.connection))
     return viewer_gone(what.connection);
@@ -528,7 +528,7 @@
     turned_off_said_ = now_;
   }
   if (call)
-    to_viewer(link, end_line(*call, platform::cause::unusable));
+    to_viewer(link, end_line(*call, platform::cause::invalid_message));
   const auto viewer = viewers_.find(link);
   if (viewer == viewers_.end())
     return;
@@ -551,7 +551,7 @@
   if (!plain_name(field("key")))
     return "with.key: expected a title";
   if (message.fields.contains("hint")) {
-    const auto hint = figure(field("hint"));
+    const auto hint = parse_non_negative(field("hint"));
     if (!hint || *hint > 1e10)
       return "with.hint: expected milliseconds";
     request.length = Duration(static_cast<std::int64_t>(*hint * 1000));
@@ -580,7 +580,7 @@
     return "with.extras.at: expected a video server";
   // What plays already waits for nothing, whatever is left of its time. Others may say somewhat more than
   // their plan's time, as a busy viewer's line leaves late.
-  const auto left = figure(field("left"));
+  const auto left = parse_non_negative(field("left"));
   const auto plan_ms = static_cast<double>(terms_.abandon[request.plan].count()) / 1000;
   const auto most_ms = at.empty() ? most_left * plan_ms : 1e12;
   if (!left || *left <= 0 || *left > most_ms)
@@ -1028,8 +1028,8 @@
 void Platform::send_try(Playback& playback) {
   const auto wait = std::max<std::int64_t>(1, ms_of(playback.try_until - now_));
   playback.sent = true;
-  to_server(playback.link, set_up_bytes({playback.call, terms_.plans[playback.plan], playback.title,
-                                         playback.description, wait, playback.rung}));
+  to_server(playback.link, setup_bytes({playback.call, terms_.plans[playback.plan], playback.title,
+                                        playback.description, wait, playback.rung}));
 }
 
 // A try ends before its answer. What may still run is given up by a release on its own connection.
@@ -1139,25 +1139,25 @@
 
 // ---- the list ----
 
-void Platform::take_lists(const std::vector<ListNews>& lists, bool at_start) {
-  for (const auto& news : lists) {
+void Platform::take_lists(const std::vector<ServerListUpdate>& lists, bool at_start) {
+  for (const auto& update : lists) {
     ServerList list;
-    list.kind = !news.whole ? ServerList::Kind::changes
-                : at_start  ? ServerList::Kind::cached
-                            : ServerList::Kind::complete;
-    if (news.whole) {
+    list.kind = !update.snapshot ? ServerList::Kind::changes
+                : at_start       ? ServerList::Kind::cached
+                                 : ServerList::Kind::complete;
+    if (update.snapshot) {
       for (auto& server : servers_)
         server.state = ServerState::gone;
     }
     std::vector<ConnectionId> stale;
-    for (const auto& told : news.servers) {
+    for (const auto& told : update.servers) {
       const auto id = server_named(told.name);
       auto& server = servers_[id];
       const bool anew = told.started_ms > server.started_ms && server.started_ms != 0;
-      const bool moved = told.place.port != 0 && server.place.port != 0 && told.place != server.place;
+      const bool moved = told.endpoint.port != 0 && server.place.port != 0 && told.endpoint != server.place;
       server.state = told.state;
-      if (told.place.port != 0)
-        server.place = told.place;
+      if (told.endpoint.port != 0)
+        server.place = told.endpoint;
       if (told.started_ms != 0)
         server.started_ms = told.started_ms;
       if ((anew || moved) && server.link)
@@ -1215,21 +1215,21 @@
 
 void Platform::tend_channel() {
   for (int turn = 0; turn < 3; ++turn) {
-    const auto wish = channel_.wish(now_);
-    if (wish == Channel::Wish::none) {
+    const auto step = channel_.poll(now_);
+    if (step == Channel::Step::none) {
       wheel_.cancel(channel_look_);
-      return void(channel_look_ = arm(channel_.look_at() - now_, Ring::channel));
+      return void(channel_look_ = arm(channel_.next_poll_at() - now_, Ring::channel));
     }
-    if (wish == Channel::Wish::hang) {
-      say("channel_given_up", {{"cause", channel_.remark()}});
+    if (step == Channel::Step::close) {
+      say("channel_given_up", {{"cause", channel_.close_cause()}});
       actions_->push_back(Close{channel_link_, false});
       channel_link_ = 0;
-      channel_.ended(now_);
+      channel_.disconnected(now_);
       continue;
     }
     channel_link_ = next_link_++;
-    actions_->push_back(Dial{channel_link_, channel_.place()->address, channel_.place()->port});
-    channel_.dialled(now_);
+    actions_->push_back(Dial{channel_link_, channel_.endpoint()->address, channel_.endpoint()->port});
+    channel_.dial_started(now_);
   }
 }
 
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -59,7 +59,7 @@
   };
   struct VideoServer {
     std::string name;
-    Place place;
+    Endpoint place;
     ServerState state = ServerState::gone;
     std::int64_t started_ms = 0;
     ConnectionId link = 0;  // the one that takes new set-ups; 0: none
@@ -164,7 +164,7 @@
   void carry_out(const Command& command);
 
   // ---- the list ----
-  void take_lists(const std::vector<ListNews>& lists, bool at_start);
+  void take_lists(const std::vector<ServerListUpdate>& lists, bool at_start);
   void take_back_unsent();
   bool ready() const;
   void tend_channel();
--- a/src/platform/start.cpp
+++ b/src/platform/start.cpp
@@ -54,7 +54,7 @@
     return StartFault{"expected a JSON object"};
   StartTerms terms;
   terms.name = text_of(json, "name");
-  const auto listen = read_place(text_of(json, "listen"));
+  const auto listen = parse_endpoint(text_of(json, "listen"));
   if (!listen)
     return StartFault{"listen: expected address:port"};
   terms.listen = *listen;
@@ -72,7 +72,7 @@
       terms.sockets = static_cast<std::size_t>(std::max(64.0, most));
     }
   }
-  terms.channel = read_place(text_of(json, "channel"));
+  terms.channel = parse_endpoint(text_of(json, "channel"));
   if (!terms.channel)
     return StartFault{"channel: expected address:port"};
   if (const auto known = json.find("known"); known != json.end())
--- a/src/platform/start.h
+++ b/src/platform/start.h
@@ -13,10 +13,10 @@
 
 struct StartTerms {
   std::string name;
-  Place listen;
+  Endpoint listen;
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
-  std::optional<Place> channel;
+  std::optional<Endpoint> channel;
   std::string known;  // events of the command channel up to now, JSON
   PolicySettings site;
   std::vector<std::string> plans;  // names, in the order of site.plans
--- a/src/platform/wire/server.cpp
+++ b/src/platform/wire/server.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-constexpr std::size_t head = 1 + 8;  // a type and an id
-enum Type : std::uint8_t {
+constexpr std::size_t header_bytes = 1 + 8;  // type and call id
+// Message types, with the platform's numbers.
+enum MessageType : std::uint8_t {
   set_up = 1,
   ringing = 6,
   accept = 9,
@@ -18,7 +19,8 @@
   tested = 53,
   rung = 60
 };
-enum Code : std::uint8_t {
+// Parameter types, with the platform's numbers.
+enum ParameterCode : std::uint8_t {
   plan_code = 129,
   wait_code = 132,
   title_code = 141,
@@ -30,30 +32,31 @@
   description_code = 174
 };
 
-std::uint8_t byte(char c) { return static_cast<std::uint8_t>(c); }
-std::size_t length_at(std::string_view bytes) {
-  return static_cast<std::size_t>(byte(bytes[0])) << 8 | byte(bytes[1]);
+std::uint8_t to_byte(char c) { return static_cast<std::uint8_t>(c); }
+std::size_t read_length(std::string_view bytes) {
+  return static_cast<std::size_t>(to_byte(bytes[0])) << 8 | to_byte(bytes[1]);
 }
-void put_length(std::string& to, std::size_t length) {
+void append_length(std::string& to, std::size_t length) {
   to += static_cast<char>(length >> 8);
   to += static_cast<char>(length & 255);
 }
 
-class Message {
+// Builds one message and fills in its length at the end.
+class MessageBuilder {
  public:
-  Message(Type type, CallId call) {
-    put_length(bytes_, 0);
+  MessageBuilder(MessageType type, CallId call) {
+    append_length(bytes_, 0);
     bytes_ += static_cast<char>(type);
     for (int shift = 56; shift >= 0; shift -= 8)
       bytes_ += static_cast<char>(call >> shift & 255);
   }
-  Message& with(Code code, std::string_view value) {
+  MessageBuilder& with(ParameterCode code, std::string_view value) {
     bytes_ += static_cast<char>(code);
-    put_length(bytes_, value.size());
+    append_length(bytes_, value.size());
     bytes_ += value;
     return *this;
   }
-  Message& because(int cause) { return with(cause_code, std::string(1, static_cast<char>(cause))); }
+  MessageBuilder& with_cause(int cause) { return with(cause_code, std::string(1, static_cast<char>(cause))); }
   std::string bytes() {
     const auto length = bytes_.size() - 2;
     bytes_[0] = static_cast<char>(length >> 8);
@@ -65,7 +68,7 @@
   std::string bytes_;
 };
 
-ServerMessage::Kind kind_of(std::uint8_t type) {
+ServerMessage::Kind kind_of_type(std::uint8_t type) {
   switch (type) {
     case ringing:
       return ServerMessage::Kind::ringing;
@@ -86,16 +89,17 @@
   }
 }
 
-std::optional<std::string> read(std::string_view body, ServerMessage& message) {
-  message.kind = kind_of(byte(body[0]));
-  for (std::size_t i = 1; i < head; ++i)
-    message.call = message.call << 8 | byte(body[i]);
-  body.remove_prefix(head);
+// Parses one message without its length. Returns what is wrong with a malformed one.
+std::optional<std::string> parse_message(std::string_view body, ServerMessage& message) {
+  message.kind = kind_of_type(to_byte(body[0]));
+  for (std::size_t i = 1; i < header_bytes; ++i)
+    message.call = message.call << 8 | to_byte(body[i]);
+  body.remove_prefix(header_bytes);
   while (!body.empty()) {
     if (body.size() < 3)
-      return "a parameter breaks off";
-    const auto code = byte(body[0]);
-    const auto length = length_at(body.substr(1));
+      return "a parameter is truncated";
+    const auto code = to_byte(body[0]);
+    const auto length = read_length(body.substr(1));
     body.remove_prefix(3);
     if (body.size() < length)
       return "a parameter is longer than its message";
@@ -103,8 +107,8 @@
     body.remove_prefix(length);
     if (code == cause_code) {
       if (length != 1)
-        return "a cause is not of one byte";
-      message.cause = byte(value[0]);
+        return "a cause is not one byte long";
+      message.cause = to_byte(value[0]);
     } else if (code == description_code) {
       message.description = std::string(value);
     } else if (code == note_code) {
@@ -112,10 +116,10 @@
     } else if (code == value_code) {
       message.value = read_number<double>(value);
       if (!message.value)
-        return "a figure is none";
+        return "a value is not a number";
     } else if (code == load_code) {
       if (!read_figures(value, ';', message.load.emplace()))
-        return "a load report is none";
+        return "a load report is malformed";
     }
   }
   using Kind = ServerMessage::Kind;
@@ -124,55 +128,57 @@
   if (message.kind == Kind::release && !message.cause)
     return "a release has no cause";
   if (message.kind == Kind::other)
-    return "a message is of no known type";
+    return "unknown message type";
   return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<std::string> ServerReader::take(std::string_view bytes, std::vector<ServerMessage>& messages) {
-  if (lost_)
+std::optional<std::string> ServerReader::feed(std::string_view bytes, std::vector<ServerMessage>& messages) {
+  if (failed_)
     return std::nullopt;
-  held_ += bytes;
-  std::size_t at = 0;
-  const auto lost = [&](std::string why) {
-    lost_ = true;
-    held_.clear();
-    held_.shrink_to_fit();
-    return std::optional<std::string>(std::move(why));
+  partial_message_ += bytes;
+  std::size_t offset = 0;
+  const auto fail = [&](std::string error) {
+    failed_ = true;
+    partial_message_.clear();
+    partial_message_.shrink_to_fit();
+    return std::optional<std::string>(std::move(error));
   };
-  while (held_.size() - at >= 2) {
-    const auto length = length_at(std::string_view(held_).substr(at));
-    if (length < head || length > message_most)
-      return lost("a message has an impossible length");
-    if (held_.size() - at < 2 + length)
+  while (partial_message_.size() - offset >= 2) {
+    const auto length = read_length(std::string_view(partial_message_).substr(offset));
+    if (length < header_bytes || length > max_message_bytes)
+      return fail("message length out of range");
+    if (partial_message_.size() - offset < 2 + length)
       break;
     ServerMessage message;
-    if (auto why = read(std::string_view(held_).substr(at + 2, length), message))
-      return lost(*why);
+    if (auto error = parse_message(std::string_view(partial_message_).substr(offset + 2, length), message))
+      return fail(*error);
     messages.push_back(std::move(message));
-    at += 2 + length;
+    offset += 2 + length;
   }
-  held_.erase(0, at);
+  partial_message_.erase(0, offset);
   return std::nullopt;
 }
 
-std::string set_up_bytes(const SetUpWords& words) {
-  return Message(set_up, words.call)
-      .with(plan_code, words.plan)
-      .with(title_code, words.title)
-      .with(wait_code, std::to_string(words.wait_ms))
-      .with(rung_code, std::to_string(words.rung))
-      .with(description_code, words.description)
+std::string setup_bytes(const SetupRequest& request) {
+  return MessageBuilder(set_up, request.call)
+      .with(plan_code, request.plan)
+      .with(title_code, request.title)
+      .with(wait_code, std::to_string(request.wait_ms))
+      .with(rung_code, std::to_string(request.rung))
+      .with(description_code, request.description)
       .bytes();
 }
 
-std::string release_bytes(CallId call, int cause) { return Message(release, call).because(cause).bytes(); }
-std::string released_bytes(CallId call) { return Message(released, call).bytes(); }
-// A test with cause 0 asks for a sign alone; one with cause 1 is answered with a load report.
-std::string test_bytes(CallId call) { return Message(test, call).because(1).bytes(); }
+std::string release_bytes(CallId call, int cause) {
+  return MessageBuilder(release, call).with_cause(cause).bytes();
+}
+std::string released_bytes(CallId call) { return MessageBuilder(released, call).bytes(); }
+// Cause 1 asks for a load report; cause 0 would ask only for a sign of life.
+std::string test_bytes(CallId call) { return MessageBuilder(test, call).with_cause(1).bytes(); }
 std::string rung_bytes(CallId call, int rung) {
-  return Message(Type::rung, call).with(rung_code, std::to_string(rung)).bytes();
+  return MessageBuilder(MessageType::rung, call).with(rung_code, std::to_string(rung)).bytes();
 }
 
 }  // namespace violettide::platform
--- a/src/platform/wire/viewer.cpp
+++ b/src/platform/wire/viewer.cpp
@@ -13,16 +13,16 @@
 
 constexpr std::size_t call_digits = 16;
 
-// The texts come from a reader of ours or from servers, whose bytes may be no UTF-8.
-std::string line_of(const Json& json) {
+// Formats one line. Texts from servers may be invalid UTF-8, which is replaced.
+std::string format_line(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-Json message(const char* op, CallId call) {
-  return Json{{"op", op}, {"call", call_text(call)}, {"with", Json::object()}};
+Json make_message(const char* op, CallId call) {
+  return Json{{"op", op}, {"call", format_call_id(call)}, {"with", Json::object()}};
 }
 
-ViewerMessage::Kind kind_of(const std::string& op) {
+ViewerMessage::Kind parse_kind(const std::string& op) {
   if (op == "offer")
     return ViewerMessage::Kind::offer;
   if (op == "end")
@@ -34,27 +34,27 @@
   return ViewerMessage::Kind::other;
 }
 
-// Guards against one name said twice, of which readers would take different ones.
-class NamesSeen {
+// Detects duplicate names in an object. Guards against parsers that disagree about which value counts.
+class DuplicateNameDetector {
  public:
-  bool twice = false;
+  bool found = false;
   bool operator()(Json::parse_event_t event, const Json& parsed) {
     if (event == Json::parse_event_t::object_start)
-      open_.emplace_back();
-    if (event == Json::parse_event_t::object_end && !open_.empty())
-      open_.pop_back();
-    if (event == Json::parse_event_t::key && !open_.empty())
-      twice = !open_.back().insert(parsed.get<std::string>()).second || twice;
+      open_objects_.emplace_back();
+    if (event == Json::parse_event_t::object_end && !open_objects_.empty())
+      open_objects_.pop_back();
+    if (event == Json::parse_event_t::key && !open_objects_.empty())
+      found = !open_objects_.back().insert(parsed.get<std::string>()).second || found;
     return true;
   }
 
  private:
-  std::vector<std::set<std::string>> open_;
+  std::vector<std::set<std::string>> open_objects_;
 };
 
 }  // namespace
 
-std::optional<CallId> call_id(std::string_view digits) {
+std::optional<CallId> parse_call_id(std::string_view digits) {
   if (digits.size() != call_digits)
     return std::nullopt;
   CallId id = 0;
@@ -67,113 +67,113 @@
   return id;
 }
 
-std::string call_text(CallId id) {
+std::string format_call_id(CallId id) {
   std::string text(call_digits, '0');
   for (std::size_t i = call_digits; i-- > 0; id >>= 4)
     text[i] = "0123456789abcdef"[id & 15];
   return text;
 }
 
-std::optional<double> figure(std::string_view text) {
+std::optional<double> parse_non_negative(std::string_view text) {
   const auto value = read_number<double>(text);
   return value && *value >= 0 ? value : std::nullopt;
 }
 
-std::variant<Unreadable, ViewerMessage> read_viewer_line(std::string_view line) {
-  NamesSeen names;
-  const Json::parser_callback_t see = [&](int, Json::parse_event_t event, Json& parsed) {
-    return names(event, parsed);
+std::variant<ParseError, ViewerMessage> parse_viewer_line(std::string_view line) {
+  DuplicateNameDetector duplicates;
+  const Json::parser_callback_t callback = [&](int, Json::parse_event_t event, Json& parsed) {
+    return duplicates(event, parsed);
   };
-  const auto json = Json::parse(line.begin(), line.end(), see, false);
+  const auto json = Json::parse(line.begin(), line.end(), callback, false);
   if (!json.is_object())
-    return Unreadable{"expected a JSON object a line", {}};
-  ViewerMessage read;
+    return ParseError{"expected one JSON object per line", {}};
+  ViewerMessage message;
   const auto call = json.find("call");
-  const auto id =
-      call != json.end() && call->is_string() ? call_id(call->get_ref<const std::string&>()) : std::nullopt;
+  const auto id = call != json.end() && call->is_string() ? parse_call_id(call->get_ref<const std::string&>())
+                                                          : std::nullopt;
   if (!id)
-    return Unreadable{"call: expected 16 hex digits", {}};
-  read.call = *id;
-  if (names.twice)
-    return Unreadable{"a name is said twice", id};
+    return ParseError{"call: expected 16 hex digits", {}};
+  message.call = *id;
+  if (duplicates.found)
+    return ParseError{"duplicate name", id};
   const auto op = json.find("op");
   if (op == json.end() || !op->is_string())
-    return Unreadable{"op: expected a message's type", id};
-  read.kind = kind_of(op->get_ref<const std::string&>());
+    return ParseError{"op: expected a message type", id};
+  message.kind = parse_kind(op->get_ref<const std::string&>());
   if (const auto with = json.find("with"); with != json.end()) {
     if (!with->is_object())
-      return Unreadable{"with: expected an object", id};
+      return ParseError{"with: expected an object", id};
     for (const auto& [name, value] : with->items()) {
       if (value.is_string())
-        read.fields[name] = value.get<std::string>();
+        message.fields[name] = value.get<std::string>();
       else if (value.is_number())
-        read.fields[name] = value.dump();
+        message.fields[name] = value.dump();
       else
-        return Unreadable{"with." + name + ": expected a text or a number", id};
+        return ParseError{"with." + name + ": expected a string or a number", id};
     }
   }
-  if (const auto why = json.find("why"); why != json.end()) {
-    if (!why->is_number_integer())
-      return Unreadable{"why: expected a whole number", id};
-    read.why = static_cast<int>(why->get<std::int64_t>());
+  if (const auto cause = json.find("why"); cause != json.end()) {
+    if (!cause->is_number_integer())
+      return ParseError{"why: expected an integer", id};
+    message.cause = static_cast<int>(cause->get<std::int64_t>());
   }
   if (const auto text = json.find("desc"); text != json.end()) {
     if (!text->is_string())
-      return Unreadable{"desc: expected a text", id};
-    read.description = text->get<std::string>();
+      return ParseError{"desc: expected a string", id};
+    message.description = text->get<std::string>();
   }
-  return read;
+  return message;
 }
 
-void ViewerReader::take(std::string_view bytes,
-                        std::vector<std::variant<Unreadable, ViewerMessage>>& messages) {
-  while (!lost_ && !bytes.empty()) {
-    const auto cut = bytes.find('\n');
-    const auto part = bytes.substr(0, cut);
-    // Guards against lines that never end.
-    if (held_.size() + part.size() > message_most) {
-      lost_ = true;
-      held_.clear();
-      held_.shrink_to_fit();
-      messages.push_back(Unreadable{"a message is longer than allowed", {}});
+void ViewerReader::feed(std::string_view bytes,
+                        std::vector<std::variant<ParseError, ViewerMessage>>& messages) {
+  while (!failed_ && !bytes.empty()) {
+    const auto line_end = bytes.find('\n');
+    const auto piece = bytes.substr(0, line_end);
+    // Guards against unbounded memory use by a line that never ends.
+    if (partial_line_.size() + piece.size() > max_message_bytes) {
+      failed_ = true;
+      partial_line_.clear();
+      partial_line_.shrink_to_fit();
+      messages.push_back(ParseError{"a message is too long", {}});
       return;
     }
-    if (cut == std::string_view::npos) {
-      held_ += part;
+    if (line_end == std::string_view::npos) {
+      partial_line_ += piece;
       return;
     }
-    bytes.remove_prefix(cut + 1);
-    held_ += part;
-    if (!held_.empty() && held_ != "\r") {
-      auto read = read_viewer_line(held_);
-      const auto* unreadable = std::get_if<Unreadable>(&read);
-      lost_ = unreadable && !unreadable->call;
-      messages.push_back(std::move(read));
+    bytes.remove_prefix(line_end + 1);
+    partial_line_ += piece;
+    if (!partial_line_.empty() && partial_line_ != "\r") {
+      auto message = parse_viewer_line(partial_line_);
+      const auto* error = std::get_if<ParseError>(&message);
+      failed_ = error && !error->call;
+      messages.push_back(std::move(message));
     }
-    held_.clear();
+    partial_line_.clear();
   }
 }
 
 std::string accept_line(CallId call, std::string_view description) {
-  auto json = message("accept", call);
+  auto json = make_message("accept", call);
   json["desc"] = description;
-  return line_of(json);
+  return format_line(json);
 }
 
-std::string end_line(CallId call, int why, std::int64_t wait_ms) {
-  auto json = message("end", call);
+std::string end_line(CallId call, int cause, std::int64_t wait_ms) {
+  auto json = make_message("end", call);
   if (wait_ms > 0)
     json["with"]["wait"] = std::to_string(wait_ms);
-  json["why"] = why;
-  return line_of(json);
+  json["why"] = cause;
+  return format_line(json);
 }
 
-std::string ended_line(CallId call) { return line_of(message("ended", call)); }
+std::string ended_line(CallId call) { return format_line(make_message("ended", call)); }
 
 std::string tested_line(CallId call, bool passed) {
-  auto json = message("tested", call);
+  auto json = make_message("tested", call);
   json["why"] = passed ? 1 : 0;
-  return line_of(json);
+  return format_line(json);
 }
 
 }  // namespace violettide::platform
--- a/src/platform/wire/viewer.h
+++ b/src/platform/wire/viewer.h
@@ -1,5 +1,5 @@
-// The viewers' side of the platform: a JSON object a line. Reads what comes in any cutting, within
-// bounds, and writes answers; knows nothing of playbacks.
+// The protocol between viewers and the operators' platform: one JSON object per line. Parses a byte stream
+// with a bounded buffer and formats answers; holds no state of playbacks.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +12,51 @@
 
 namespace violettide::platform {
 
-using CallId = std::uint64_t;  // 16 hex digits on the wire
-constexpr std::size_t message_most = 16 * 1024;
+// Identifies a playback; 16 hex digits in viewer messages.
+using CallId = std::uint64_t;
+// The limit on one message, of viewers and of servers.
+constexpr std::size_t max_message_bytes = 16 * 1024;
 
-std::optional<CallId> call_id(std::string_view digits);
-std::string call_text(CallId id);
-// A figure written plainly, whole, finite and not below 0.
-std::optional<double> figure(std::string_view text);
+// Parses exactly 16 lower-case hex digits.
+std::optional<CallId> parse_call_id(std::string_view digits);
+std::string format_call_id(CallId id);
+// Parses a finite decimal number of at least 0; the whole text must be the number.
+std::optional<double> parse_non_negative(std::string_view text);
 
+// A parsed message. `fields` holds the members of "with", numbers as text.
 struct ViewerMessage {
   enum class Kind { offer, end, ended, test, other };
   Kind kind = Kind::other;
   CallId call = 0;
   std::map<std::string, std::string> fields;
-  std::optional<int> why;
+  std::optional<int> cause;  // "why"
   std::optional<std::string> description;
 };
-// What can't be read: why, and the id where that much could be.
-struct Unreadable {
-  std::string cause;
+// A malformed message: what is wrong, and the call id if that could be parsed.
+struct ParseError {
+  std::string message;
   std::optional<CallId> call;
 };
 
+// Splits one connection's bytes into messages.
 class ViewerReader {
  public:
-  // Appends what has come whole. After an Unreadable without an id nothing more is read.
-  void take(std::string_view bytes, std::vector<std::variant<Unreadable, ViewerMessage>>& messages);
-  bool midway() const { return !held_.empty(); }  // in a message
+  // Appends the messages that are complete. After a ParseError without a call id the rest is ignored.
+  void feed(std::string_view bytes, std::vector<std::variant<ParseError, ViewerMessage>>& messages);
+  // Whether the bytes so far end within a message.
+  bool has_partial_message() const { return !partial_line_.empty(); }
 
  private:
-  std::string held_;
-  bool lost_ = false;
+  std::string partial_line_;
+  bool failed_ = false;
 };
 
-std::variant<Unreadable, ViewerMessage> read_viewer_line(std::string_view line);
+std::variant<ParseError, ViewerMessage> parse_viewer_line(std::string_view line);
 
+// Each of these formats one message, with the line feed that ends it.
 std::string accept_line(CallId call, std::string_view description);
-// `wait_ms`: how long to stay away; 0: not said.
-std::string end_line(CallId call, int why, std::int64_t wait_ms = 0);
+// `wait_ms`: the time after which the viewer may retry; 0: none is given.
+std::string end_line(CallId call, int cause, std::int64_t wait_ms = 0);
 std::string ended_line(CallId call);
 std::string tested_line(CallId call, bool passed);
 
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -31,7 +31,7 @@
     return link;
   }
   std::string set_up(CallId id = call_number) const {
-    return set_up_bytes({id, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1});
+    return setup_bytes({id, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1});
   }
   std::string test_words() const {
     return R"({"op":"test","call":"0000000000000001","with":{},"why":0})"
@@ -421,7 +421,7 @@
   std::size_t most = 0;
   ConnectionId first = 0;
   for (int i = 0; i < 100; ++i) {
-    hear(viewer, offer(call_text(1000 + i)));
+    hear(viewer, offer(format_call_id(1000 + i)));
     const auto link = connect("10.3.0." + std::to_string(i));
     if (i == 0)
       first = link;
@@ -674,7 +674,7 @@
   StartTerms terms;
   terms.plans = {"triage"};
   terms.abandon = {1800ms};
-  terms.channel = Place{"10.2.0.1", 7070};
+  terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
       terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
@@ -721,7 +721,7 @@
   auto other = offer(call, "4294967", "", at);
   other.replace(other.find("\"t1\""), 4, "\"t9\"");
   hear(viewer + 1, other);
-  EXPECT_EQ(sent(viewer + 1), end_line(call_number, cause::unusable)) << "and has its word";
+  EXPECT_EQ(sent(viewer + 1), end_line(call_number, cause::invalid_message)) << "and has its word";
   hear(link, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16));
 }
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -61,7 +61,7 @@
     terms.halls = {"h"};
     terms.dial_limit = 250ms;
     terms.idle_limit = 15s;
-    terms.channel = Place{"10.2.0.1", 7070};
+    terms.channel = Endpoint{"10.2.0.1", 7070};
     terms.known = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
     core = std::make_unique<Platform>(terms,
                                       std::make_unique<Script>(&told, [this](Duration, const Event& event) {
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -19,7 +19,7 @@
   EXPECT_EQ(request.cell_count, 2);
   EXPECT_EQ(request.top, 1);
   const auto link = connect("10.1.0.1");
-  EXPECT_EQ(sent(link), set_up_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
+  EXPECT_EQ(sent(link), setup_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
   now += 30ms;
   hear(link, accept());
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
@@ -107,8 +107,8 @@
   ASSERT_EQ(ended.size(), 2u);
   for (const auto& one : ended)
     EXPECT_EQ(one.outcome, Outcome::reset) << "it may have run";
-  EXPECT_EQ(sent(link), set_up_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}) +
-                            set_up_bytes({0xaa, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
+  EXPECT_EQ(sent(link), setup_bytes({call_number, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}) +
+                            setup_bytes({0xaa, "triage", "t1", "tag\r\nc=IN\r\n", 500, 1}));
 }
 
 TEST_F(PlatformTest, AnAnswerForNobodyIsPassedOver) {
@@ -188,7 +188,7 @@
     const ConnectionId link = viewer + static_cast<ConnectionId>(++number);
     come(link);
     hear(link, bad);
-    EXPECT_EQ(sent(link), end_line(call_number, cause::unusable)) << bad;
+    EXPECT_EQ(sent(link), end_line(call_number, cause::invalid_message)) << bad;
     EXPECT_TRUE(hung(link)) << bad;
   }
   EXPECT_TRUE(of_kind<Request>(told).empty());
@@ -213,8 +213,8 @@
                    "\n" +
                    R"({"call":"00000000000000ac"})"
                    "\n");
-  EXPECT_EQ(sent(viewer), end_line(0xaa, cause::unusable) + end_line(0xab, cause::unusable) +
-                              end_line(0xac, cause::unusable));
+  EXPECT_EQ(sent(viewer), end_line(0xaa, cause::invalid_message) + end_line(0xab, cause::invalid_message) +
+                              end_line(0xac, cause::invalid_message));
   EXPECT_FALSE(hung(viewer));
   hear(link, accept());
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
@@ -231,7 +231,7 @@
   };
   come();
   for (int i = 0; i < 5; ++i)
-    hear(viewer, offer(call_text(i), "0"));
+    hear(viewer, offer(format_call_id(i), "0"));
   come(viewer + 1);
   hear(viewer + 1, offer(call, "0"));
   ASSERT_EQ(said().size(), 1u);
@@ -250,7 +250,7 @@
   const auto link = connect("10.1.0.1");
   come(viewer + 1);
   hear(viewer + 1, offer());
-  EXPECT_EQ(sent(viewer + 1), end_line(call_number, cause::unusable));
+  EXPECT_EQ(sent(viewer + 1), end_line(call_number, cause::invalid_message));
   hear(link, accept());
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n")) << "who came first is served";
 }
@@ -262,7 +262,7 @@
   const auto link = connect("10.1.0.1");
   hear(viewer, offer());
   hear(link, accept());
-  EXPECT_EQ(sent(viewer), end_line(call_number, cause::unusable));
+  EXPECT_EQ(sent(viewer), end_line(call_number, cause::invalid_message));
   EXPECT_EQ(core->held().playbacks, 0u);
 }
 
@@ -464,7 +464,7 @@
   terms.abandon = {9s};
   terms.site.plans.resize(1);
   terms.site.rung_kb = {1};
-  terms.channel = Place{"10.2.0.1", 7070};
+  terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
       terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
@@ -494,14 +494,14 @@
   for (int i = 0; i < 20'000; ++i) {
     tries = 0;
     const CallId id = 1'000'000 + i;
-    auto words = offer(call_text(id));
+    auto words = offer(format_call_id(id));
     words.replace(words.find("\"t1\""), 4, "\"t" + std::to_string(i) + "\"");
     hear(viewer, words);
     if (i == 0)
       link = connect("10.1.0.1");
     if (i % 3 != 0)
       hear(link, accept(id));
-    i % 2 == 0 ? hear(link, release(i % 3 == 0 ? 34 : 16, id)) : hear(viewer, end(call_text(id)));
+    i % 2 == 0 ? hear(link, release(i % 3 == 0 ? 34 : 16, id)) : hear(viewer, end(format_call_id(id)));
     actions.clear();
     happen(Flushed{viewer});  // it reads all it is sent
     pass(1ms);
--- a/tests/program/platform_wire_test.cpp
+++ b/tests/program/platform_wire_test.cpp
@@ -1,5 +1,5 @@
-// The operators' platform on the wire: viewers' lines, servers' messages, the command channel and the
-// configuration.
+// Tests the formats that the operators' platform uses: viewer messages, server messages, the command channel
+// and the start configuration.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,70 +14,69 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Messages = std::vector<std::variant<Unreadable, ViewerMessage>>;
+using Messages = std::vector<std::variant<ParseError, ViewerMessage>>;
 
 const std::string offer =
     R"({"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"paid","left":"1500","hint":82.5},)"
     R"("desc":"9d41\r\nc=IN\r\n"})"
     "\n";
 
-TEST(ViewerLines, ReadTheSameInAnyCutting) {
+TEST(ViewerMessages, ParseTheSameHoweverTheBytesAreSplit) {
   for (std::size_t cut = 0; cut <= offer.size(); ++cut) {
     ViewerReader reader;
     Messages messages;
-    reader.take(offer.substr(0, cut), messages);
-    EXPECT_EQ(reader.midway(), cut > 0 && cut < offer.size());
-    reader.take(offer.substr(cut) + offer, messages);
+    reader.feed(offer.substr(0, cut), messages);
+    EXPECT_EQ(reader.has_partial_message(), cut > 0 && cut < offer.size());
+    reader.feed(offer.substr(cut) + offer, messages);
     ASSERT_EQ(messages.size(), 2u) << "cut at " << cut;
     const auto& message = std::get<ViewerMessage>(messages[0]);
     EXPECT_EQ(message.kind, ViewerMessage::Kind::offer);
-    EXPECT_EQ(call_text(message.call), "9b1f03aa5c7e2d41");
+    EXPECT_EQ(format_call_id(message.call), "9b1f03aa5c7e2d41");
     EXPECT_EQ(message.fields.at("left"), "1500");
     EXPECT_EQ(message.fields.at("hint"), "82.5");
     EXPECT_EQ(message.description, "9d41\r\nc=IN\r\n");
   }
 }
 
-TEST(ViewerLines, WhatCannotBeReadSaysWhyAndKeepsTheId) {
+TEST(ViewerMessages, AParseErrorSaysWhatIsWrongAndKeepsTheCallId) {
   const auto cause = [](std::string line) {
-    const auto read = read_viewer_line(line);
-    const auto* unreadable = std::get_if<Unreadable>(&read);
-    return unreadable ? unreadable->cause + (unreadable->call ? "!" : "") : std::string("read");
+    const auto read = parse_viewer_line(line);
+    const auto* error = std::get_if<ParseError>(&read);
+    return error ? error->message + (error->call ? "!" : "") : std::string("read");
   };
-  EXPECT_EQ(cause("[]"), "expected a JSON object a line");
-  EXPECT_EQ(cause("{\"op\":\"offer\""), "expected a JSON object a line");
-  EXPECT_EQ(cause(std::string(8000, '[')), "expected a JSON object a line");
+  EXPECT_EQ(cause("[]"), "expected one JSON object per line");
+  EXPECT_EQ(cause("{\"op\":\"offer\""), "expected one JSON object per line");
+  EXPECT_EQ(cause(std::string(8000, '[')), "expected one JSON object per line");
   EXPECT_EQ(cause(R"({"op":"offer"})"), "call: expected 16 hex digits");
   EXPECT_EQ(cause(R"({"op":"offer","call":"9B1f03aa5c7e2d41"})"), "call: expected 16 hex digits");
   EXPECT_EQ(cause(R"({"op":"offer","call":12})"), "call: expected 16 hex digits");
-  EXPECT_EQ(cause(R"({"call":"9b1f03aa5c7e2d41"})"), "op: expected a message's type!");
+  EXPECT_EQ(cause(R"({"call":"9b1f03aa5c7e2d41"})"), "op: expected a message type!");
   EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","with":[]})"), "with: expected an object!");
   EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","with":{"left":{}}})"),
-            "with.left: expected a text or a number!");
-  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","why":1.5})"), "why: expected a whole number!");
-  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","desc":1})"), "desc: expected a text!");
-  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","with":{"left":1,"left":2}})"),
-            "a name is said twice!");
+            "with.left: expected a string or a number!");
+  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","why":1.5})"), "why: expected an integer!");
+  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","desc":1})"), "desc: expected a string!");
+  EXPECT_EQ(cause(R"({"op":"end","call":"9b1f03aa5c7e2d41","with":{"left":1,"left":2}})"), "duplicate name!");
 }
 
-TEST(ViewerLines, ALineThatNeverEndsIsGivenUpAndNothingIsReadAfter) {
+TEST(ViewerMessages, AnEndlessLineIsAnErrorAndTheRestIsIgnored) {
   ViewerReader reader;
   Messages messages;
   for (int i = 0; i < 5; ++i)
-    reader.take(std::string(message_most / 2, 'a'), messages);
-  reader.take("\n" + offer, messages);
+    reader.feed(std::string(max_message_bytes / 2, 'a'), messages);
+  reader.feed("\n" + offer, messages);
   ASSERT_EQ(messages.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Unreadable>(messages[0]));
+  EXPECT_TRUE(std::holds_alternative<ParseError>(messages[0]));
 }
 
-TEST(ViewerLines, FiguresAreWholeAndPlain) {
-  EXPECT_EQ(figure("1500"), 1500);
-  EXPECT_EQ(figure("8200.5"), 8200.5);
+TEST(ViewerMessages, ANumberIsFiniteAndHasNoOtherText) {
+  EXPECT_EQ(parse_non_negative("1500"), 1500);
+  EXPECT_EQ(parse_non_negative("8200.5"), 8200.5);
   for (const auto* none : {"", "-1", "nan", "inf", "1e999", "12ms", " 1", "0x10"})
-    EXPECT_FALSE(figure(none)) << none;
+    EXPECT_FALSE(parse_non_negative(none)) << none;
 }
 
-TEST(ViewerLines, AnswersAreOneObjectALine) {
+TEST(ViewerMessages, AnAnswerIsOneObjectPerLine) {
   EXPECT_EQ(end_line(0x1f, 42, 500),
             R"({"op":"end","call":"000000000000001f","with":{"wait":"500"},"why":42})"
             "\n");
@@ -97,15 +96,15 @@
   return std::string(1, static_cast<char>(body.size() >> 8)) + static_cast<char>(body.size() & 255) + body;
 }
 
-TEST(ServerMessages, ReadTheSameInAnyCutting) {
+TEST(ServerMessages, ParseTheSameHoweverTheBytesAreSplit) {
   const auto bytes = message(9, parameter(174, "desc") + parameter(99, "skipped")) +
                      message(12, parameter(171, "\x22") + parameter(156, "busy:0.5;x1:2")) +
                      message(44, parameter(150, "kept_up") + parameter(165, "0.9"));
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     ServerReader reader;
     std::vector<ServerMessage> read;
-    EXPECT_FALSE(reader.take(std::string_view(bytes).substr(0, cut), read));
-    EXPECT_FALSE(reader.take(std::string_view(bytes).substr(cut), read));
+    EXPECT_FALSE(reader.feed(std::string_view(bytes).substr(0, cut), read));
+    EXPECT_FALSE(reader.feed(std::string_view(bytes).substr(cut), read));
     ASSERT_EQ(read.size(), 3u) << "cut at " << cut;
     EXPECT_EQ(read[0].description, "desc");
     EXPECT_EQ(read[0].call, 7u);
@@ -116,22 +115,22 @@
   }
 }
 
-TEST(ServerMessages, WhatCannotBeReadIsToldOnce) {
-  for (const auto& spoilt :
+TEST(ServerMessages, AMalformedMessageIsReportedOnce) {
+  for (const auto& malformed :
        {std::string("\xff\xff\x09", 3), std::string("\0\3abc", 5), message(9, ""), message(12, ""),
         message(12, parameter(171, "ab")), message(200, ""), message(9, std::string("\xae\x40\0x", 4)),
         message(9, "\xae"), message(44, parameter(165, "soon")), message(53, parameter(156, "busy"))}) {
     ServerReader reader;
     std::vector<ServerMessage> read;
-    EXPECT_TRUE(reader.take(message(16, "") + spoilt, read));
-    EXPECT_EQ(read.size(), 1u) << "what came whole before counts";
-    EXPECT_FALSE(reader.take(message(16, ""), read));
-    EXPECT_EQ(read.size(), 1u) << "nothing is read after";
+    EXPECT_TRUE(reader.feed(message(16, "") + malformed, read));
+    EXPECT_EQ(read.size(), 1u) << "messages before the malformed one count";
+    EXPECT_FALSE(reader.feed(message(16, ""), read));
+    EXPECT_EQ(read.size(), 1u) << "the rest is ignored";
   }
 }
 
-TEST(ServerMessages, ASetUpPassesOnWhatTheViewerSaid) {
-  EXPECT_EQ(set_up_bytes({7, "paid", "title", "desc", 1200, 3}),
+TEST(ServerMessages, ASetUpCarriesWhatTheViewerSent) {
+  EXPECT_EQ(setup_bytes({7, "paid", "title", "desc", 1200, 3}),
             message(1, parameter(129, "paid") + parameter(141, "title") + parameter(132, "1200") +
                            parameter(162, "3") + parameter(174, "desc")));
   EXPECT_EQ(release_bytes(7, 16), message(12, parameter(171, "\x10")));
@@ -139,9 +138,9 @@
   EXPECT_EQ(rung_bytes(7, 2), message(60, parameter(162, "2")));
 }
 
-std::string event(int number, const std::string& name, const std::string& status, bool whole = false) {
+std::string event(int number, const std::string& name, const std::string& status, bool snapshot = false) {
   return R"({"cursor":)" + std::to_string(number) + R"(,"nodes":{"index":1,"snapshot":)" +
-         (whole ? "true" : "false") + R"(,"endpoints":[{"name":")" + name +
+         (snapshot ? "true" : "false") + R"(,"endpoints":[{"name":")" + name +
          R"(","address":"10.1.0.9:3868","zone":"east","type":"std","group":2,"status":")" + status +
          R"(","weight":4,"since_ms":5000}]}})";
 }
@@ -149,153 +148,155 @@
 class ChannelTest : public testing::Test {
  protected:
   ChannelTest() {
-    channel.connect_to(Place{"10.2.0.1", 7070});
-    EXPECT_EQ(channel.take_known(R"({"cursor":1,"cmds":[)" + event(1, "a", "Ready", true) + "]}").size(), 1u);
-    follow(0s);
+    channel.set_endpoint(Endpoint{"10.2.0.1", 7070});
+    EXPECT_EQ(channel.take_configured_events(R"({"cursor":1,"cmds":[)" + event(1, "a", "Ready", true) + "]}")
+                  .size(),
+              1u);
+    connect(0s);
   }
-  void follow(Duration now) {
-    ASSERT_EQ(channel.wish(now), Channel::Wish::dial);
-    channel.dialled(now);
-    asked = channel.connected(now);
+  void connect(Duration now) {
+    ASSERT_EQ(channel.poll(now), Channel::Step::dial);
+    channel.dial_started(now);
+    request = channel.connected(now);
   }
-  std::size_t hear(Duration now, const std::string& line) {
+  std::size_t receive_line(Duration now, const std::string& line) {
     return channel.received(now, line + "\n").size();
   }
   Channel channel{1};
-  std::string asked;
+  std::string request;
 };
 
-TEST_F(ChannelTest, AsksForWhatComesAfterTheLastEventAndTakesEachOnce) {
-  EXPECT_EQ(asked, "resume 1\n");
-  const auto news =
+TEST_F(ChannelTest, ResumesAfterTheLastEventAndTakesEachOnce) {
+  EXPECT_EQ(request, "resume 1\n");
+  const auto updates =
       channel.received(1s, event(2, "b", "Terminating") + "\n" + event(2, "b", "Terminating") + "\n");
-  ASSERT_EQ(news.size(), 1u) << "one is told twice";
-  const auto& server = news[0].servers.at(0);
+  ASSERT_EQ(updates.size(), 1u) << "one is a repeat";
+  const auto& server = updates[0].servers.at(0);
   EXPECT_EQ(server.name, "b");
-  EXPECT_EQ(server.place, (Place{"10.1.0.9", 3868}));
+  EXPECT_EQ(server.endpoint, (Endpoint{"10.1.0.9", 3868}));
   EXPECT_EQ(server.state, ServerState::draining);
   EXPECT_EQ(server.hall, "east");
   EXPECT_EQ(server.cell, 2);
   EXPECT_EQ(server.started_ms, 5000);
-  EXPECT_EQ(hear(1500ms, "2"), 0u);
-  EXPECT_EQ(channel.wish(2s), Channel::Wish::none);
+  EXPECT_EQ(receive_line(1500ms, "2"), 0u);
+  EXPECT_EQ(channel.poll(2s), Channel::Step::none);
 }
 
-TEST_F(ChannelTest, AnEventCutOffIsAskedForAgain) {
+TEST_F(ChannelTest, ATruncatedEventIsRequestedAgain) {
   EXPECT_EQ(channel.received(1s, event(2, "b", "Gone").substr(0, 40)).size(), 0u);
-  channel.ended(1s);
-  follow(1300ms);
-  EXPECT_EQ(asked, "resume 1\n");
-  EXPECT_EQ(hear(1400ms, event(2, "b", "Gone")), 1u) << "the part from before is forgotten";
+  channel.disconnected(1s);
+  connect(1300ms);
+  EXPECT_EQ(request, "resume 1\n");
+  EXPECT_EQ(receive_line(1400ms, event(2, "b", "Gone")), 1u) << "the truncated event is discarded";
 }
 
-TEST_F(ChannelTest, AGapIsAskedForAgain) {
-  EXPECT_EQ(hear(1s, event(3, "b", "Gone")), 0u);
-  EXPECT_EQ(channel.wish(1s), Channel::Wish::hang);
-  channel.ended(1s);
-  follow(1300ms);
-  EXPECT_EQ(hear(1400ms, "4"), 0u) << "its word names events never told";
-  EXPECT_EQ(channel.wish(1400ms), Channel::Wish::hang);
+TEST_F(ChannelTest, AMissingEventIsRequestedAgain) {
+  EXPECT_EQ(receive_line(1s, event(3, "b", "Gone")), 0u);
+  EXPECT_EQ(channel.poll(1s), Channel::Step::close);
+  channel.disconnected(1s);
+  connect(1300ms);
+  EXPECT_EQ(receive_line(1400ms, "4"), 0u) << "the heartbeat counts events that never came";
+  EXPECT_EQ(channel.poll(1400ms), Channel::Step::close);
 }
 
-TEST_F(ChannelTest, SilenceEndsAConnectionThatStaysOpen) {
-  hear(1s, "1");
-  EXPECT_EQ(channel.wish(2s), Channel::Wish::none);
-  EXPECT_LE(channel.look_at(), 3s) << "it wants to be looked at in time";
-  EXPECT_EQ(channel.wish(2700ms), Channel::Wish::hang);
-  channel.ended(2700ms);
-  EXPECT_EQ(channel.wish(2900ms), Channel::Wish::dial) << "within the first backoff";
+TEST_F(ChannelTest, SilenceClosesAConnectionThatStaysOpen) {
+  receive_line(1s, "1");
+  EXPECT_EQ(channel.poll(2s), Channel::Step::none);
+  EXPECT_LE(channel.next_poll_at(), 3s) << "it asks for a poll in time";
+  EXPECT_EQ(channel.poll(2700ms), Channel::Step::close);
+  channel.disconnected(2700ms);
+  EXPECT_EQ(channel.poll(2900ms), Channel::Step::dial) << "within the first backoff";
 }
 
-TEST_F(ChannelTest, SilenceFromTheFirstSecondEndsItToo) {
-  EXPECT_EQ(channel.wish(1500ms), Channel::Wish::none);
-  EXPECT_EQ(channel.wish(1700ms), Channel::Wish::hang);
+TEST_F(ChannelTest, SilenceFromTheStartClosesTheConnection) {
+  EXPECT_EQ(channel.poll(1500ms), Channel::Step::none);
+  EXPECT_EQ(channel.poll(1700ms), Channel::Step::close);
 }
 
-TEST_F(ChannelTest, BeatsThatNameEventsNeverToldAreNoSignThatAllIsWell) {
-  hear(1s, "1");
-  hear(2s, "1");
-  EXPECT_EQ(channel.wish(2s), Channel::Wish::none);
-  hear(3s, "2");
-  EXPECT_EQ(channel.wish(3s), Channel::Wish::hang) << "events stopped while its beats went on";
+TEST_F(ChannelTest, AHeartbeatBeyondTheLastEventClosesTheConnection) {
+  receive_line(1s, "1");
+  receive_line(2s, "1");
+  EXPECT_EQ(channel.poll(2s), Channel::Step::none);
+  receive_line(3s, "2");
+  EXPECT_EQ(channel.poll(3s), Channel::Step::close) << "events stopped while heartbeats went on";
 }
 
-// A whole list needs no event before it; an older one is told twice.
-TEST_F(ChannelTest, AWholeListIsTakenOverAGapAndAnOlderOneIsNot) {
-  const auto whole = [](int number) { return event(number, "b", "Ready", true); };
-  ASSERT_EQ(channel.received(1s, whole(7) + "\n").size(), 1u);
-  EXPECT_EQ(channel.wish(1s), Channel::Wish::none);
-  EXPECT_EQ(hear(1s, whole(5)), 0u);
-  EXPECT_EQ(channel.last(), 7);
-  EXPECT_EQ(hear(1s, event(8, "b", "Gone")), 1u) << "changes go on from it";
+// A snapshot needs no event before it; one older than the last event is a repeat.
+TEST_F(ChannelTest, ASnapshotIsTakenAfterAGapUnlessItIsOlder) {
+  const auto snapshot = [](int number) { return event(number, "b", "Ready", true); };
+  ASSERT_EQ(channel.received(1s, snapshot(7) + "\n").size(), 1u);
+  EXPECT_EQ(channel.poll(1s), Channel::Step::none);
+  EXPECT_EQ(receive_line(1s, snapshot(5)), 0u);
+  EXPECT_EQ(channel.last_event(), 7);
+  EXPECT_EQ(receive_line(1s, event(8, "b", "Gone")), 1u) << "events continue after the snapshot";
 }
 
-// 300 managers whose channels broke at one moment, at a place that stays down: they are soon out of step,
-// and each is back within half a second of its return.
-TEST(ChannelBackoff, ManagersThatBrokeOffTogetherDoNotDialInStep) {
+// Guards against 300 managers that lost their channels at the same moment redialling in step while the
+// endpoint is down. Each must also redial within half a second of the endpoint's return.
+TEST(ChannelBackoff, ManagersThatDisconnectTogetherDoNotRedialTogether) {
   std::map<Duration, int> first, tenth;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Channel channel(seed * 0x9E3779B97F4A7C15u);
-    channel.connect_to(Place{"10.2.0.1", 7070});
-    ASSERT_EQ(channel.wish(0s), Channel::Wish::dial);
-    channel.dialled(0s);
+    channel.set_endpoint(Endpoint{"10.2.0.1", 7070});
+    ASSERT_EQ(channel.poll(0s), Channel::Step::dial);
+    channel.dial_started(0s);
     channel.connected(0s);
     Duration now{1s};
     for (int dial = 1; dial <= 10; ++dial) {
-      channel.ended(now);
-      EXPECT_EQ(channel.wish(now), Channel::Wish::none) << "never at once";
-      const auto waited = channel.look_at() - now;
+      channel.disconnected(now);
+      EXPECT_EQ(channel.poll(now), Channel::Step::none) << "it waits before it redials";
+      const auto waited = channel.next_poll_at() - now;
       EXPECT_LE(waited, dial == 1 ? 200ms : 500ms);
       if (dial > 2)
-        EXPECT_GE(waited, 200ms) << "it backs off";
-      now = channel.look_at();
-      ASSERT_EQ(channel.wish(now), Channel::Wish::dial);
-      channel.dialled(now);
+        EXPECT_GE(waited, 200ms) << "the backoff has grown";
+      now = channel.next_poll_at();
+      ASSERT_EQ(channel.poll(now), Channel::Step::dial);
+      channel.dial_started(now);
       if (dial == 1)
         ++first[std::chrono::floor<std::chrono::milliseconds>(now)];
       if (dial == 10)
         ++tenth[std::chrono::floor<std::chrono::milliseconds>(now)];
     }
   }
-  const auto most = [](const std::map<Duration, int>& dials) {
+  const auto max_per_millisecond = [](const std::map<Duration, int>& dials) {
     return std::max_element(dials.begin(), dials.end(), [](auto& a, auto& b) { return a.second < b.second; })
         ->second;
   };
-  EXPECT_LE(most(first), 10) << "of 300 in one millisecond";
-  EXPECT_LE(most(tenth), 10);
+  EXPECT_LE(max_per_millisecond(first), 10) << "of 300 in one millisecond";
+  EXPECT_LE(max_per_millisecond(tenth), 10);
 }
 
-TEST_F(ChannelTest, ADialThatNeverComesUpIsMadeAgain) {
-  channel.ended(1s);
-  channel.dialled(2s);
-  EXPECT_EQ(channel.wish(2500ms), Channel::Wish::none);
-  EXPECT_EQ(channel.wish(3100ms), Channel::Wish::hang);
+TEST_F(ChannelTest, ADialThatTimesOutIsClosed) {
+  channel.disconnected(1s);
+  channel.dial_started(2s);
+  EXPECT_EQ(channel.poll(2500ms), Channel::Step::none);
+  EXPECT_EQ(channel.poll(3100ms), Channel::Step::close);
 }
 
-TEST_F(ChannelTest, AnotherAddressTakesOverWhereThisOneStopped) {
-  hear(1s, event(2, "b", "Ready"));
-  channel.connect_to(Place{"10.2.0.1", 7070});
-  EXPECT_EQ(channel.wish(1s), Channel::Wish::none) << "the same address";
-  channel.connect_to(Place{"10.2.0.2", 7070});
-  EXPECT_EQ(channel.wish(1s), Channel::Wish::hang);
-  channel.ended(1s);
-  follow(1300ms);
-  EXPECT_EQ(channel.place()->address, "10.2.0.2");
-  EXPECT_EQ(asked, "resume 2\n");
+TEST_F(ChannelTest, AnotherAddressResumesAfterTheLastEvent) {
+  receive_line(1s, event(2, "b", "Ready"));
+  channel.set_endpoint(Endpoint{"10.2.0.1", 7070});
+  EXPECT_EQ(channel.poll(1s), Channel::Step::none) << "the same address";
+  channel.set_endpoint(Endpoint{"10.2.0.2", 7070});
+  EXPECT_EQ(channel.poll(1s), Channel::Step::close);
+  channel.disconnected(1s);
+  connect(1300ms);
+  EXPECT_EQ(channel.endpoint()->address, "10.2.0.2");
+  EXPECT_EQ(request, "resume 2\n");
   const auto known = R"({"cursor":3,"cmds":[)" + event(2, "b", "Gone") + "," + event(3, "c", "Ready") + "]}";
-  EXPECT_EQ(channel.take_known(known).size(), 1u) << "what is known already is passed over";
+  EXPECT_EQ(channel.take_configured_events(known).size(), 1u) << "events already taken are skipped";
 }
 
-TEST_F(ChannelTest, AWordThatCannotBeReadIsNoEvent) {
+TEST_F(ChannelTest, AMalformedLineIsNoEvent) {
   Duration now{0};
   for (const auto* bad : {"noise", "[1]", R"({"cursor":2,"nodes":{}})",
                           R"({"cursor":2,"nodes":{"endpoints":[{"name":"x","status":"Odd"}]}})"}) {
     now += 1s;
-    EXPECT_EQ(hear(now, bad), 0u);
-    EXPECT_EQ(channel.last(), 1);
-    EXPECT_EQ(channel.wish(now), Channel::Wish::hang) << bad;
-    channel.ended(now);
-    follow(now += 1s);
+    EXPECT_EQ(receive_line(now, bad), 0u);
+    EXPECT_EQ(channel.last_event(), 1);
+    EXPECT_EQ(channel.poll(now), Channel::Step::close) << bad;
+    channel.disconnected(now);
+    connect(now += 1s);
   }
 }
 
@@ -305,7 +306,7 @@
     R"("FamilyInfo":{"LowestRung":[0,1],"Places":12,"RatesKb":[241.0,413.0]},)"
     R"("Limits":{"DialTimeout":125000,"MayProbe":true},"Me":1,"Zones":["hall-a","hall-b"]})";
 
-TEST(Start, NestedSettingsBecomeTheModulesTerms) {
+TEST(Start, ParsesNestedSettings) {
   const auto read = read_start(R"({"name":"n3","listen":"10.0.0.4:3868","seed":"8c1f30d27a5be964",)"
                                R"("limits":{"sockets":256},"channel":"10.2.0.1:7070",)" +
                                settings + "}");
@@ -325,7 +326,7 @@
   EXPECT_TRUE(terms.site.probes_enabled);
 }
 
-TEST(Start, AFaultNamesItsPlace) {
+TEST(Start, AFaultNamesItsSetting) {
   const auto cause = [](const std::string& text) { return std::get<StartFault>(read_start(text)).cause; };
   EXPECT_EQ(cause("x"), "expected a JSON object");
   EXPECT_EQ(cause("{}"), "listen: expected address:port");
@@ -337,8 +338,8 @@
             "settings: setting Me=x: expected a number");
 }
 
-// Text or a number in the wrong place ends no process, at its start or at a SIGHUP.
-TEST(Start, AFigureOfTheWrongTypeOrMissingIsNamed) {
+// Guards against a setting of the wrong type ending the process, at the start or at a reload by SIGHUP.
+TEST(Start, AValueOfTheWrongTypeOrMissingIsNamed) {
   const auto cause = [](const std::string& limits, const std::string& terms) {
     const auto read = read_start(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","limits":)" +
                                  limits + R"(,"settings":)" + terms + "}");
@@ -366,8 +367,9 @@
             "settings: setting Limits.ConnIdle=long: expected a number");
 }
 
-// Without its number a manager draws one: all would else take the same turns at a server just started.
-TEST(Start, AManagersOwnNumberMayBeMissing) {
+// A manager without a number draws one. A fixed default would make all managers take the same turns at a
+// server that has just started.
+TEST(Start, TheManagersNumberMayBeMissing) {
   const auto read = read_start(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","settings":)"
                                R"({"Classes":[{"Name":"a","Aim":1000,"GiveUp":2000}],)"
                                R"("FamilyInfo":{"RatesKb":[1]},"Limits":{"ConnIdle":15000000}}})");
