--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
+using testing::Network;
 
 const char* settings_text = R"(
 ladder(rates = [kB_per_s(10), kB_per_s(20), kB_per_s(40)], revenue = [0.5, 0.8, 1])
@@ -90,17 +90,18 @@
   }
 };
 
-PlayedDay play(
-    const standins::Day& day, Bent::Bend bend = {}, std::function<void(std::vector<Action>&)> tamper = {},
-    std::function<void(Net&, std::vector<int>&, const std::function<void(int)>&, std::vector<trace::Passed>&)>
-        deeds = {}) {
-  Net net;
+PlayedDay play(const standins::Day& day, Bent::Bend bend = {},
+               std::function<void(std::vector<Action>&)> tamper = {},
+               std::function<void(Network&, std::vector<int>&, const std::function<void(int)>&,
+                                  std::vector<trace::Passed>&)>
+                   deeds = {}) {
+  Network net;
   PlayedDay played;
   const auto sink = [&](const trace::Passed& record) { played.records.push_back(record); };
   const int boxes = static_cast<int>(day.boxes.size());
   std::vector<std::uint16_t> ports;
   for (int i = 0; i <= boxes; ++i)
-    ports.push_back(Net::port(0, i));
+    ports.push_back(Network::port(0, i));
   standins::Fleet fleet(day, ports, Duration(0), sink);
   net.add(fleet, boxes + 1);
   std::deque<std::unique_ptr<manager::Manager>> managers;
@@ -110,7 +111,7 @@
   const auto make = [&](int i, std::string cached) -> Core& {
     auto front = day.deployment.front;
     front.name = "m" + std::to_string(i);
-    front.list_port = Net::port(0, boxes);
+    front.list_port = Network::port(0, boxes);
     managers.push_back(std::make_unique<manager::Manager>(
         front, 7 + static_cast<std::uint64_t>(i), std::move(cached),
         std::make_unique<Bent>(front.site, 7 + static_cast<std::uint64_t>(i), bend)));
@@ -124,19 +125,19 @@
   };
   for (int i = 0; i < day.managers; ++i) {
     hosts.push_back(net.add(make(i, ""), 1));
-    doors.push_back({"m" + std::to_string(i), Net::port(hosts.back()), 0});
+    doors.push_back({"m" + std::to_string(i), Network::port(hosts.back()), 0});
   }
   net.run(500ms);
   standins::Viewers viewers(day, doors, Duration(0), 0, sink);
   const int audience = net.add(viewers, 0);
   const std::function<void(int)> restart = [&](int i) {
-    net.replace(hosts[i], make(i, net.stored(hosts[i], "boxes.json").value_or("")));
+    net.replace(hosts[i], make(i, net.file(hosts[i], "boxes.json").value_or("")));
   };
   if (deeds)
     deeds(net, hosts, restart, played.records);
-  for (int second = 1; second < 200 && !net.left(audience); ++second)
+  for (int second = 1; second < 200 && !net.stopped(audience); ++second)
     net.run(day.length + second * 1s);
-  EXPECT_TRUE(net.left(audience)) << "the viewers did not end";
+  EXPECT_TRUE(net.stopped(audience)) << "the viewers did not end";
   net.run(net.now() + 20s);  // for every silence to be over
   for (const auto& manager : managers) {
     if (manager == managers.back() || !deeds)
@@ -184,7 +185,7 @@
 
 TEST(Days, RulesHoldAcrossRestartsAndStandingStill) {
   const auto played = play(day_of(troubled), {}, {},
-                           [](Net& net, std::vector<int>& hosts, const std::function<void(int)>& restart,
+                           [](Network& net, std::vector<int>& hosts, const std::function<void(int)>& restart,
                               std::vector<trace::Passed>& records) {
                              const auto fact = [&](trace::Passed::Kind kind, int manager, double value) {
                                trace::Passed record;
@@ -204,7 +205,7 @@
                                  restart(i);
                                } else {
                                  fact(trace::Passed::STOOD_STILL, i, 2.2);
-                                 net.stand_still(hosts[i], net.now() + 2s);
+                                 net.suspend(hosts[i], net.now() + 2s);
                                }
                              }
                            });
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "catalogue/demand.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "cataloguestore/store.h"
 #include "cataloguewire/json.h"
 #include "cataloguewire/resource.h"
@@ -20,8 +20,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
-using testing::Puppet;
+using testing::Network;
+using testing::ScriptedPeer;
 
 Recording recording(const std::string& title, std::vector<std::string> boxes) {
   Recording made{title, {{"hi", 1, "avc1", 40, 90s}, {"lo", 0, "avc1", 10, 90s}}, {}};
@@ -510,8 +510,8 @@
 // ---- changes amid set-ups: the manager, a box list, boxes and an operator, in any order ----
 
 struct Amid {
-  Net net;
-  Puppet boxes[3], list, viewer, operators;
+  Network net;
+  ScriptedPeer boxes[3], list, viewer, operators;
   std::unique_ptr<manager::Manager> front;
   ConnectionId next = 1;
   static constexpr int list_host = 4, viewer_host = 5, operator_host = 6;
@@ -535,14 +535,14 @@
     terms.site.cells = 3;
     terms.plans = {{"a", 3s}};
     terms.halls = {"h"};
-    terms.list_port = Net::port(list_host);
+    terms.list_port = Network::port(list_host);
     terms.list_every = 200ms;
     terms.catalogued = true;
     terms.silence = 1s;
     front = std::make_unique<manager::Manager>(terms, 1, "", nullptr);
     net.add(*front, 2);
     for (int b = 0; b < 3; ++b) {
-      boxes[b].on_bytes = [this, b](Puppet& box, ConnectionId link, std::vector<Action>& actions) {
+      boxes[b].on_bytes = [this, b](ScriptedPeer& box, ConnectionId link, std::vector<Action>& actions) {
         auto& got = box.peers[link].got;
         const auto end = got.find("\r\n\r\n");
         if (end == std::string::npos)
@@ -562,12 +562,12 @@
       };
       net.add(boxes[b], 1);
     }
-    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
+    list.on_bytes = [this](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       std::string text =
           "{\"revision\":" + std::to_string(list_revision) + ",\"clock_ms\":100000,\"boxes\":[";
       for (int b = 0; b < 3; ++b) {
         text += std::string(b ? "," : "") + "{\"name\":\"b" + std::to_string(b) +
-                "\",\"address\":\"127.0.0.1\",\"port\":" + std::to_string(Net::port(1 + b)) +
+                "\",\"address\":\"127.0.0.1\",\"port\":" + std::to_string(Network::port(1 + b)) +
                 ",\"state\":\"" + states[b] + "\",\"kind\":0,\"cell\":0,\"hall\":\"h\",\"weight\":1}";
       }
       text += "]}";
@@ -581,20 +581,20 @@
   }
   ConnectionId ask(const std::string& title, int sid) {
     const ConnectionId link = next++;
-    viewer.next.push_back(Dial{link, "", Net::port(0)});
+    viewer.next.push_back(Dial{link, "", Network::port(0)});
     viewer.next.push_back(Send{link, "GET /a/" + title +
                                          "/r1/0 HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"s" +
                                          std::to_string(sid) + "\"\r\n\r\n"});
-    net.poke(viewer_host);
+    net.wake(viewer_host);
     return link;
   }
   // The operator's request; its answer is waited for by running the net on.
   std::string change(const std::string& method, const std::string& target, const std::string& body = "") {
     const ConnectionId link = next++;
-    operators.next.push_back(Dial{link, "", Net::port(0, 1)});
+    operators.next.push_back(Dial{link, "", Network::port(0, 1)});
     operators.next.push_back(Send{link, method + " " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                                             std::to_string(body.size()) + "\r\n\r\n" + body});
-    net.poke(operator_host);
+    net.wake(operator_host);
     for (int i = 0; i < 1000 && operators.peers[link].got.empty(); ++i)
       net.run(net.now() + 50us);
     return operators.peers[link].got;
@@ -644,15 +644,15 @@
   amid.net.run(amid.net.now() + 21ms);  // asked; the box is being dialled
   const auto operator_link = amid.next++;
   const auto body = cataloguewire::text_of(recording("t", {"b2"}));
-  amid.operators.next.push_back(Dial{operator_link, "", Net::port(0, 1)});
+  amid.operators.next.push_back(Dial{operator_link, "", Network::port(0, 1)});
   amid.operators.next.push_back(
       Send{operator_link, "PUT /catalogue/recordings/t HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                               std::to_string(body.size()) + "\r\n\r\n" + body});
-  amid.net.poke(Amid::operator_host);
+  amid.net.wake(Amid::operator_host);
   amid.net.run(amid.net.now() + 400ms);
   EXPECT_TRUE(amid.viewer.peers[link].got.starts_with("HTTP/1.1 200")) << amid.viewer.peers[link].got;
   std::size_t taken_back = 0;
-  for (const auto& [host, said] : amid.net.said)
+  for (const auto& [host, said] : amid.net.log_lines)
     taken_back += said.event == "try_taken_back";
   EXPECT_EQ(taken_back, 1u);
 }
@@ -695,7 +695,7 @@
     std::minstd_rand chance(seed);
     Amid amid;
     amid.net.latency = Duration(50 + chance() % 4000);
-    amid.net.keep_time = Duration(chance() % 6000);
+    amid.net.persist_time = Duration(chance() % 6000);
     for (int t = 0; t < 3; ++t)
       amid.put("t" + std::to_string(t), {0, 1, 2});
     std::vector<ConnectionId> asked;
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
-using testing::Puppet;
+using testing::Network;
 using testing::Script;
+using testing::ScriptedPeer;
 
 class Front : public ::testing::Test {
  protected:
@@ -32,7 +32,7 @@
     terms.plans = {{"a", 4s}, {"paid", 4s}, {"seated", 4s}};
     terms.halls = {"h"};
     terms.site.cells = 2;
-    terms.list_port = Net::port(3);
+    terms.list_port = Network::port(3);
     terms.silence = 3s;
     terms.hls.passes.secrets = {"secret"};
     terms.wall_at_zero = 1000h;
@@ -42,12 +42,12 @@
     net.add(box[1], 1);
     net.add(list, 1);
     net.add(viewer, 0);
-    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
+    list.on_bytes = [this](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
     for (int b = 0; b < 2; ++b) {
-      box[b].on_bytes = [this, b](Puppet& own, ConnectionId link, std::vector<Action>& actions) {
+      box[b].on_bytes = [this, b](ScriptedPeer& own, ConnectionId link, std::vector<Action>& actions) {
         serve(b, own, link, actions);
       };
     }
@@ -74,7 +74,7 @@
   }
 
   // What the boxes have, by target; nothing: 404. A list of its own for each box where that is given.
-  void serve(int b, Puppet& own, ConnectionId link, std::vector<Action>& actions) {
+  void serve(int b, ScriptedPeer& own, ConnectionId link, std::vector<Action>& actions) {
     auto& got = own.peers[link].got;
     for (auto end = got.find("\r\n\r\n"); end != std::string::npos; end = got.find("\r\n\r\n")) {
       const auto head = got.substr(0, end);
@@ -144,12 +144,12 @@
   };
   ConnectionId dial() {
     const ConnectionId link = next_link++;
-    viewer.next.push_back(Dial{link, "", Net::port(front_host)});
+    viewer.next.push_back(Dial{link, "", Network::port(front_host)});
     step();
     return link;
   }
   void step(Duration time = 20ms) {
-    net.poke(viewer_host);
+    net.wake(viewer_host);
     net.run(net.now() + time);
   }
   void send(ConnectionId link, const std::string& target, const std::string& fields = "") {
@@ -190,10 +190,11 @@
     return testing::of_kind<Kind>(told);
   }
   bool said(const std::string& event) const {
-    return std::any_of(net.said.begin(), net.said.end(), [&](auto& s) { return s.second.event == event; });
+    return std::any_of(net.log_lines.begin(), net.log_lines.end(),
+                       [&](auto& s) { return s.second.event == event; });
   }
-  Net net;
-  Puppet box[2], list, viewer;
+  Network net;
+  ScriptedPeer box[2], list, viewer;
   std::map<std::string, std::string> has[2];
   std::vector<std::string> asked[2], heads[2];
   bool mute[2] = {false, false};
@@ -285,7 +286,7 @@
       "HTTP/1.1 200 OK\r\nContent-Encoding: x-own\r\nContent-Length: 1\r\n\r\nx"};
   for (const auto& text : bad) {
     told.clear();
-    net.said.clear();
+    net.log_lines.clear();
     has[0]["/a/t/index.m3u8"] = text;
     has[1]["/a/t/index.m3u8"] = master();
     EXPECT_EQ(get("/a/t/index.m3u8").status, 200) << "the next box has a good one: " << text.substr(0, 60);
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
-using testing::Puppet;
+using testing::Network;
 using testing::Script;
+using testing::ScriptedPeer;
 
 class Mishaps : public ::testing::Test {
  protected:
@@ -31,7 +31,7 @@
     terms.plans = {{"a", 4s}, {"paid", 4s}};
     terms.halls = {"h"};
     terms.site.cells = 2;
-    terms.list_port = Net::port(list_host);
+    terms.list_port = Network::port(list_host);
     terms.silence = 3s;
     terms.viewer_links = 8;
     auto script = std::make_unique<Script>(&told, [this](Duration now, const Event& event) {
@@ -43,7 +43,7 @@
     net.add(other_box, 1);
     net.add(list, 1);
     net.add(viewer, 0);
-    list.on_bytes = [this](Puppet&, ConnectionId link, std::vector<Action>& actions) {
+    list.on_bytes = [this](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
@@ -67,12 +67,12 @@
 
   ConnectionId dial() {
     const ConnectionId link = next_link++;
-    viewer.next.push_back(Dial{link, "", Net::port(front_host)});
+    viewer.next.push_back(Dial{link, "", Network::port(front_host)});
     act(viewer_host);
     return link;
   }
   void act(int host) {  // lets a puppet do what it has been told
-    net.poke(host);
+    net.wake(host);
     net.run(net.now() + 2ms);
   }
   void send(ConnectionId link, const std::string& text) {
@@ -82,7 +82,7 @@
   static std::string get(const std::string& path, const std::string& sid = "s1") {
     return "GET " + path + " HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"" + sid + "\"\r\n\r\n";
   }
-  void box_sends(Puppet& from, int host, ConnectionId link, const std::string& text) {
+  void box_sends(ScriptedPeer& from, int host, ConnectionId link, const std::string& text) {
     from.next.push_back(Send{link, text});
     act(host);
   }
@@ -96,7 +96,7 @@
     return testing::of_kind<Kind>(told);
   }
   // The connections that were set up with the box so far that carried a request.
-  static std::vector<ConnectionId> asked(Puppet& puppet) {
+  static std::vector<ConnectionId> asked(ScriptedPeer& puppet) {
     std::vector<ConnectionId> links;
     for (const auto link : puppet.accepted) {
       if (puppet.peers[link].got.starts_with("GET"))
@@ -105,8 +105,8 @@
     return links;
   }
 
-  Net net;
-  Puppet box, other_box, list, viewer;
+  Network net;
+  ScriptedPeer box, other_box, list, viewer;
   FrontTerms terms;
   std::unique_ptr<Manager> front;
   std::vector<Event> told;
@@ -453,7 +453,7 @@
   told.clear();
   got(link).clear();
   // The box closes it just as the next request is on its way.
-  box.on_bytes = [&](Puppet&, ConnectionId at, std::vector<Action>& actions) {
+  box.on_bytes = [&](ScriptedPeer&, ConnectionId at, std::vector<Action>& actions) {
     if (at == kept)
       actions.push_back(Close{at, false});
   };
@@ -516,7 +516,7 @@
   box_sends(box, box_host, box.accepted[0], "HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n");
   for (int i = 0; i < 64; ++i)
     box_sends(box, box_host, box.accepted[0], block);
-  EXPECT_LE(net.waiting_at(viewer_host), terms.most_unsent + 2 * block.size());
+  EXPECT_LE(net.unread_bytes(viewer_host), terms.most_unsent + 2 * block.size());
   EXPECT_EQ(told_of<TryEnded>().size(), 0u) << "the box is not blamed";
   net.run(net.now() + 20s);
   EXPECT_EQ(front->held().viewer_links, 0u) << "it may read nothing for so long only";
@@ -525,7 +525,7 @@
 TEST_F(Mishaps, WhatCameWhileItStoodStillIsReadBeforeItIsLate) {
   const auto link = dial();
   send(link, get("/a/t/r2/0"));
-  net.stand_still(front_host, net.now() + 3s);
+  net.suspend(front_host, net.now() + 3s);
   box_sends(box, box_host, box.accepted[0], object("in time"));
   net.run(net.now() + 3100ms);
   EXPECT_TRUE(got(link).ends_with("in time")) << got(link);
@@ -585,16 +585,16 @@
   send(playing, get("/a/t/r2/0", "p"));
   box_sends(box, box_host, box.accepted[0], "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
   send(waiting, get("/a/t/r2/0", "w"));
-  net.tell_to_stop(front_host);
+  net.request_shutdown(front_host);
   net.run(net.now() + 5ms);
   EXPECT_TRUE(viewer.peers[idle].half_closed);
-  EXPECT_FALSE(net.left(front_host));
+  EXPECT_FALSE(net.stopped(front_host));
   box_sends(box, box_host, box.accepted[0], "cd");
   EXPECT_TRUE(got(playing).ends_with("abcd"));
   box_sends(box, box_host, box.accepted[1], object("x"));
   EXPECT_TRUE(got(waiting).starts_with("HTTP/1.1 200")) << got(waiting);
   net.run(net.now() + 50ms);
-  EXPECT_TRUE(net.left(front_host));
+  EXPECT_TRUE(net.stopped(front_host));
 }
 
 TEST_F(Mishaps, ASetUpForAPlaybackThatIsGoneIsToldAsNotSent) {
@@ -617,7 +617,7 @@
 TEST_F(Mishaps, AStopRefusesNothingThatIsPaidAndOut) {
   const auto first = dial(), again = dial(), other = dial();
   send(first, get("/paid/t/r0/0", "p"));
-  net.tell_to_stop(front_host);
+  net.request_shutdown(front_host);
   net.run(net.now() + 5ms);
   send(again, get("/paid/t/r0/0", "p"));
   send(other, get("/a/t/r0/0", "q"));
@@ -644,9 +644,9 @@
   const auto one = dial(), two = dial();
   send(one, get("/paid/t/r0/0", "p"));
   send(two, get("/a/t/r0/0", "q"));
-  net.tell_to_stop(front_host);
+  net.request_shutdown(front_host);
   net.run(net.now() + 2s);
-  EXPECT_TRUE(net.left(front_host));
+  EXPECT_TRUE(net.stopped(front_host));
   EXPECT_TRUE(got(one).starts_with("HTTP/1.1 504")) << "its try is out: " << got(one);
   EXPECT_TRUE(got(two).starts_with("HTTP/1.1 503")) << got(two);
 }
@@ -677,15 +677,15 @@
 // Forty managers of one hall that start at one moment with the list they kept: how many of their polls fall
 // into the fullest fiftieth of a second, beside an even spread.
 TEST(InStep, AHallThatStartsTogetherPollsApart) {
-  Net net;
-  Puppet list;
+  Network net;
+  ScriptedPeer list;
   constexpr int fronts = 40;
   FrontTerms terms;
   terms.plans = {{"a", 4s}};
   terms.site.plans.resize(1);
   terms.site.rung_kb = {10};
   terms.halls = {"h"};
-  terms.list_port = Net::port(fronts);
+  terms.list_port = Network::port(fronts);
   std::vector<std::unique_ptr<Manager>> managers;
   for (std::uint64_t seed = 1; seed <= fronts; ++seed) {
     managers.push_back(std::make_unique<Manager>(terms, seed, testing::two_boxes, nullptr));
@@ -693,7 +693,7 @@
   }
   std::map<int, int> slices;
   int polls = 0;
-  list.on_bytes = [&](Puppet&, ConnectionId link, std::vector<Action>& actions) {
+  list.on_bytes = [&](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
     ++polls, ++slices[static_cast<int>(net.now() / 20ms)];
     actions.push_back(
         Send{link, http::head_text(200, {}, testing::two_boxes.size(), false) + testing::two_boxes});
--- a/tests/program/net.h
+++ b/tests/program/net.h
@@ -1,5 +1,5 @@
-// A network and a clock in memory: runs cores against each other, the same way each time. Every event is
-// delivered in order of time, then of sending; nothing waits for the machine.
+// A deterministic network and clock in memory, which runs cores against each other. Events are delivered by
+// time, then by order of sending; nothing depends on the machine's clock.
 #pragma once
 
 #include <deque>
@@ -16,60 +16,63 @@
 
 using namespace std::chrono_literals;
 
-class Net {
+// Drives any number of cores, one per host, as the runtime drives one.
+class Network {
  public:
   Duration latency = 200us;
-  std::vector<std::pair<int, LogLine>> said;  // by host
-  std::vector<std::string> kept;              // by all
-  std::map<int, std::vector<std::string>> kept_by;
-  std::function<bool(int from, int to)> lost;  // messages that never arrive, as in a partition
-  Duration keep_time = 2ms;
-  std::string keep_fails;  // the cause that each Persist meets from now on; empty: none
+  std::vector<std::pair<int, LogLine>> log_lines;  // with the host
+  std::vector<std::string> persisted;              // by all hosts
+  std::map<int, std::vector<std::string>> persisted_by;
+  std::function<bool(int from, int to)> drops;  // messages to drop, as in a partition
+  Duration persist_time = 2ms;
+  std::string persist_error;  // with which each Persist fails from now on; empty: it succeeds
 
-  // Doors get the ports HOST * 1000 + 1, and on.
-  int add(Core& core, int doors) {
+  // Adds a host that listens on `listeners` ports, from HOST * 1000 + 1 on. Returns its number.
+  int add(Core& core, int listeners) {
     const int host = static_cast<int>(hosts_.size());
     hosts_.push_back({&core, {}, {}, first_accepted, true, Duration(-1), 0});
-    for (int i = 0; i < doors; ++i)
-      hosts_[host].open.insert(i);
+    for (int i = 0; i < listeners; ++i)
+      hosts_[host].listening.insert(i);
     post(now_, host, TimerFired{});
     return host;
   }
-  static std::uint16_t port(int host, int door = 0) {
-    return static_cast<std::uint16_t>(host * 1000 + door + 1);
+  static std::uint16_t port(int host, int listener = 0) {
+    return static_cast<std::uint16_t>(host * 1000 + listener + 1);
   }
-  void replace(int host, Core& core, int doors = 1) {
+  // Starts another process on a host.
+  void replace(int host, Core& core, int listeners = 1) {
     hosts_[host].core = &core;
     hosts_[host].alive = true;
-    for (int door = 0; door < doors; ++door)
-      hosts_[host].open.insert(door);
+    for (int listener = 0; listener < listeners; ++listener)
+      hosts_[host].listening.insert(listener);
     post(now_, host, TimerFired{});
   }
-  // The process is gone at once: its peers' connections are reset, its doors refuse.
+  // Ends the process at once: its peers' connections are reset, and its ports refuse new ones.
   void kill(int host) {
     hosts_[host].alive = false;
-    hosts_[host].open.clear();
+    hosts_[host].listening.clear();
     std::vector<ConnectionId> all;
-    for (const auto& [link, wire] : hosts_[host].wires)
-      all.push_back(link);
-    for (const auto link : all)
-      cut(host, link, CloseReason::reset);
+    for (const auto& [connection, far_end] : hosts_[host].connections)
+      all.push_back(connection);
+    for (const auto connection : all)
+      cut(host, connection, CloseReason::reset);
   }
-  // Hears nothing until then; what came meanwhile waits.
-  void stand_still(int host, Duration until) { hosts_[host].still_until = until; }
-  void poke(int host) { post(now_, host, TimerFired{}); }
-  void tell_to_stop(int host) { post(now_, host, ShutdownRequested{}); }
-  std::size_t waiting_at(int host) const {  // bytes sent to it that it does not read
+  // Suspends the process until then; events wait meanwhile.
+  void suspend(int host, Duration until) { hosts_[host].suspended_until = until; }
+  void wake(int host) { post(now_, host, TimerFired{}); }
+  void request_shutdown(int host) { post(now_, host, ShutdownRequested{}); }
+  // Bytes sent to a host that it has not read while its reading is paused.
+  std::size_t unread_bytes(int host) const {
     std::size_t bytes = 0;
-    for (const auto& [link, wire] : hosts_[host].wires)
-      bytes += wire.waiting.size();
+    for (const auto& [connection, far_end] : hosts_[host].connections)
+      bytes += far_end.unread.size();
     return bytes;
   }
-  bool left(int host) const { return !hosts_[host].alive; }
+  bool stopped(int host) const { return !hosts_[host].alive; }
   Duration now() const { return now_; }
-  std::optional<std::string> stored(int host, const std::string& name) const {
-    const auto found = stored_.find({host, name});
-    return found == stored_.end() ? std::nullopt : std::optional(found->second);
+  std::optional<std::string> file(int host, const std::string& name) const {
+    const auto found = files_.find({host, name});
+    return found == files_.end() ? std::nullopt : std::optional(found->second);
   }
 
   void run(Duration until) {
@@ -80,10 +83,10 @@
       auto& host = hosts_[event.host];
       if (!host.alive)
         continue;
-      if (!event.bytes.empty() && std::holds_alternative<TimerFired>(event.what) && key.second != host.wake)
+      if (!event.bytes.empty() && std::holds_alternative<TimerFired>(event.what) && key.second != host.timer)
         continue;
-      if (now_ < host.still_until) {
-        events_.emplace(std::pair(host.still_until, key.second), std::move(event));
+      if (now_ < host.suspended_until) {
+        events_.emplace(std::pair(host.suspended_until, key.second), std::move(event));
         continue;
       }
       deliver(event);
@@ -92,21 +95,21 @@
   }
 
  private:
-  struct Wire {
+  struct FarEnd {
     int host = 0;
-    ConnectionId link = 0;
-    bool held = false;
-    std::string waiting = {};  // bytes that a held reader has not read
-    bool half_waiting = false;
+    ConnectionId connection = 0;
+    bool paused = false;
+    std::string unread = {};  // bytes received while reading is paused
+    bool half_close_unread = false;
   };
   struct Host {
     Core* core;
-    std::set<int> open;
-    std::map<ConnectionId, Wire> wires;  // own link: the far end
+    std::set<int> listening;
+    std::map<ConnectionId, FarEnd> connections;  // by own connection: the far end
     ConnectionId next;
     bool alive;
-    Duration still_until;
-    std::uint64_t wake = 0;
+    Duration suspended_until;
+    std::uint64_t timer = 0;
   };
   struct Event {
     int host = 0;
@@ -121,131 +124,132 @@
   void deliver(Event& event) {
     auto& host = hosts_[event.host];
     if (auto* received = std::get_if<Received>(&event.what)) {
-      const auto wire = host.wires.find(received->connection);
-      if (wire == host.wires.end())
+      const auto far_end = host.connections.find(received->connection);
+      if (far_end == host.connections.end())
         return;
-      if (wire->second.held) {
-        wire->second.waiting += event.bytes;
+      if (far_end->second.paused) {
+        far_end->second.unread += event.bytes;
         return;
       }
       received->bytes = event.bytes;
-      const auto& far = wire->second;
-      post(now_, far.host, Flushed{far.link});
+      const auto& far = far_end->second;
+      post(now_, far.host, Flushed{far.connection});
     } else if (const auto* half = std::get_if<HalfClosed>(&event.what)) {
-      const auto wire = host.wires.find(half->connection);
-      if (wire == host.wires.end())
+      const auto far_end = host.connections.find(half->connection);
+      if (far_end == host.connections.end())
         return;
-      if (wire->second.held) {
-        wire->second.half_waiting = true;
+      if (far_end->second.paused) {
+        far_end->second.half_close_unread = true;
         return;
       }
     } else if (const auto* ended = std::get_if<Disconnected>(&event.what)) {
-      if (!host.wires.erase(ended->connection))
+      if (!host.connections.erase(ended->connection))
         return;
     } else if (const auto* flushed = std::get_if<Flushed>(&event.what)) {
-      if (!host.wires.contains(flushed->connection))
+      if (!host.connections.contains(flushed->connection))
         return;
     }
     std::vector<Action> actions;
     host.core->handle(now_, event.what, actions);
-    for (auto& act : actions)
-      perform(event.host, act);
+    for (auto& action : actions)
+      perform(event.host, action);
   }
 
-  void perform(int at, Action& act) {
+  void perform(int at, Action& action) {
     auto& host = hosts_[at];
     std::visit(
         Overloaded{
             [&](Dial& a) {
-              const int far = (a.port - 1) / 1000, door = (a.port - 1) % 1000;
-              if (far >= static_cast<int>(hosts_.size()) || !hosts_[far].open.contains(door)) {
-                host.wires[a.connection] = {at, 0};
+              const int far = (a.port - 1) / 1000, listener = (a.port - 1) % 1000;
+              if (far >= static_cast<int>(hosts_.size()) || !hosts_[far].listening.contains(listener)) {
+                host.connections[a.connection] = {at, 0};
                 return post(now_ + latency, at, Disconnected{a.connection, CloseReason::refused});
               }
               const ConnectionId theirs = hosts_[far].next++;
-              host.wires[a.connection] = {far, theirs};
-              hosts_[far].wires[theirs] = {at, a.connection};
-              post(now_ + latency, far, Accepted{theirs, door});
+              host.connections[a.connection] = {far, theirs};
+              hosts_[far].connections[theirs] = {at, a.connection};
+              post(now_ + latency, far, Accepted{theirs, listener});
               post(now_ + 2 * latency, at, Connected{a.connection});
             },
             [&](Send& a) {
-              const auto wire = host.wires.find(a.connection);
-              if (wire == host.wires.end() || (lost && lost(at, wire->second.host)))
+              const auto far_end = host.connections.find(a.connection);
+              if (far_end == host.connections.end() || (drops && drops(at, far_end->second.host)))
                 return;
-              post(now_ + latency, wire->second.host, Received{wire->second.link, {}}, std::move(a.bytes));
+              post(now_ + latency, far_end->second.host, Received{far_end->second.connection, {}},
+                   std::move(a.bytes));
             },
             [&](Close& a) {
-              const auto wire = host.wires.find(a.connection);
-              if (wire == host.wires.end())
+              const auto far_end = host.connections.find(a.connection);
+              if (far_end == host.connections.end())
                 return;
-              const auto far = wire->second;
-              host.wires.erase(wire);
-              if (far.link == 0)
+              const auto far = far_end->second;
+              host.connections.erase(far_end);
+              if (far.connection == 0)
                 return;
               if (a.after_sending)
-                post(now_ + latency, far.host, HalfClosed{far.link});
+                post(now_ + latency, far.host, HalfClosed{far.connection});
               else
-                post(now_ + latency, far.host, Disconnected{far.link, CloseReason::reset});
+                post(now_ + latency, far.host, Disconnected{far.connection, CloseReason::reset});
             },
             [&](PauseReading& a) {
-              if (const auto wire = host.wires.find(a.connection); wire != host.wires.end())
-                wire->second.held = true;
+              if (const auto far_end = host.connections.find(a.connection); far_end != host.connections.end())
+                far_end->second.paused = true;
             },
             [&](ResumeReading& a) {
-              const auto found = host.wires.find(a.connection);
-              if (found == host.wires.end() || !found->second.held)
+              const auto found = host.connections.find(a.connection);
+              if (found == host.connections.end() || !found->second.paused)
                 return;
-              auto& wire = found->second;
-              wire.held = false;
-              if (!wire.waiting.empty())
-                post(now_, at, Received{a.connection, {}}, std::exchange(wire.waiting, {}));
-              if (std::exchange(wire.half_waiting, false))
+              auto& far_end = found->second;
+              far_end.paused = false;
+              if (!far_end.unread.empty())
+                post(now_, at, Received{a.connection, {}}, std::exchange(far_end.unread, {}));
+              if (std::exchange(far_end.half_close_unread, false))
                 post(now_, at, HalfClosed{a.connection});
             },
             [&](StartTimer& a) {  // replaces an earlier one
-              host.wake = sequence_;
+              host.timer = sequence_;
               post(std::max(now_, a.at), at, TimerFired{}, "wake");
             },
-            [&](Listen& a) { host.open.insert(a.listener); },
-            [&](StopListening& a) { host.open.erase(a.listener); },
+            [&](Listen& a) { host.listening.insert(a.listener); },
+            [&](StopListening& a) { host.listening.erase(a.listener); },
             [&](WriteFile& a) {
-              stored_[{at, a.name}] = a.bytes;
+              files_[{at, a.name}] = a.bytes;
             },
             [&](Persist& a) {
-              kept.push_back(a.bytes);
-              if (keep_fails.empty())
-                kept_by[at].push_back(a.bytes);
-              const auto failed = keep_fails;
-              post(now_ + keep_time, at, Persisted{a.ticket, failed});
+              persisted.push_back(a.bytes);
+              if (persist_error.empty())
+                persisted_by[at].push_back(a.bytes);
+              const auto error = persist_error;
+              post(now_ + persist_time, at, Persisted{a.ticket, error});
             },
-            [&](LogLine& a) { said.emplace_back(at, a); },
+            [&](LogLine& a) { log_lines.emplace_back(at, a); },
             [&](DrainInput&) {
               post(now_, at, InputDrained{});
-            },  // after what is under way to it at this time
+            },  // after the events already due at this time
             [&](StopLoop&) { kill(at); },
         },
-        act);
+        action);
   }
 
-  void cut(int host, ConnectionId link, CloseReason how) {
-    const auto wire = hosts_[host].wires.find(link);
-    if (wire == hosts_[host].wires.end())
+  void cut(int host, ConnectionId connection, CloseReason reason) {
+    const auto far_end = hosts_[host].connections.find(connection);
+    if (far_end == hosts_[host].connections.end())
       return;
-    const auto far = wire->second;
-    hosts_[host].wires.erase(wire);
-    if (far.link != 0)
-      post(now_ + latency, far.host, Disconnected{far.link, how});
+    const auto far = far_end->second;
+    hosts_[host].connections.erase(far_end);
+    if (far.connection != 0)
+      post(now_ + latency, far.host, Disconnected{far.connection, reason});
   }
 
   std::deque<Host> hosts_;
   std::multimap<std::pair<Duration, std::uint64_t>, Event> events_;
-  std::map<std::pair<int, std::string>, std::string> stored_;
+  std::map<std::pair<int, std::string>, std::string> files_;
   std::uint64_t sequence_ = 0;
   Duration now_{0};
 };
 
-// A peer that a test moves by hand: it keeps what it gets and does what it is told.
-class Puppet : public Core {
+// A peer that a test controls: it records what it receives and performs the actions it is given.
+class ScriptedPeer : public Core {
  public:
   struct Peer {
     std::string got;
@@ -253,10 +257,10 @@
   };
   std::map<ConnectionId, Peer> peers;
   std::vector<ConnectionId> accepted;  // in order
-  std::vector<Action> next;            // done at its next happening
-  std::function<void(Puppet&, ConnectionId, std::vector<Action>&)> on_bytes;
+  std::vector<Action> next;            // performed at its next event
+  std::function<void(ScriptedPeer&, ConnectionId, std::vector<Action>&)> on_bytes;
 
-  void handle(Duration, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration, const IoEvent& event, std::vector<Action>& actions) override {
     std::visit(Overloaded{
                    [&](const Accepted& a) { peers[a.connection], accepted.push_back(a.connection); },
                    [&](const Connected& c) { peers[c.connection].connected = true; },
@@ -269,9 +273,9 @@
                    [&](const Disconnected& e) { peers[e.connection].ended = true; },
                    [&](const auto&) {},
                },
-               what);
-    for (auto& act : next)
-      actions.push_back(std::move(act));
+               event);
+    for (auto& action : next)
+      actions.push_back(std::move(action));
     next.clear();
   }
 };
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
+using testing::Network;
 using testing::RulesModel;
 using StepKind = RulesModel::StepKind;
 
@@ -45,13 +45,13 @@
       box_cores_[b] = std::make_unique<Box>(*this, b);
       net_.add(*box_cores_[b], 1);
     }
-    list_.on_bytes = [this](testing::Puppet&, ConnectionId link, std::vector<Action>& actions) {
+    list_.on_bytes = [this](testing::ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       const auto text = list_text();
       actions.push_back(Send{link, http::head_text(200, {}, text.size(), false) + text});
       actions.push_back(Close{link, true});
     };
     net_.add(list_, 1);
-    viewer_.on_bytes = [this](testing::Puppet& puppet, ConnectionId link, std::vector<Action>&) {
+    viewer_.on_bytes = [this](testing::ScriptedPeer& puppet, ConnectionId link, std::vector<Action>&) {
       heard(puppet, link);
     };
     net_.add(viewer_, 0);
@@ -175,10 +175,10 @@
     terms.plans = {{"free", abandon}, {"paid", abandon}};
     terms.halls = {"h"};
     terms.copies = 2;
-    terms.list_port = Net::port(list_host);
+    terms.list_port = Network::port(list_host);
     terms.silence = 1s;
     terms.stop_limit = 800ms;
-    const auto kept = again ? net_.stored(front, "boxes.json").value_or("") : std::string();
+    const auto kept = again ? net_.file(front, "boxes.json").value_or("") : std::string();
     return std::make_unique<manager::Manager>(terms, static_cast<std::uint64_t>(front * 100 + lives_[front]),
                                               kept, nullptr);
   }
@@ -199,7 +199,7 @@
     std::string text = "{\"revision\":" + std::to_string(revision_) + ",\"clock_ms\":100000,\"boxes\":[";
     for (int b = 0; b < boxes; ++b)
       text += std::string(b ? "," : "") + "{\"name\":\"b" + std::to_string(b) +
-              "\",\"address\":\"127.0.0.1\",\"port\":" + std::to_string(Net::port(fronts + b)) +
+              "\",\"address\":\"127.0.0.1\",\"port\":" + std::to_string(Network::port(fronts + b)) +
               ",\"state\":\"" + states_[b] + "\",\"kind\":0,\"cell\":" + std::to_string(b % 2) +
               ",\"hall\":\"h\",\"weight\":1}";
     return text + "]}";
@@ -212,8 +212,8 @@
   }
   // A manager says which list it has taken: by its revision the model knows what was in it.
   void told() {
-    for (; seen_ < net_.said.size(); ++seen_) {
-      const auto& [host, say] = net_.said[seen_];
+    for (; seen_ < net_.log_lines.size(); ++seen_) {
+      const auto& [host, say] = net_.log_lines[seen_];
       if (say.event != "list_taken")
         continue;
       for (const auto& [name, value] : say.fields) {
@@ -235,14 +235,14 @@
     link_of_[link] = playback;
     front_of_[playback] = front;
     const std::string plan = playback % 2 ? "paid" : "free";
-    viewer_.next.push_back(Dial{link, "", Net::port(front)});
+    viewer_.next.push_back(Dial{link, "", Network::port(front)});
     viewer_.next.push_back(Send{link, "GET /" + plan + "/t" + std::to_string(playback % 5) +
                                           "/r0/0 HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"p" +
                                           std::to_string(playback) + "\"\r\n\r\n"});
-    net_.poke(viewer_host);
+    net_.wake(viewer_host);
     pending_[playback] = net_.now() + 5 * latency_ + 20ms;
   }
-  void heard(testing::Puppet& puppet, ConnectionId link) {
+  void heard(testing::ScriptedPeer& puppet, ConnectionId link) {
     const auto found = link_of_.find(link);
     if (found == link_of_.end() || puppet.peers[link].got.find("\r\n\r\n") == std::string::npos)
       return;
@@ -302,7 +302,7 @@
     if (!running_[front] || stopping_[front])
       return;
     if (number(0, 1)) {
-      net_.tell_to_stop(front);
+      net_.request_shutdown(front);
       stopping_[front] = true;
       left_by_[front] = net_.now() + 900ms;
       return;
@@ -334,9 +334,9 @@
   // An orderly stop has its limit, and by then everybody has an answer.
   std::string stops() {
     for (int front = 0; front < fronts; ++front) {
-      if (!stopping_[front] || (!net_.left(front) && net_.now() < left_by_[front]))
+      if (!stopping_[front] || (!net_.stopped(front) && net_.now() < left_by_[front]))
         continue;
-      if (!net_.left(front))
+      if (!net_.stopped(front))
         return "front " + std::to_string(front) + " did not stop in time";
       // Answers are on their way for one latency more.
       if (net_.now() < left_by_[front] + 150ms)
@@ -354,10 +354,10 @@
   std::mt19937 chance_;
   Duration latency_;
   RulesModel model_;
-  Net net_;
+  Network net_;
   std::vector<std::unique_ptr<manager::Manager>> cores_;
   std::vector<std::unique_ptr<Box>> box_cores_;
-  testing::Puppet list_, viewer_;
+  testing::ScriptedPeer list_, viewer_;
   std::vector<int> lives_;
   std::vector<bool> running_;
   std::map<int, bool> stopping_;
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 #include "manager/manager.h"
 #include "net.h"
 #include "standins/issuer.h"
@@ -13,8 +13,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::Net;
-using testing::Puppet;
+using testing::Network;
+using testing::ScriptedPeer;
 
 class Places : public Decider {
  public:
@@ -44,7 +44,7 @@
     net.add(viewer, 0);
     serves(list, boxes_json);
     serves(keys, issuer.key_set());
-    box.on_bytes = [this](Puppet& own, ConnectionId link, std::vector<Action>& actions) {
+    box.on_bytes = [this](ScriptedPeer& own, ConnectionId link, std::vector<Action>& actions) {
       auto& got = own.peers[link].got;
       for (auto end = got.find("\r\n\r\n"); end != std::string::npos; end = got.find("\r\n\r\n")) {
         const auto head = got.substr(0, end);
@@ -57,8 +57,8 @@
     };
     net.run(500ms);
   }
-  static void serves(Puppet& puppet, std::string body) {
-    puppet.on_bytes = [body](Puppet&, ConnectionId link, std::vector<Action>& actions) {
+  static void serves(ScriptedPeer& puppet, std::string body) {
+    puppet.on_bytes = [body](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       actions.push_back(Send{link, http::head_text(200, {}, body.size(), false) + body});
       actions.push_back(Close{link, true});
     };
@@ -73,7 +73,7 @@
     terms.plans = {{"a", 4s}};
     terms.halls = {"h"};
     terms.site.cells = 1;
-    terms.list_port = Net::port(list_host);
+    terms.list_port = Network::port(list_host);
     terms.silence = 3s;
     terms.wall_at_zero = wall_at_zero;
     terms.entitlement.on = true;
@@ -81,19 +81,19 @@
     terms.entitlement.gate.skew = 1s;
     terms.entitlement.gate.grace = 2s;
     terms.entitlement.gate.fetch_least = 1s;
-    terms.entitlement.keys_port = Net::port(issuer_host);
+    terms.entitlement.keys_port = Network::port(issuer_host);
     terms.entitlement.ledger.resume = 5s;
     terms.entitlement.restart = restart;
     terms.entitlement.kept = std::move(kept);
     for (int p = 0; p < managers; ++p)
-      terms.peers.all.push_back({"m" + std::to_string(p), "", Net::port(p, 2)});
+      terms.peers.all.push_back({"m" + std::to_string(p), "", Network::port(p, 2)});
     terms.peers.own = static_cast<peers::PeerIndex>(m);
     terms.peers.key = m == wrong_key ? "another" : "hall";
     return std::make_unique<Manager>(terms, 1, "", std::make_unique<Places>());
   }
   void restart(int m) {
     std::vector<entitlement::Record> records;
-    for (const auto& bytes : net.kept_by[m]) {
+    for (const auto& bytes : net.persisted_by[m]) {
       for (std::size_t at = 0; at + 4 <= bytes.size();) {
         std::size_t size = 0;
         for (int i = 0; i < 4; ++i)
@@ -120,13 +120,13 @@
   }
   ConnectionId ask(int m, const std::string& sid, const std::string& with, int object = 0) {
     const ConnectionId link = next_link++;
-    viewer.next.push_back(Dial{link, "", Net::port(m)});
-    net.poke(viewer_host);
+    viewer.next.push_back(Dial{link, "", Network::port(m)});
+    net.wake(viewer_host);
     net.run(net.now() + 2ms);
     viewer.next.push_back(Send{
         link, "GET /a/t/r0/" + std::to_string(object) + " HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"" + sid +
                   "\"\r\n" + (with.empty() ? "" : "Authorization: Bearer " + with + "\r\n") + "\r\n"});
-    net.poke(viewer_host);
+    net.wake(viewer_host);
     return link;
   }
   int status(ConnectionId link, Duration within = 300ms) {
@@ -139,8 +139,8 @@
   }
   std::size_t in_book() { return fronts[owner()]->seats()->sums().in_book; }
 
-  Net net;
-  Puppet box, list, keys, viewer;
+  Network net;
+  ScriptedPeer box, list, keys, viewer;
   std::unique_ptr<Manager> fronts[managers];
   standins::Issuer issuer{"issuer", "hall"};
   Duration wall_at_zero = 1'000'000s;
@@ -229,7 +229,7 @@
 TEST_F(Hall, CutOffWhatPlaysGoesOnAndNothingNewIsCounted) {
   const int cut = (owner() + 1) % managers, other = (owner() + 2) % managers;
   EXPECT_EQ(get(cut, "s1", token("ann", 5s, 1)), 200);
-  net.lost = [&](int from, int to) {
+  net.drops = [&](int from, int to) {
     return (from == cut && to < managers) || (to == cut && from < managers);
   };
   EXPECT_EQ(get(cut, "s1", "", 1), 200) << "what is held plays";
@@ -245,7 +245,7 @@
   EXPECT_EQ(get(cut, "s1", "", 9), 401) << "it ended with its token";
   net.run(net.now() + 2s);
   EXPECT_EQ(get(other, "s3", token("cy", 60s, 1)), 200);
-  net.lost = {};
+  net.drops = {};
   net.run(net.now() + 2s);
   EXPECT_EQ(get(cut, "s4", token("di", 60s, 1)), 503);
 }
@@ -295,16 +295,16 @@
 TEST_F(Hall, HeardOneWayOnlyNothingIsGivenOutTwice) {
   const int cut = (owner() + 1) % managers, other = (owner() + 2) % managers;
   // The owner hears it, and it hears nothing: what was given for it is given back once it can say so.
-  net.lost = [&](int from, int to) { return from == owner() && to == cut; };
+  net.drops = [&](int from, int to) { return from == owner() && to == cut; };
   EXPECT_EQ(status(ask(cut, "s1", token("ann", 60s, 1)), 1500ms), 503);
-  net.lost = {};
+  net.drops = {};
   net.run(net.now() + 6s);
   EXPECT_EQ(in_book(), 0u);
   EXPECT_EQ(get(other, "s2", token("bob", 60s, 1)), 200);
   // And the other way round.
-  net.lost = [&](int from, int to) { return from == cut && to == owner(); };
+  net.drops = [&](int from, int to) { return from == cut && to == owner(); };
   EXPECT_EQ(status(ask(cut, "s3", token("cy", 60s, 1)), 1500ms), 503);
-  net.lost = {};
+  net.drops = {};
   net.run(net.now() + 8s);
   EXPECT_EQ(in_book(), 0u);
 }
@@ -331,16 +331,16 @@
       restart(static_cast<int>(chance() % managers));
     if (chance() % 200 == 0) {
       const int cut = static_cast<int>(chance() % managers);
-      net.lost = [cut](int from, int to) {
+      net.drops = [cut](int from, int to) {
         return (from == cut) != (to == cut) && from < managers && to < managers;
       };
     } else if (chance() % 30 == 0) {
-      net.lost = {};
+      net.drops = {};
     }
     net.run(net.now() + Duration(static_cast<int>(chance() % 60'000)));
     ASSERT_LE(in_book(), static_cast<std::size_t>(seats)) << "after " << i;
   }
-  net.lost = {};
+  net.drops = {};
   net.run(net.now() + 15s);
   for (const auto link : asked) {
     const int answered = status(link, Duration(0));
@@ -358,7 +358,7 @@
 }
 
 TEST_F(Hall, ADiskThatRefusesGivesNoSeat) {
-  net.keep_fails = "full";
+  net.persist_error = "full";
   EXPECT_EQ(status(ask(0, "s1", token("ann")), 1500ms), 503);
   EXPECT_EQ(set_ups, 0);
 }
@@ -378,7 +378,7 @@
   EXPECT_EQ(status(ask(wrong_key, "s1", token("ann")), 1500ms), 503)
       << "its words are signed with another key";
   EXPECT_EQ(in_book(), 0u);
-  EXPECT_TRUE(std::any_of(net.said.begin(), net.said.end(), [&](auto& s) {
+  EXPECT_TRUE(std::any_of(net.log_lines.begin(), net.log_lines.end(), [&](auto& s) {
     return s.first == owner() && s.second.event == "peer_refused" &&
            std::get<std::string>(s.second.fields[0].second).find("not signed with the hall's key") !=
                std::string::npos;
@@ -387,11 +387,11 @@
   for (const auto& bytes : {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(4, '\xff'),
                             std::string(4, '\0') + "x", std::string("\0\0\0\4abcd", 8)}) {
     const ConnectionId link = next_link++;
-    viewer.next.push_back(Dial{link, "", Net::port(owner(), 2)});
-    net.poke(viewer_host);
+    viewer.next.push_back(Dial{link, "", Network::port(owner(), 2)});
+    net.wake(viewer_host);
     net.run(net.now() + 5ms);
     viewer.next.push_back(Send{link, bytes});
-    net.poke(viewer_host);
+    net.wake(viewer_host);
     net.run(net.now() + 50ms);
     EXPECT_TRUE(viewer.peers[link].ended);
   }
