--- a/src/io/io.h
+++ b/src/io/io.h
@@ -18,8 +18,9 @@
 using ConnectionId = std::uint32_t;
 constexpr ConnectionId first_accepted = 1u << 31;
 
-// Why a connection was lost. `local_failure`: the dial failed on this machine, for lack of a descriptor or
-// a port, so it says nothing about the peer, which received nothing.
+// Why a connection ended. `finished`: both sides closed it in order; the runtime delivers HalfClosed instead,
+// and cores use this value for what follows. `local_failure`: the dial failed on this machine, for lack of a
+// descriptor or a port, so it says nothing about the peer, which received nothing.
 enum class CloseReason { finished, refused, reset, local_failure };
 
 // The driver accepted a connection. `listener` is an index in the order of the listen addresses.
--- a/src/platform/wire/server.h
+++ b/src/platform/wire/server.h
@@ -55,7 +55,7 @@
 struct SetupRequest {
   CallId call = 0;
   std::string_view plan, title, description;
-  std::int64_t wait_ms = 0;
+  std::int64_t wait_ms = 0;  // until the manager gives up on the try
   int rung = 0;
 };
 // Each of these formats one message.
