--- a/bench/seats.cpp
+++ b/bench/seats.cpp
@@ -56,24 +56,24 @@
 }
 
 // So many managers' ledgers under the same load as one central count; messages and disks take their time.
-void growth(Peer managers) {
+void growth(PeerIndex managers) {
   constexpr int teams = 20, seats = 50;
   constexpr Span message = 500us, disk = 2ms, length = 60s;
   struct Due {
     Span at;
     std::uint64_t order;
-    Peer to;
+    PeerIndex to;
     LedgerEvent event;
     bool operator>(const Due& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
   };
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
   std::vector<Ledger> ledgers;
-  LedgerTerms terms;
-  for (Peer p = 0; p < managers; ++p)
-    terms.peers.push_back("manager-" + std::to_string(p));
-  for (Peer p = 0; p < managers; ++p) {
-    terms.own = p;
-    ledgers.emplace_back(terms, 1);
+  LedgerSettings settings;
+  for (PeerIndex p = 0; p < managers; ++p)
+    settings.peers.push_back("manager-" + std::to_string(p));
+  for (PeerIndex p = 0; p < managers; ++p) {
+    settings.self = p;
+    ledgers.emplace_back(settings, 1);
   }
   std::minstd_rand chance(7);
   std::uint64_t order = 0, said = 0, kept = 0, admitted = 0, turned = 0, central = 0;
@@ -84,9 +84,9 @@
   for (int i = 0; i < 3600; ++i) {
     const Span at = 1s + length * i / 3600, watch = 15s + Span(chance() % 10'000'000);
     const SeatKey key{"team-" + std::to_string(chance() % teams), "viewer-" + std::to_string(i)};
-    const Peer to = static_cast<Peer>(chance() % managers);
-    due.push({at, order++, to, Claimed{key, seats, 1s, at + 300s}});
-    due.push({at + watch, order++, to, Left{key}});
+    const PeerIndex to = static_cast<PeerIndex>(chance() % managers);
+    due.push({at, order++, to, SeatClaimed{key, seats, 1s, at + 300s}});
+    due.push({at + watch, order++, to, PlaybackEnded{key}});
     asked[key] = at;
     auto& held = ideal[static_cast<std::size_t>(std::stoi(key.team.substr(5)))];
     while (!held.empty() && *held.begin() <= at)
@@ -95,7 +95,7 @@
       held.insert(at + watch), ++central;
   }
   for (Span at = 0s; at < length + 30s; at += 1s) {
-    for (Peer p = 0; p < managers; ++p)
+    for (PeerIndex p = 0; p < managers; ++p)
       due.push({at, order++, p, Ticked{}});
   }
   const auto from = Clock::now();
@@ -105,16 +105,16 @@
     due.pop();
     ++events;
     for (const auto& act : ledgers[next.to].handle(next.at, next.event)) {
-      if (const auto* tell = std::get_if<Tell>(&act)) {
+      if (const auto* send = std::get_if<SendToPeer>(&act)) {
         ++said;
-        due.push({next.at + message, order++, tell->to, Heard{next.to, tell->message}});
-      } else if (const auto* keep = std::get_if<KeepRecord>(&act)) {
+        due.push({next.at + message, order++, send->to, MessageReceived{next.to, send->message}});
+      } else if (const auto* keep = std::get_if<PersistRecord>(&act)) {
         ++kept;
-        due.push({next.at + disk, order++, next.to, Kept{keep->ticket}});
+        due.push({next.at + disk, order++, next.to, RecordsPersisted{keep->ticket}});
       } else if (const auto* admit = std::get_if<Admit>(&act)) {
         ++admitted;
         waits.push_back(std::chrono::duration<double, std::milli>(next.at - asked[admit->key]).count());
-      } else if (std::holds_alternative<TurnAway>(act)) {
+      } else if (std::holds_alternative<RejectClaim>(act)) {
         ++turned;
       }
     }
@@ -131,34 +131,34 @@
 }
 
 void state() {
-  LedgerTerms terms;
-  terms.peers = {"m"};
+  LedgerSettings settings;
+  settings.peers = {"m"};
   const auto used = [] {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks + info.hblkhd);
   };
   const double before = used();
-  Ledger ledger(terms, 1);
+  Ledger ledger(settings, 1);
   constexpr int seats = 100'000;
   std::uint64_t ticket = 0;
   for (int i = 0; i < seats; ++i) {
     for (int round = 0; round < 2; ++round) {
       const auto actions =
-          round == 0 ? ledger.handle(1s, Claimed{{"team-" + std::to_string(i % 1000),
-                                                  "viewer-" + std::to_string(i) + "/0/title/session"},
-                                                 seats,
-                                                 1s,
-                                                 300s})
-                     : ledger.handle(1s, Kept{ticket});
+          round == 0 ? ledger.handle(1s, SeatClaimed{{"team-" + std::to_string(i % 1000),
+                                                      "viewer-" + std::to_string(i) + "/0/title/session"},
+                                                     seats,
+                                                     1s,
+                                                     300s})
+                     : ledger.handle(1s, RecordsPersisted{ticket});
       for (const auto& act : actions) {
-        if (const auto* keep = std::get_if<KeepRecord>(&act))
+        if (const auto* keep = std::get_if<PersistRecord>(&act))
           ticket = keep->ticket;
       }
     }
-    ledger.handle(1s, Kept{ticket});
+    ledger.handle(1s, RecordsPersisted{ticket});
   }
   std::printf("%zu seats held and in the book of 1,000 teams: %.0f bytes each, both sides together\n",
-              ledger.sums().in_book, (used() - before) / seats);
+              ledger.counts().granted, (used() - before) / seats);
 }
 
 }  // namespace
@@ -166,7 +166,7 @@
 void seats_table() {
   judging();
   std::printf("\n3,600 playbacks in 60 s, 20 teams of 50 seats; a message takes 0.5 ms, a disk 2 ms\n");
-  for (const Peer managers : {1, 3, 30, 300})
+  for (const PeerIndex managers : {1, 3, 30, 300})
     growth(managers);
   state();
 }
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -242,12 +242,12 @@
     const auto at = std::chrono::duration_cast<Span>(stopped.time_since_epoch()) - skew - 1s;
     for (int i = 0; i < day_.managers; ++i) {
       for (const auto& odd :
-           entitlement::odd_seats(entitlement::SeatLog::look(folder_ + "/" + name(i)), at)) {
+           entitlement::find_anomalies(entitlement::SeatLog::look(folder_ + "/" + name(i)), at)) {
         trace::Passed leaked;
         leaked.set_at_us(runtime::Loop::machine_clock_us());
         leaked.set_kind(trace::Passed::LEAKED);
         leaked.set_manager(name(i));
-        leaked.set_state(odd.record.key.team + " " + odd.record.key.who + ": " + odd.why);
+        leaked.set_state(odd.record.key.team + " " + odd.record.key.viewer_session + ": " + odd.reason);
         trace_.put(leaked);
       }
     }
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -297,7 +297,7 @@
       seats = std::make_unique<entitlement::SeatLog>(deployment.keep_in);
       // What no longer matters is left out of the log here, once for each start.
       auto terms = front.entitlement.ledger;
-      terms.own = front.peers.own;
+      terms.self = front.peers.own;
       for (const auto& peer : front.peers.all)
         terms.peers.push_back(peer.name);
       if (terms.peers.empty())
@@ -355,23 +355,23 @@
     const auto records = entitlement::SeatLog::look(words.folder);
     const auto now = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
     // Owners wait the clocks' skew before they free a seat; ten seconds are more than any hall needs.
-    const auto odd = entitlement::odd_seats(records, now - std::chrono::seconds(10));
+    const auto odd = entitlement::find_anomalies(records, now - std::chrono::seconds(10));
     const auto tell_seat = [&](const entitlement::Record& record, const std::string& why) {
       std::printf("given  %-20s %-40s manager %u, until %.0f s from now%s\n", record.key.team.c_str(),
-                  record.key.who.c_str(), record.holder,
+                  record.key.viewer_session.c_str(), record.holder,
                   std::chrono::duration<double>(record.until - now).count(), why.c_str());
     };
-    const auto found = entitlement::replayed(records);
+    const auto found = entitlement::replay_log(records);
     if (!words.audit) {
-      for (const auto& [key, record] : found.given)
+      for (const auto& [key, record] : found.grants)
         tell_seat(record, "");
-      for (const auto& [key, record] : found.asked)
-        std::printf("asked  %-20s %-40s by this manager\n", key.team.c_str(), key.who.c_str());
+      for (const auto& [key, record] : found.claims)
+        std::printf("asked  %-20s %-40s by this manager\n", key.team.c_str(), key.viewer_session.c_str());
     }
     for (const auto& [record, why] : odd)
       tell_seat(record, ": odd: " + why);
-    std::printf("%zu seats given, %zu odd; %zu asked for by this manager; %zu records\n", found.given.size(),
-                odd.size(), found.asked.size(), records.size());
+    std::printf("%zu seats given, %zu odd; %zu asked for by this manager; %zu records\n", found.grants.size(),
+                odd.size(), found.claims.size(), records.size());
     if (words.audit && !odd.empty())
       return 1;
     return 0;
--- a/src/entitlement/ledger/ledger.cpp
+++ b/src/entitlement/ledger/ledger.cpp
@@ -9,488 +9,522 @@
 
 namespace {
 
-class Print {
+// Joins the parts of a state with separators, so that different states give different texts.
+class FingerprintBuilder {
  public:
-  Print& operator<<(const std::string& text) {
-    made += text;
-    made += '|';
+  FingerprintBuilder& operator<<(const std::string& text) {
+    joined += text;
+    joined += '|';
     return *this;
   }
-  Print& operator<<(std::int64_t number) { return *this << std::to_string(number); }
-  std::string made;
+  FingerprintBuilder& operator<<(std::int64_t number) { return *this << std::to_string(number); }
+  std::string joined;
 };
 
 }  // namespace
 
-Peer owner_of(const LedgerTerms& terms, std::string_view team) {
-  Peer best = 0;
-  std::uint64_t most = 0;
-  for (Peer peer = 0; peer < terms.peers.size(); ++peer) {
-    const auto& name = terms.peers[peer];
+PeerIndex owner_of(const LedgerSettings& settings, std::string_view team) {
+  PeerIndex owner = 0;
+  std::uint64_t highest = 0;
+  for (PeerIndex peer = 0; peer < settings.peers.size(); ++peer) {
+    const auto& name = settings.peers[peer];
     const auto weight = XXH64(team.data(), team.size(), XXH64(name.data(), name.size(), 0));
-    if (peer == 0 || weight > most)
-      best = peer, most = weight;
+    if (peer == 0 || weight > highest)
+      owner = peer, highest = weight;
   }
-  return best;
+  return owner;
 }
 
-Replayed replayed(const std::vector<Record>& records) {
-  Replayed made;
+ReplayedLog replay_log(const std::vector<Record>& records) {
+  ReplayedLog replayed;
   for (const auto& record : records) {
-    switch (record.what) {
-      case Record::What::asked:
-        made.asked[record.key] = record;
+    switch (record.kind) {
+      case Record::Kind::claimed:
+        replayed.claims[record.key] = record;
         break;
-      case Record::What::gave_back:
-        if (const auto found = made.asked.find(record.key);
-            found != made.asked.end() && found->second.number <= record.number)
-          made.asked.erase(found);
+      case Record::Kind::released:
+        if (const auto found = replayed.claims.find(record.key);
+            found != replayed.claims.end() && found->second.number <= record.number)
+          replayed.claims.erase(found);
         break;
-      case Record::What::given:
-        made.given[record.key] = record;
+      case Record::Kind::granted:
+        replayed.grants[record.key] = record;
         break;
-      case Record::What::freed:
-        if (const auto found = made.given.find(record.key); found != made.given.end() &&
-                                                            found->second.holder == record.holder &&
-                                                            found->second.number == record.number)
-          made.given.erase(found);
-        made.freed.push_back(record);
+      case Record::Kind::freed:
+        if (const auto found = replayed.grants.find(record.key); found != replayed.grants.end() &&
+                                                                 found->second.holder == record.holder &&
+                                                                 found->second.number == record.number)
+          replayed.grants.erase(found);
+        replayed.freed.push_back(record);
         break;
     }
   }
-  return made;
+  return replayed;
 }
 
-std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Span now) {
-  std::vector<OddSeat> odd;
-  std::map<std::pair<Peer, ClaimNumber>, int> claims;
-  for (const auto& [key, record] : replayed(records).given) {
+std::vector<SeatAnomaly> find_anomalies(const std::vector<Record>& records, Span now) {
+  std::vector<SeatAnomaly> anomalies;
+  std::map<std::pair<PeerIndex, ClaimNumber>, int> claims;
+  for (const auto& [key, record] : replay_log(records).grants) {
     if (record.until < now)
-      odd.push_back({record, "past its time"});
+      anomalies.push_back({record, "past its expiry"});
     if (++claims[{record.holder, record.number}] > 1)
-      odd.push_back({record, "its claim has another seat too"});
+      anomalies.push_back({record, "its claim holds another seat too"});
   }
-  return odd;
+  return anomalies;
 }
 
-Ledger::Ledger(LedgerTerms terms, std::uint32_t restart, Span now, const std::vector<Record>& kept)
-    : terms_(std::move(terms)), now_(now), next_number_(static_cast<ClaimNumber>(restart) << 32 | 1) {
-  const auto found = replayed(kept);
-  for (const auto& [key, record] : found.asked) {
-    Own own;
-    own.state = Own::State::restored;
-    own.number = record.number;
-    own.seats = record.seats;
-    own.issued = record.issued;
-    own.until = own.held_until = record.until;
-    own.asked_at = now;
-    own_[key] = own;
+Ledger::Ledger(LedgerSettings settings, std::uint32_t restart, Span now, const std::vector<Record>& records)
+    : settings_(std::move(settings)),
+      now_(now),
+      next_claim_number_(static_cast<ClaimNumber>(restart) << 32 | 1) {
+  const auto replayed = replay_log(records);
+  for (const auto& [key, record] : replayed.claims) {
+    LocalClaim claim;
+    claim.state = LocalClaim::State::restored;
+    claim.number = record.number;
+    claim.seats = record.seats;
+    claim.issued = record.issued;
+    claim.until = claim.granted_until = record.until;
+    claim.claimed_at = now;
+    claims_[key] = claim;
   }
-  for (const auto& [key, record] : found.given) {
+  for (const auto& [key, record] : replayed.grants) {
     auto& team = team_of(key.team);
     if (record.issued >= team.issued)
       team.seats = record.seats, team.issued = record.issued;
-    team.held[key.who] = {record.holder, record.number, record.until, 0, {}};
+    team.grants[key.viewer_session] = {record.holder, record.number, record.until, 0, {}};
   }
-  for (const auto& record : found.freed) {
+  for (const auto& record : replayed.freed) {
     if (record.until > now)
-      team_of(record.key.team).over[{record.key.who, record.holder}] = {record.number, record.until};
+      team_of(record.key.team).ended_claims[{record.key.viewer_session, record.holder}] = {record.number,
+                                                                                           record.until};
   }
 }
 
-std::vector<LedgerAct> Ledger::handle(Span now, const LedgerEvent& event) {
-  std::vector<LedgerAct> actions;
+std::vector<LedgerAction> Ledger::handle(Span now, const LedgerEvent& event) {
+  std::vector<LedgerAction> actions;
   actions_ = &actions;
   now_ = std::max(now_, now);
-  std::visit([this](const auto& what) { on(what); }, event);
-  // What a manager tells itself goes the way that others' words go.
-  while (!to_self_.empty()) {
-    const auto message = std::move(to_self_.front());
-    to_self_.pop_front();
-    std::visit([this](const auto& said) { heard(terms_.own, said); }, message);
+  std::visit([this](const auto& alternative) { on_event(alternative); }, event);
+  // Messages to this manager itself are handled like those from other managers.
+  while (!loopback_.empty()) {
+    const auto message = std::move(loopback_.front());
+    loopback_.pop_front();
+    std::visit([this](const auto& body) { on_message(settings_.self, body); }, message);
   }
   actions_ = nullptr;
   return actions;
 }
 
-void Ledger::tell(Peer to, Message message) {
-  if (to == terms_.own)
-    to_self_.push_back(std::move(message));
+void Ledger::send_message(PeerIndex to, Message message) {
+  if (to == settings_.self)
+    loopback_.push_back(std::move(message));
   else
-    actions_->push_back(Tell{to, std::move(message)});
+    actions_->push_back(SendToPeer{to, std::move(message)});
 }
 
-std::uint64_t Ledger::keep(Record record) {
-  if (record.what == Record::What::asked || record.what == Record::What::given)
-    unkept_.emplace_back(next_ticket_, record.key);
-  actions_->push_back(KeepRecord{next_ticket_, std::move(record)});
+std::uint64_t Ledger::persist(Record record) {
+  if (record.kind == Record::Kind::claimed || record.kind == Record::Kind::granted)
+    unpersisted_.emplace_back(next_ticket_, record.key);
+  actions_->push_back(PersistRecord{next_ticket_, std::move(record)});
   return next_ticket_++;
 }
 
 Ledger::Team& Ledger::team_of(const std::string& name) { return teams_[name]; }
 
-// ---- this manager's playbacks ----
+// ---- claims of this manager's playbacks ----
 
-void Ledger::on(const Claimed& what) {
-  if (what.until <= now_) {
-    actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Span(0)});
+void Ledger::on_event(const SeatClaimed& event) {
+  if (event.until <= now_) {
+    actions_->push_back(RejectClaim{RejectClaim::Reason::token_expired, event.key, Span(0)});
     return;
   }
-  const auto found = own_.find(what.key);
-  if (found != own_.end()) {
-    auto& own = found->second;
-    switch (own.state) {
-      case Own::State::restored:
-        // A viewer that comes back after a restart. Whether its claim was ever answered is the owner's to
-        // say: asked by the same number, it is the same seat or none.
-        own.until = std::max(own.until, what.until);
-        own.asked_at = now_;
-        own.state = terms_.planted.keeps_after_restart ? Own::State::held : Own::State::keeping;
-        if (own.state == Own::State::held) {
-          actions_->push_back(Admit{what.key, own.held_until});
+  const auto found = claims_.find(event.key);
+  if (found != claims_.end()) {
+    auto& claim = found->second;
+    switch (claim.state) {
+      case LocalClaim::State::restored:
+        // The viewer came back after a restart. Only the owner knows whether the claim was granted; a request
+        // with the same claim number can't be granted a second seat.
+        claim.until = std::max(claim.until, event.until);
+        claim.claimed_at = now_;
+        claim.state = settings_.injected_faults.trusts_restored_claims ? LocalClaim::State::held
+                                                                       : LocalClaim::State::persisting;
+        if (claim.state == LocalClaim::State::held) {
+          actions_->push_back(Admit{event.key, claim.granted_until});
           return;
         }
-        own.ticket =
-            keep({Record::What::asked, what.key, terms_.own, own.number, own.seats, own.issued, own.until});
+        claim.ticket = persist({Record::Kind::claimed, event.key, settings_.self, claim.number, claim.seats,
+                                claim.issued, claim.until});
         return;
-      case Own::State::held:
-        // Its seat is here already: a retry, or a renewal.
-        if (own.held_until <= now_) {
-          actions_->push_back(TurnAway{TurnAway::Why::too_late, what.key, Span(0)});
+      case LocalClaim::State::held:
+        // A retry by the viewer, or a renewal of its token.
+        if (claim.granted_until <= now_) {
+          actions_->push_back(RejectClaim{RejectClaim::Reason::token_expired, event.key, Span(0)});
           return;
         }
-        actions_->push_back(Admit{what.key, own.held_until});
-        if (what.until > own.until) {
-          own.until = what.until;
-          own.seats = what.seats;
-          own.issued = what.issued;
-          own.renewing = true;
-          own.asked_at = now_;
-          own.ticket =
-              keep({Record::What::asked, what.key, terms_.own, own.number, own.seats, own.issued, own.until});
+        actions_->push_back(Admit{event.key, claim.granted_until});
+        if (event.until > claim.until) {
+          claim.until = event.until;
+          claim.seats = event.seats;
+          claim.issued = event.issued;
+          claim.renewing = true;
+          claim.claimed_at = now_;
+          claim.ticket = persist({Record::Kind::claimed, event.key, settings_.self, claim.number, claim.seats,
+                                  claim.issued, claim.until});
         }
         return;
-      case Own::State::keeping:
-      case Own::State::asking:
-        own.until = std::max(own.until, what.until);
-        return;  // one claim is out for it; its answer is for both
-      case Own::State::returning:
-        break;  // asked for anew, by a claim of its own
+      case LocalClaim::State::persisting:
+      case LocalClaim::State::requesting:
+        claim.until = std::max(claim.until, event.until);
+        return;  // one claim is in progress; its answer serves this event too
+      case LocalClaim::State::releasing:
+        break;  // claimed again under a new claim number
     }
   }
-  if (own_.size() >= terms_.most_claims && found == own_.end()) {
-    actions_->push_back(TurnAway{TurnAway::Why::too_many, what.key, terms_.ask_limit});
+  if (claims_.size() >= settings_.max_claims && found == claims_.end()) {
+    actions_->push_back(
+        RejectClaim{RejectClaim::Reason::too_many_claims, event.key, settings_.claim_timeout});
     return;
   }
-  Own own;
-  own.number = next_number_++;
-  own.seats = what.seats;
-  own.issued = what.issued;
-  own.until = what.until;
-  own.asked_at = now_;
-  // Kept before it is asked: after a crash this manager knows that it may hold the seat.
-  own.ticket =
-      keep({Record::What::asked, what.key, terms_.own, own.number, own.seats, own.issued, own.until});
-  own_[what.key] = own;
+  LocalClaim claim;
+  claim.number = next_claim_number_++;
+  claim.seats = event.seats;
+  claim.issued = event.issued;
+  claim.until = event.until;
+  claim.claimed_at = now_;
+  // Persisted before the request is sent: after a crash this manager knows that it may hold the seat.
+  claim.ticket = persist({Record::Kind::claimed, event.key, settings_.self, claim.number, claim.seats,
+                          claim.issued, claim.until});
+  claims_[event.key] = claim;
 }
 
-void Ledger::on(const Left& what) {
-  const auto found = own_.find(what.key);
-  if (found == own_.end() || found->second.state == Own::State::returning)
+void Ledger::on_event(const PlaybackEnded& event) {
+  const auto found = claims_.find(event.key);
+  if (found == claims_.end() || found->second.state == LocalClaim::State::releasing)
     return;
-  give_back(found->first, found->second);
+  release_claim(found->first, found->second);
 }
 
-void Ledger::give_back(const SeatKey& key, Own& own) {
-  own.state = Own::State::returning;
-  own.renewing = false;
-  own.sent_at = now_;
-  tell(owner_of(terms_, key.team), GiveBack{key, own.number, own.until});
+void Ledger::release_claim(const SeatKey& key, LocalClaim& claim) {
+  claim.state = LocalClaim::State::releasing;
+  claim.renewing = false;
+  claim.sent_at = now_;
+  send_message(owner_of(settings_, key.team), SeatRelease{key, claim.number, claim.until});
 }
 
-void Ledger::send(const SeatKey& key, Own& own) {
-  own.sent_at = now_;
-  tell(owner_of(terms_, key.team), AskSeat{key, own.number, own.seats, own.issued, own.until});
+void Ledger::send_request(const SeatKey& key, LocalClaim& claim) {
+  claim.sent_at = now_;
+  send_message(owner_of(settings_, key.team),
+               SeatRequest{key, claim.number, claim.seats, claim.issued, claim.until});
 }
 
-void Ledger::on(const Kept& what) {
-  while (!unkept_.empty() && unkept_.front().first <= what.ticket) {
-    const auto [ticket, key] = std::move(unkept_.front());
-    unkept_.pop_front();
-    if (const auto found = own_.find(key); found != own_.end() && found->second.ticket == ticket) {
-      auto& own = found->second;
-      own.ticket = 0;
-      if (own.state == Own::State::keeping)
-        own.state = Own::State::asking;
-      if (own.state == Own::State::asking || own.renewing)
-        send(key, own);
+void Ledger::on_event(const RecordsPersisted& event) {
+  while (!unpersisted_.empty() && unpersisted_.front().first <= event.ticket) {
+    const auto [ticket, key] = std::move(unpersisted_.front());
+    unpersisted_.pop_front();
+    if (const auto found = claims_.find(key); found != claims_.end() && found->second.ticket == ticket) {
+      auto& claim = found->second;
+      claim.ticket = 0;
+      if (claim.state == LocalClaim::State::persisting)
+        claim.state = LocalClaim::State::requesting;
+      if (claim.state == LocalClaim::State::requesting || claim.renewing)
+        send_request(key, claim);
     }
     const auto team = teams_.find(key.team);
     if (team == teams_.end())
       continue;
-    const auto held = team->second.held.find(key.who);
-    if (held == team->second.held.end() || held->second.ticket != ticket)
+    const auto found = team->second.grants.find(key.viewer_session);
+    if (found == team->second.grants.end() || found->second.ticket != ticket)
       continue;
-    auto& seat = held->second;
-    seat.ticket = 0;
-    for (const auto& [holder, number] : std::exchange(seat.taken_from, {}))
-      tell(holder, SeatTaken{key, number});
-    if (!terms_.planted.answers_unkept)
-      tell(seat.holder, SeatGiven{key, seat.number, seat.until});
+    auto& grant = found->second;
+    grant.ticket = 0;
+    for (const auto& [holder, number] : std::exchange(grant.revoke_from, {}))
+      send_message(holder, SeatRevocation{key, number});
+    if (!settings_.injected_faults.grants_before_persisted)
+      send_message(grant.holder, SeatGrant{key, grant.number, grant.until});
   }
 }
 
-void Ledger::on(const Heard& what) {
-  std::visit([&](const auto& said) { heard(what.from, said); }, what.message);
+void Ledger::on_event(const MessageReceived& event) {
+  std::visit([&](const auto& body) { on_message(event.from, body); }, event.message);
 }
 
-void Ledger::heard(Peer from, const SeatGiven& given) {
-  const auto found = own_.find(given.key);
-  // A late answer to a claim that is over: what it gave is given back by number, again and again until heard.
-  if (found == own_.end() || found->second.number != given.number || from != owner_of(terms_, given.key.team))
+void Ledger::on_message(PeerIndex from, const SeatGrant& grant) {
+  const auto found = claims_.find(grant.key);
+  // Ignores a late answer to a claim that is over: the claim is released by its number, and the release is
+  // resent until the owner acknowledges it.
+  if (found == claims_.end() || found->second.number != grant.number ||
+      from != owner_of(settings_, grant.key.team))
     return;
-  auto& own = found->second;
-  if (own.state == Own::State::asking) {
-    own.state = Own::State::held;
-    own.held_until = given.until;
-    actions_->push_back(Admit{given.key, given.until});
-  } else if (own.state == Own::State::held && given.until > own.held_until) {
-    own.held_until = given.until;
-    actions_->push_back(Admit{given.key, given.until});
+  auto& claim = found->second;
+  if (claim.state == LocalClaim::State::requesting) {
+    claim.state = LocalClaim::State::held;
+    claim.granted_until = grant.until;
+    actions_->push_back(Admit{grant.key, grant.until});
+  } else if (claim.state == LocalClaim::State::held && grant.until > claim.granted_until) {
+    claim.granted_until = grant.until;
+    actions_->push_back(Admit{grant.key, grant.until});
   }
-  if (own.held_until >= own.until)
-    own.renewing = false;
+  if (claim.granted_until >= claim.until)
+    claim.renewing = false;
 }
 
-void Ledger::heard(Peer from, const SeatRefused& refused) {
-  const auto found = own_.find(refused.key);
-  if (found == own_.end() || found->second.number != refused.number ||
-      from != owner_of(terms_, refused.key.team))
+void Ledger::on_message(PeerIndex from, const SeatRefusal& refusal) {
+  const auto found = claims_.find(refusal.key);
+  if (found == claims_.end() || found->second.number != refusal.number ||
+      from != owner_of(settings_, refusal.key.team))
     return;
-  auto& own = found->second;
-  if (own.state == Own::State::asking) {
-    actions_->push_back(TurnAway{TurnAway::Why::no_seat, refused.key, refused.free_in});
-    // The owner has nothing of it; that is kept, so that a restart does not ask about it.
-    keep({Record::What::gave_back, refused.key, terms_.own, own.number, 0, Span(0), own.until});
-    own_.erase(found);
-  } else if (own.state == Own::State::held) {
-    own.renewing = false;  // it plays to the end of what it has
+  auto& claim = found->second;
+  if (claim.state == LocalClaim::State::requesting) {
+    actions_->push_back(RejectClaim{RejectClaim::Reason::no_free_seat, refusal.key, refusal.free_in});
+    // The owner holds no lease for the claim. Recorded, so that the claim is not restored after a restart.
+    persist({Record::Kind::released, refusal.key, settings_.self, claim.number, 0, Span(0), claim.until});
+    claims_.erase(found);
+  } else if (claim.state == LocalClaim::State::held) {
+    claim.renewing = false;  // the renewal was refused; the present lease runs to its end
   }
 }
 
-void Ledger::heard(Peer from, const GivenBack& back) {
-  const auto found = own_.find(back.key);
-  if (found == own_.end() || found->second.number != back.number ||
-      found->second.state != Own::State::returning || from != owner_of(terms_, back.key.team))
+void Ledger::on_message(PeerIndex from, const SeatReleaseAck& ack) {
+  const auto found = claims_.find(ack.key);
+  if (found == claims_.end() || found->second.number != ack.number ||
+      found->second.state != LocalClaim::State::releasing || from != owner_of(settings_, ack.key.team))
     return;
-  keep({Record::What::gave_back, back.key, terms_.own, back.number, 0, Span(0), found->second.until});
-  own_.erase(found);
+  persist({Record::Kind::released, ack.key, settings_.self, ack.number, 0, Span(0), found->second.until});
+  claims_.erase(found);
 }
 
-void Ledger::heard(Peer from, const SeatTaken& taken) {
-  const auto found = own_.find(taken.key);
-  if (found == own_.end() || found->second.number != taken.number || from != owner_of(terms_, taken.key.team))
+void Ledger::on_message(PeerIndex from, const SeatRevocation& revocation) {
+  const auto found = claims_.find(revocation.key);
+  if (found == claims_.end() || found->second.number != revocation.number ||
+      from != owner_of(settings_, revocation.key.team))
     return;
-  if (found->second.state == Own::State::held)
-    actions_->push_back(EndPlayback{EndPlayback::Why::elsewhere, taken.key});
-  else if (found->second.state == Own::State::asking || found->second.state == Own::State::keeping)
-    actions_->push_back(TurnAway{TurnAway::Why::no_seat, taken.key, Span(0)});
-  keep({Record::What::gave_back, taken.key, terms_.own, taken.number, 0, Span(0), found->second.until});
-  own_.erase(found);
+  if (found->second.state == LocalClaim::State::held)
+    actions_->push_back(EndPlayback{EndPlayback::Reason::moved, revocation.key});
+  else if (found->second.state == LocalClaim::State::requesting ||
+           found->second.state == LocalClaim::State::persisting)
+    actions_->push_back(RejectClaim{RejectClaim::Reason::no_free_seat, revocation.key, Span(0)});
+  persist({Record::Kind::released, revocation.key, settings_.self, revocation.number, 0, Span(0),
+           found->second.until});
+  claims_.erase(found);
 }
 
-// ---- the owner's book ----
+// ---- leases of the teams that this manager owns ----
 
-void Ledger::free_lapsed(Team& team, const std::string& name) {
-  for (auto it = team.held.begin(); it != team.held.end();) {
-    // Its holder's clock may be behind ours by the skew, and it plays to the end of what it has.
-    if (it->second.until + terms_.skew > now_) {
+void Ledger::free_expired(Team& team, const std::string& name) {
+  for (auto it = team.grants.begin(); it != team.grants.end();) {
+    // The holder plays to the end of its lease by its own clock, which may be behind by the skew.
+    if (it->second.until + settings_.skew > now_) {
       ++it;
       continue;
     }
-    keep({Record::What::freed,
-          {name, it->first},
-          it->second.holder,
-          it->second.number,
-          0,
-          Span(0),
-          it->second.until});
-    it = team.held.erase(it);
+    persist({Record::Kind::freed,
+             {name, it->first},
+             it->second.holder,
+             it->second.number,
+             0,
+             Span(0),
+             it->second.until});
+    it = team.grants.erase(it);
   }
-  std::erase_if(team.over, [&](const auto& entry) { return entry.second.second + terms_.skew <= now_; });
+  std::erase_if(team.ended_claims,
+                [&](const auto& entry) { return entry.second.second + settings_.skew <= now_; });
 }
 
-void Ledger::heard(Peer from, const AskSeat& ask) {
-  if (owner_of(terms_, ask.key.team) != terms_.own)
+void Ledger::on_message(PeerIndex from, const SeatRequest& request) {
+  if (owner_of(settings_, request.key.team) != settings_.self)
     return;
-  auto& team = team_of(ask.key.team);
-  free_lapsed(team, ask.key.team);
+  auto& team = team_of(request.key.team);
+  free_expired(team, request.key.team);
   const auto refuse = [&] {
-    Span first = Span::max();
-    for (const auto& [who, seat] : team.held)
-      first = std::min(first, seat.until + terms_.skew - now_);
-    tell(from, SeatRefused{ask.key, ask.number, first == Span::max() ? Span(0) : first});
+    Span wait = Span::max();
+    for (const auto& [viewer_session, grant] : team.grants)
+      wait = std::min(wait, grant.until + settings_.skew - now_);
+    send_message(from, SeatRefusal{request.key, request.number, wait == Span::max() ? Span(0) : wait});
   };
-  // Guards against a copy of a claim that is over: it was given back, or its token is past its time.
-  const auto over = team.over.find({ask.key.who, from});
-  if (ask.until <= now_ - terms_.skew || (over != team.over.end() && ask.number <= over->second.first))
+  // Guards against granting a delayed copy of a claim that was released or whose lease has expired.
+  const auto ended = team.ended_claims.find({request.key.viewer_session, from});
+  if (request.until <= now_ - settings_.skew ||
+      (ended != team.ended_claims.end() && request.number <= ended->second.first))
     return refuse();
-  if (ask.issued >= team.issued) {
-    team.issued = ask.issued;
-    team.seats = ask.seats;
+  if (request.issued >= team.issued) {
+    team.issued = request.issued;
+    team.seats = request.seats;
   }
-  std::optional<std::pair<Peer, ClaimNumber>> went;  // the claim that it had until now
-  const auto found = team.held.find(ask.key.who);
-  if (found != team.held.end()) {
-    auto& seat = found->second;
-    if (seat.holder == from && ask.number < seat.number)
-      return;  // a copy of an older claim
-    const bool moved = seat.holder != from || seat.number != ask.number;
-    if (!moved && ask.until <= seat.until) {
-      if (seat.ticket == 0)
-        tell(from, SeatGiven{ask.key, seat.number, seat.until});
+  std::optional<std::pair<PeerIndex, ClaimNumber>> previous;  // the claim that held the seat until now
+  const auto found = team.grants.find(request.key.viewer_session);
+  if (found != team.grants.end()) {
+    auto& grant = found->second;
+    if (grant.holder == from && request.number < grant.number)
+      return;  // a delayed copy of this manager's older claim
+    const bool moved = grant.holder != from || grant.number != request.number;
+    if (!moved && request.until <= grant.until) {
+      if (grant.ticket == 0)
+        send_message(from, SeatGrant{request.key, grant.number, grant.until});
       return;
     }
-    if (seat.holder != from) {
-      // The same viewer at another manager: the same seat. What it had there is over, and a late copy of that
-      // claim must not bring it back.
-      team.over[{ask.key.who, seat.holder}] = {seat.number, std::max(seat.until, ask.until)};
-      went.emplace(seat.holder, seat.number);
-      seat.taken_from.push_back(*went);
+    if (grant.holder != from) {
+      // The viewer moved to another manager and keeps its one seat. Its former claim is over, and a delayed
+      // copy of that claim must not be granted again.
+      team.ended_claims[{request.key.viewer_session, grant.holder}] = {grant.number,
+                                                                       std::max(grant.until, request.until)};
+      previous.emplace(grant.holder, grant.number);
+      grant.revoke_from.push_back(*previous);
     }
-    seat.holder = from;
-    seat.number = ask.number;
-    seat.until = std::max(seat.until, ask.until);
+    grant.holder = from;
+    grant.number = request.number;
+    grant.until = std::max(grant.until, request.until);
   } else {
-    if (static_cast<int>(team.held.size()) >= team.seats)
+    if (static_cast<int>(team.grants.size()) >= team.seats)
       return refuse();
-    team.held[ask.key.who] = {from, ask.number, ask.until, 0, {}};
+    team.grants[request.key.viewer_session] = {from, request.number, request.until, 0, {}};
   }
-  auto& seat = team.held[ask.key.who];
-  // On the disk before it is given: after a crash the book must not be shorter than what was given out.
-  seat.ticket = keep({Record::What::given, ask.key, from, seat.number, team.seats, team.issued, seat.until});
-  // Behind it, so that no crash between them frees what may still be played.
-  if (went)
-    keep({Record::What::freed, ask.key, went->first, went->second, 0, Span(0), seat.until});
-  if (terms_.planted.answers_unkept)
-    tell(from, SeatGiven{ask.key, seat.number, seat.until});
+  auto& grant = team.grants[request.key.viewer_session];
+  // Persisted before the grant is sent: after a crash the log must hold every lease that was granted.
+  grant.ticket =
+      persist({Record::Kind::granted, request.key, from, grant.number, team.seats, team.issued, grant.until});
+  // Logged after the new grant, so that a crash between the two does not free a seat that is still in use.
+  if (previous)
+    persist({Record::Kind::freed, request.key, previous->first, previous->second, 0, Span(0), grant.until});
+  if (settings_.injected_faults.grants_before_persisted)
+    send_message(from, SeatGrant{request.key, grant.number, grant.until});
 }
 
-void Ledger::heard(Peer from, const GiveBack& back) {
-  if (owner_of(terms_, back.key.team) != terms_.own)
+void Ledger::on_message(PeerIndex from, const SeatRelease& release) {
+  if (owner_of(settings_, release.key.team) != settings_.self)
     return;
-  auto& team = team_of(back.key.team);
-  const auto seat = team.held.find(back.key.who);
-  Span until = back.until;
-  if (seat != team.held.end() && ((seat->second.holder == from && seat->second.number <= back.number) ||
-                                  terms_.planted.release_by_key)) {
-    until = seat->second.until;
-    keep({Record::What::freed, back.key, seat->second.holder, seat->second.number, 0, Span(0), until});
-    team.held.erase(seat);
+  auto& team = team_of(release.key.team);
+  const auto grant = team.grants.find(release.key.viewer_session);
+  Span until = release.until;
+  if (grant != team.grants.end() &&
+      ((grant->second.holder == from && grant->second.number <= release.number) ||
+       settings_.injected_faults.ignores_claim_number)) {
+    until = grant->second.until;
+    persist(
+        {Record::Kind::freed, release.key, grant->second.holder, grant->second.number, 0, Span(0), until});
+    team.grants.erase(grant);
   }
-  // The claim itself may still be on its way, or a copy of it.
-  auto& over = team.over[{back.key.who, from}];
-  over = {std::max(over.first, back.number), std::max(over.second, until)};
-  tell(from, GivenBack{back.key, back.number});
+  // The request of this claim, or a copy of it, may still arrive.
+  auto& ended = team.ended_claims[{release.key.viewer_session, from}];
+  ended = {std::max(ended.first, release.number), std::max(ended.second, until)};
+  send_message(from, SeatReleaseAck{release.key, release.number});
 }
 
-// ---- time ----
+// ---- timeouts ----
 
-void Ledger::on(const Ticked&) {
-  pass_time();
+void Ledger::on_event(const Ticked&) {
+  process_timeouts();
   for (auto it = teams_.begin(); it != teams_.end();) {
-    free_lapsed(it->second, it->first);
-    it = it->second.held.empty() && it->second.over.empty() ? teams_.erase(it) : std::next(it);
+    free_expired(it->second, it->first);
+    it = it->second.grants.empty() && it->second.ended_claims.empty() ? teams_.erase(it) : std::next(it);
   }
 }
 
-void Ledger::pass_time() {
-  std::vector<SeatKey> over;
-  for (auto& [key, own] : own_) {
-    switch (own.state) {
-      case Own::State::keeping:
-      case Own::State::asking:
-        if (now_ - own.asked_at >= terms_.ask_limit) {
-          // Whether it was given is not known: it is given back until the owner says that it heard.
-          actions_->push_back(TurnAway{TurnAway::Why::owner_silent, key, terms_.ask_limit});
-          if (own.state == Own::State::keeping && own.ticket != 0)
-            own.ticket = 0;
-          give_back(key, own);
-        } else if (own.state == Own::State::asking && now_ - own.sent_at >= terms_.ask_again) {
-          send(key, own);
+void Ledger::process_timeouts() {
+  std::vector<SeatKey> ended;
+  for (auto& [key, claim] : claims_) {
+    switch (claim.state) {
+      case LocalClaim::State::persisting:
+      case LocalClaim::State::requesting:
+        if (now_ - claim.claimed_at >= settings_.claim_timeout) {
+          // The claim may have been granted: it is released until the owner acknowledges that.
+          actions_->push_back(
+              RejectClaim{RejectClaim::Reason::owner_timed_out, key, settings_.claim_timeout});
+          if (claim.state == LocalClaim::State::persisting && claim.ticket != 0)
+            claim.ticket = 0;
+          release_claim(key, claim);
+        } else if (claim.state == LocalClaim::State::requesting &&
+                   now_ - claim.sent_at >= settings_.resend_interval) {
+          send_request(key, claim);
         }
         break;
-      case Own::State::held:
-        if (own.held_until <= now_) {
-          actions_->push_back(EndPlayback{EndPlayback::Why::lapsed, key});
-          over.push_back(key);
-        } else if (own.renewing && own.ticket == 0 && now_ - own.sent_at >= terms_.ask_again) {
-          send(key, own);
+      case LocalClaim::State::held:
+        if (claim.granted_until <= now_) {
+          actions_->push_back(EndPlayback{EndPlayback::Reason::expired, key});
+          ended.push_back(key);
+        } else if (claim.renewing && claim.ticket == 0 && now_ - claim.sent_at >= settings_.resend_interval) {
+          send_request(key, claim);
         }
         break;
-      case Own::State::restored:
-        if (own.held_until <= now_)
-          over.push_back(key);
-        else if (now_ - own.asked_at >= terms_.resume)
-          give_back(key, own);
+      case LocalClaim::State::restored:
+        if (claim.granted_until <= now_)
+          ended.push_back(key);
+        else if (now_ - claim.claimed_at >= settings_.resume_window)
+          release_claim(key, claim);
         break;
-      case Own::State::returning:
-        // Past its time the owner has freed it by itself.
-        if (own.until + 2 * terms_.skew <= now_)
-          over.push_back(key);
-        else if (now_ - own.sent_at >= terms_.ask_again)
-          give_back(key, own);
+      case LocalClaim::State::releasing:
+        // By now the owner has freed the expired lease on its own, whichever of the clocks is behind.
+        if (claim.until + 2 * settings_.skew <= now_)
+          ended.push_back(key);
+        else if (now_ - claim.sent_at >= settings_.resend_interval)
+          release_claim(key, claim);
         break;
     }
   }
-  for (const auto& key : over) {
-    keep({Record::What::gave_back, key, terms_.own, own_[key].number, 0, Span(0), own_[key].until});
-    own_.erase(key);
+  for (const auto& key : ended) {
+    persist(
+        {Record::Kind::released, key, settings_.self, claims_[key].number, 0, Span(0), claims_[key].until});
+    claims_.erase(key);
   }
 }
 
-// ---- what is seen of it ----
+// ---- inspection ----
 
-Ledger::Sums Ledger::sums() const {
-  Sums sums;
-  for (const auto& [key, own] : own_)
-    ++(own.state == Own::State::held ? sums.held : sums.asked);
+Ledger::Counts Ledger::counts() const {
+  Counts counts;
+  for (const auto& [key, claim] : claims_)
+    ++(claim.state == LocalClaim::State::held ? counts.held : counts.pending);
   for (const auto& [name, team] : teams_)
-    sums.in_book += team.held.size();
-  return sums;
+    counts.granted += team.grants.size();
+  return counts;
 }
 
 std::vector<Record> Ledger::snapshot() const {
   std::vector<Record> records;
-  for (const auto& [key, own] : own_)
-    records.push_back({Record::What::asked, key, terms_.own, own.number, own.seats, own.issued, own.until});
+  for (const auto& [key, claim] : claims_)
+    records.push_back(
+        {Record::Kind::claimed, key, settings_.self, claim.number, claim.seats, claim.issued, claim.until});
   for (const auto& [name, team] : teams_) {
-    for (const auto& [who, seat] : team.held)
-      records.push_back(
-          {Record::What::given, {name, who}, seat.holder, seat.number, team.seats, team.issued, seat.until});
-    for (const auto& [at, over] : team.over)
-      records.push_back(
-          {Record::What::freed, {name, at.first}, at.second, over.first, 0, Span(0), over.second});
+    for (const auto& [viewer_session, grant] : team.grants)
+      records.push_back({Record::Kind::granted,
+                         {name, viewer_session},
+                         grant.holder,
+                         grant.number,
+                         team.seats,
+                         team.issued,
+                         grant.until});
+    for (const auto& [claimant, ended] : team.ended_claims)
+      records.push_back({Record::Kind::freed,
+                         {name, claimant.first},
+                         claimant.second,
+                         ended.first,
+                         0,
+                         Span(0),
+                         ended.second});
   }
   return records;
 }
 
 std::string Ledger::fingerprint() const {
-  Print print;
-  for (const auto& [key, own] : own_) {
-    print << key.team << key.who << static_cast<std::int64_t>(own.state)
-          << static_cast<std::int64_t>(own.number) << own.until.count() << own.held_until.count()
-          << own.asked_at.count() << own.sent_at.count() << (own.ticket ? 1 : 0) << (own.renewing ? 1 : 0);
+  FingerprintBuilder fingerprint;
+  for (const auto& [key, claim] : claims_) {
+    fingerprint << key.team << key.viewer_session << static_cast<std::int64_t>(claim.state)
+                << static_cast<std::int64_t>(claim.number) << claim.until.count()
+                << claim.granted_until.count() << claim.claimed_at.count() << claim.sent_at.count()
+                << (claim.ticket ? 1 : 0) << (claim.renewing ? 1 : 0);
   }
   for (const auto& [name, team] : teams_) {
-    print << name << team.seats;
-    for (const auto& [who, seat] : team.held)
-      print << who << seat.holder << static_cast<std::int64_t>(seat.number) << seat.until.count()
-            << (seat.ticket ? 1 : 0);
-    for (const auto& [at, over] : team.over)
-      print << at.first << at.second << static_cast<std::int64_t>(over.first) << over.second.count();
+    fingerprint << name << team.seats;
+    for (const auto& [viewer_session, grant] : team.grants)
+      fingerprint << viewer_session << grant.holder << static_cast<std::int64_t>(grant.number)
+                  << grant.until.count() << (grant.ticket ? 1 : 0);
+    for (const auto& [claimant, ended] : team.ended_claims)
+      fingerprint << claimant.first << claimant.second << static_cast<std::int64_t>(ended.first)
+                  << ended.second.count();
   }
-  return std::move(print.made);
+  return std::move(fingerprint.joined);
 }
 
 }  // namespace violettide::entitlement
--- a/src/entitlement/ledger/ledger.h
+++ b/src/entitlement/ledger/ledger.h
@@ -1,8 +1,9 @@
-// Seats of teams, counted once across managers. Each team has one owner among the managers (by rendezvous
-// hashing of its name over theirs), whose book alone says who holds its seats; the others ask it. A seat is
-// held until its token's expiry and grace, at the longest: so a crash, a loss or a partition can keep a seat
-// for that long and no longer, and can never let one more be given out. Free of I/O and clock: what happened
-// in, what to do out; a value, so that a search can go on from a copy.
+// Distributed seat ledger: counts the seats of each team once across all managers. Each team has one owning
+// manager, chosen by rendezvous hashing of the team's name over the managers' names; only the owner's records
+// say who holds its seats, and the other managers send it their claims. A seat is leased until its token's
+// expiry plus grace at most, so a crash, a lost message or a network partition can keep a seat occupied for
+// that long but can never make the owner grant more seats than the team has. Free of I/O and of a clock:
+// events go in and actions come out. A ledger can be copied, so that a model checker can branch from a state.
 #pragma once
 
 #include <chrono>
@@ -18,209 +19,255 @@
 namespace violettide::entitlement {
 
 using Span = std::chrono::microseconds;
-using Peer = std::uint32_t;         // a manager, as it is numbered in the settings
-using ClaimNumber = std::uint64_t;  // rises with each claim of a manager, over its restarts too
-
-struct LedgerTerms {
-  Peer own = 0;
-  std::vector<std::string> peers;     // names of all managers, in the order that gives their numbers
-  Span ask_again{200'000};            // a message without an answer is sent again so much later
-  Span ask_limit{1'000'000};          // a claim without an answer is refused after so much
-  Span skew{2'000'000};               // managers' clocks may differ by so much
-  Span resume{15'000'000};            // after a restart a viewer has so long to come back to its seat
-  std::size_t most_claims = 100'000;  // held, asked or being released; more are refused
-  // Faults to be found by tests: nothing else sets them.
-  struct Planted {
-    bool release_by_key = false;       // a release frees whoever holds the seat now
-    bool keeps_after_restart = false;  // what may have been held before a restart is taken for held
-    bool answers_unkept = false;       // a seat is given before it is on the disk
-  } planted;
-};
-// Who owns a team: highest hash of both names. The same at all managers that name the same peers.
-Peer owner_of(const LedgerTerms& terms, std::string_view team);
-
-// One count: a viewer's playback, by its token.
+using PeerIndex = std::uint32_t;    // a manager's position in LedgerSettings::peers
+using ClaimNumber = std::uint64_t;  // increases with each claim of a manager, across its restarts
+
+struct LedgerSettings {
+  PeerIndex self = 0;
+  std::vector<std::string> peers;    // names of all managers, this one included, in PeerIndex order
+  Span resend_interval{200'000};     // an unanswered message is resent after this long
+  Span claim_timeout{1'000'000};     // an unanswered claim is rejected after this long
+  Span skew{2'000'000};              // maximum difference between managers' clocks
+  Span resume_window{15'000'000};    // time that a viewer has after a restart to reclaim its seat
+  std::size_t max_claims = 100'000;  // held, requested or being released; further claims are rejected
+  // Faults injected by tests, which must detect them. Nothing else sets them.
+  struct InjectedFaults {
+    bool ignores_claim_number = false;     // a release frees the seat whichever claim holds it
+    bool trusts_restored_claims = false;   // claims restored after a restart count as held, without asking
+    bool grants_before_persisted = false;  // a grant is sent before its record is on disk
+  } injected_faults;
+};
+// The manager that owns a team: the one with the highest hash of its name and the team's. All managers that
+// are configured with the same peers agree on it.
+PeerIndex owner_of(const LedgerSettings& settings, std::string_view team);
+
+// Identifies one seat in use: a viewer's playback, as named by its token.
 struct SeatKey {
-  std::string team, who;  // `who`: subject and session
+  std::string team;
+  std::string viewer_session;  // token subject, '/', playback session
   auto operator<=>(const SeatKey&) const = default;
 };
 
-// ---- between managers ----
-struct AskSeat {
+// ---- messages between managers ----
+
+// From a claiming manager to the owner: asks for a seat or renews one.
+struct SeatRequest {
   SeatKey key;
   ClaimNumber number = 0;
-  int seats = 0;   // that the team has, by this token
-  Span issued{0};  // of the token: the newest says how many seats there are
-  Span until{0};   // by the machines' clock
+  int seats = 0;   // the team's number of seats according to the token
+  Span issued{0};  // when the token was issued: the newest token sets the team's number of seats
+  Span until{0};   // end of the requested lease, by the machine's clock
 };
-struct SeatGiven {
+// The owner's positive answer to a request.
+struct SeatGrant {
   SeatKey key;
   ClaimNumber number = 0;
-  Span until{0};
+  Span until{0};  // end of the lease
 };
-struct SeatRefused {
+// The owner's negative answer to a request.
+struct SeatRefusal {
   SeatKey key;
   ClaimNumber number = 0;
-  Span free_in{0};  // when the first of those held lapses, if nothing is given back
+  Span free_in{0};  // time until the first lease expires, if no seat is released before
 };
-struct GiveBack {
+// From a claiming manager to the owner; resent until it is acknowledged.
+struct SeatRelease {
   SeatKey key;
   ClaimNumber number = 0;
-  Span until{0};  // of the claim: no copy of it can be good for longer
+  Span until{0};  // end of the claim: no delayed copy of it can be granted a longer lease
 };
-struct GivenBack {
+struct SeatReleaseAck {
   SeatKey key;
   ClaimNumber number = 0;
 };
-struct SeatTaken {  // the viewer came to another manager: its seat went with it
+// From the owner to the former holder: the viewer moved to another manager, and its seat with it.
+struct SeatRevocation {
   SeatKey key;
   ClaimNumber number = 0;
 };
-using Message = std::variant<AskSeat, SeatGiven, SeatRefused, GiveBack, GivenBack, SeatTaken>;
+using Message =
+    std::variant<SeatRequest, SeatGrant, SeatRefusal, SeatRelease, SeatReleaseAck, SeatRevocation>;
+
+// ---- records of the write-ahead log ----
 
-// ---- what is kept on the disk ----
+// One record of the seat log. The numeric value of `kind` is stored.
 struct Record {
-  enum class What : std::uint8_t {
-    asked,      // this manager asked for a seat: it may be held
-    gave_back,  // and it is given back for sure
-    given,      // as owner: a seat is held
-    freed       // as owner: and no more
-  } what = What::asked;
+  enum class Kind : std::uint8_t {
+    claimed,   // this manager asked for a seat, and may hold it
+    released,  // this manager certainly no longer holds the seat
+    granted,   // as owner: a seat is leased to `holder`
+    freed      // as owner: that lease is over
+  } kind = Kind::claimed;
   SeatKey key;
-  Peer holder = 0;
+  PeerIndex holder = 0;
   ClaimNumber number = 0;
   int seats = 0;
-  Span issued{0}, until{0};
+  Span issued{0};
+  Span until{0};
 };
 
-// What records in the order kept come to.
-struct Replayed {
-  std::map<SeatKey, Record> asked;  // by the manager whose log it is: perhaps held
-  std::map<SeatKey, Record> given;  // by it as owner, and not freed since
-  std::vector<Record> freed;        // by it as owner
+// The state that a log's records add up to, in the order they were written.
+struct ReplayedLog {
+  std::map<SeatKey, Record> claims;  // claims of the log's manager that it may still hold
+  std::map<SeatKey, Record> grants;  // leases it granted as owner and has not freed
+  std::vector<Record> freed;         // leases it freed as owner
 };
-Replayed replayed(const std::vector<Record>& records);
-// Seats of a log that are odd at that time: given out past their time, or to a claim that has another.
-struct OddSeat {
+ReplayedLog replay_log(const std::vector<Record>& records);
+// A lease in a log that points to a leak: past its expiry, or granted to a claim that has another seat too.
+struct SeatAnomaly {
   Record record;
-  std::string why;
+  std::string reason;
 };
-std::vector<OddSeat> odd_seats(const std::vector<Record>& records, Span now);
+std::vector<SeatAnomaly> find_anomalies(const std::vector<Record>& records, Span now);
+
+// ---- events ----
 
-// ---- what happened ----
-struct Claimed {  // a playback with a good token is to be admitted, or its token was renewed
+// A playback with a valid token asks to be admitted, or its token was renewed.
+struct SeatClaimed {
   SeatKey key;
   int seats = 0;
   Span issued{0};
-  Span until{0};  // the token's expiry and grace
+  Span until{0};  // the token's expiry plus grace
 };
-struct Left {  // the playback is over
+struct PlaybackEnded {
   SeatKey key;
 };
-struct Heard {
-  Peer from = 0;
+// A message from another manager.
+struct MessageReceived {
+  PeerIndex from = 0;
   Message message;
 };
-struct Kept {  // all records up to this ticket are on the disk
+// All records up to and including this ticket are on disk.
+struct RecordsPersisted {
   std::uint64_t ticket = 0;
 };
+// Time has passed; to be delivered periodically, since all timeouts and expiries are handled here.
 struct Ticked {};
-using LedgerEvent = std::variant<Claimed, Left, Heard, Kept, Ticked>;
+using LedgerEvent = std::variant<SeatClaimed, PlaybackEnded, MessageReceived, RecordsPersisted, Ticked>;
 
-// ---- what to do ----
+// ---- actions ----
+
+// The playback holds a seat until the given time. Repeated when the lease is renewed.
 struct Admit {
   SeatKey key;
   Span until{0};
 };
-struct TurnAway {
-  enum class Why { no_seat, owner_silent, too_many, too_late } why = Why::no_seat;
+// The claim failed: the playback must not start.
+struct RejectClaim {
+  enum class Reason {
+    no_free_seat,
+    owner_timed_out,
+    too_many_claims,
+    token_expired
+  } reason = Reason::no_free_seat;
   SeatKey key;
-  Span come_back{0};
+  Span retry_after{0};
 };
-struct EndPlayback {  // it has no seat any more
-  enum class Why { lapsed, elsewhere } why = Why::lapsed;
+// An admitted playback has lost its seat.
+struct EndPlayback {
+  enum class Reason {
+    expired,  // its lease ran out
+    moved     // its viewer continued at another manager
+  } reason = Reason::expired;
   SeatKey key;
 };
-struct Tell {
-  Peer to = 0;
+struct SendToPeer {
+  PeerIndex to = 0;
   Message message;
 };
-struct KeepRecord {  // Kept follows with this ticket, in the order of tickets
+// Append the record to the log; answered by RecordsPersisted with this ticket. Tickets are consecutive.
+struct PersistRecord {
   std::uint64_t ticket = 0;
   Record record;
 };
-using LedgerAct = std::variant<Admit, TurnAway, EndPlayback, Tell, KeepRecord>;
+using LedgerAction = std::variant<Admit, RejectClaim, EndPlayback, SendToPeer, PersistRecord>;
 
+// Both sides of the protocol: the claims of this manager's playbacks, and the leases of the teams it owns.
 class Ledger {
  public:
-  // `restart`: rises with each process of this manager; the upper half of its claims' numbers.
-  Ledger(LedgerTerms terms, std::uint32_t restart, Span now = Span(0), const std::vector<Record>& kept = {});
-  // `now`: the machine's clock, which may differ from others' by the skew.
-  std::vector<LedgerAct> handle(Span now, const LedgerEvent& event);
-
-  struct Sums {
-    std::size_t held = 0;     // by playbacks of this manager
-    std::size_t asked = 0;    // for seats, or to give them back
-    std::size_t in_book = 0;  // seats of teams that this manager owns
+  // `restart` increases with each process of this manager: it is the upper half of its claim numbers.
+  // `records`: the log, from which claims and leases are restored.
+  Ledger(LedgerSettings settings, std::uint32_t restart, Span now = Span(0),
+         const std::vector<Record>& records = {});
+  // `now`: the machine's clock, which may differ from other managers' by `skew`.
+  std::vector<LedgerAction> handle(Span now, const LedgerEvent& event);
+
+  struct Counts {
+    std::size_t held = 0;     // seats held by playbacks of this manager
+    std::size_t pending = 0;  // claims being requested, restored or released
+    std::size_t granted = 0;  // leases of the teams that this manager owns
   };
-  Sums sums() const;
-  // What a new log would begin with: as much as the present state needs.
+  Counts counts() const;
+  // The shortest log that restores the present state.
   std::vector<Record> snapshot() const;
-  std::string fingerprint() const;  // equal where the state is, for searches
+  // Equal for equal states, so that a model checker recognizes states it has visited.
+  std::string fingerprint() const;
 
  private:
-  struct Own {  // a seat asked for or held by this manager
-    enum class State : std::uint8_t { keeping, asking, held, restored, returning } state = State::keeping;
+  // A claim of one of this manager's playbacks.
+  struct LocalClaim {
+    enum class State : std::uint8_t {
+      persisting,  // its record is being written; not yet sent to the owner
+      requesting,  // sent to the owner, not answered
+      held,
+      restored,  // from the log after a restart; its viewer has not come back yet
+      releasing  // released, not acknowledged by the owner
+    } state = State::persisting;
     ClaimNumber number = 0;
     int seats = 0;
-    Span issued{0}, until{0}, asked_at{0}, sent_at{0};
-    std::uint64_t ticket = 0;  // of the record that must be kept first
-    bool renewing = false;     // held, and a later expiry is asked for
-    Span held_until{0};
+    Span issued{0};
+    Span until{0};  // end of the lease that is requested
+    Span claimed_at{0};
+    Span sent_at{0};
+    std::uint64_t ticket = 0;  // of the record that must be persisted before the request is sent; 0: none
+    bool renewing = false;     // held, and a longer lease is requested
+    Span granted_until{0};     // end of the lease that is granted
   };
-  struct Seat {  // in the owner's book
-    Peer holder = 0;
+  // A lease that this manager granted as owner.
+  struct Grant {
+    PeerIndex holder = 0;
     ClaimNumber number = 0;
     Span until{0};
-    std::uint64_t ticket = 0;  // of the record that must be kept before it is answered; 0: it is
-    std::vector<std::pair<Peer, ClaimNumber>> taken_from;  // to be told once that is kept
+    std::uint64_t ticket = 0;  // of the record that must be persisted before the grant is sent; 0: none
+    std::vector<std::pair<PeerIndex, ClaimNumber>> revoke_from;  // notified once the record is persisted
   };
   struct Team {
     int seats = 0;
     Span issued{0};
-    std::map<std::string, Seat> held;
-    // Claims given back, until they could not be granted any more: a late copy of one must find it so.
-    std::map<std::pair<std::string, Peer>, std::pair<ClaimNumber, Span>> over;
+    std::map<std::string, Grant> grants;  // by viewer session
+    // Claims that are over, by viewer session and manager, with the highest number and the time from which
+    // they could no longer be granted: a delayed copy of such a claim must be refused.
+    std::map<std::pair<std::string, PeerIndex>, std::pair<ClaimNumber, Span>> ended_claims;
   };
 
-  void on(const Claimed& what);
-  void on(const Left& what);
-  void on(const Heard& what);
-  void on(const Kept& what);
-  void on(const Ticked&);
-  void heard(Peer from, const AskSeat& ask);
-  void heard(Peer from, const SeatGiven& given);
-  void heard(Peer from, const SeatRefused& refused);
-  void heard(Peer from, const GiveBack& back);
-  void heard(Peer from, const GivenBack& back);
-  void heard(Peer from, const SeatTaken& taken);
-  void pass_time();
-  void send(const SeatKey& key, Own& own);
-  void give_back(const SeatKey& key, Own& own);
-  void tell(Peer to, Message message);
-  std::uint64_t keep(Record record);
-  void free_lapsed(Team& team, const std::string& name);
+  void on_event(const SeatClaimed& event);
+  void on_event(const PlaybackEnded& event);
+  void on_event(const MessageReceived& event);
+  void on_event(const RecordsPersisted& event);
+  void on_event(const Ticked&);
+  void on_message(PeerIndex from, const SeatRequest& request);
+  void on_message(PeerIndex from, const SeatGrant& grant);
+  void on_message(PeerIndex from, const SeatRefusal& refusal);
+  void on_message(PeerIndex from, const SeatRelease& release);
+  void on_message(PeerIndex from, const SeatReleaseAck& ack);
+  void on_message(PeerIndex from, const SeatRevocation& revocation);
+  void process_timeouts();
+  void send_request(const SeatKey& key, LocalClaim& claim);
+  void release_claim(const SeatKey& key, LocalClaim& claim);
+  void send_message(PeerIndex to, Message message);
+  std::uint64_t persist(Record record);
+  void free_expired(Team& team, const std::string& name);
   Team& team_of(const std::string& name);
 
-  LedgerTerms terms_;
+  LedgerSettings settings_;
   Span now_{0};
   std::uint64_t next_ticket_ = 1;
-  ClaimNumber next_number_ = 0;
-  std::map<SeatKey, Own> own_;
+  ClaimNumber next_claim_number_ = 0;
+  std::map<SeatKey, LocalClaim> claims_;
   std::map<std::string, Team> teams_;
-  std::deque<Message> to_self_;
-  std::deque<std::pair<std::uint64_t, SeatKey>> unkept_;  // whose records are on their way, by ticket
-  std::vector<LedgerAct>* actions_ = nullptr;
+  std::deque<Message> loopback_;                               // messages of this manager to itself
+  std::deque<std::pair<std::uint64_t, SeatKey>> unpersisted_;  // claimed and granted records, by ticket
+  std::vector<LedgerAction>* actions_ = nullptr;               // set only within handle()
 };
 
 }  // namespace violettide::entitlement
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -126,7 +126,7 @@
       own.peers.push_back(peer.name);
     if (own.peers.empty())
       own.peers.push_back(terms_.name);
-    own.own = terms_.peers.own;
+    own.self = terms_.peers.own;
     ledger_ = std::make_unique<entitlement::Ledger>(std::move(own), terms_.entitlement.restart, wall(),
                                                     terms_.entitlement.kept);
   }
@@ -676,7 +676,7 @@
   playbacks_.erase(found);
   if (seat) {
     by_seat_.erase(*seat);
-    seats_did(entitlement::Left{*seat});
+    seats_did(entitlement::PlaybackEnded{*seat});
   }
 }
 
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -149,7 +149,7 @@
   void peers_said(std::vector<peers::Heard> heard);
   void keys_answered(BoxLink& link, bool whole);
   void fetch_keys();
-  void do_seat(const entitlement::LedgerAct& act);
+  void do_seat(const entitlement::LedgerAction& act);
 
   // ---- HLS ----
   enum class Read { other, taken, answered };
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -84,7 +84,7 @@
   playback.token = viewer.token;
   playback.seat = entitlement::SeatKey{good.team, good.who};
   by_seat_[*playback.seat] = playback.id;
-  seats_did(entitlement::Claimed{*playback.seat, good.seats, good.issued, good.until});
+  seats_did(entitlement::SeatClaimed{*playback.seat, good.seats, good.issued, good.until});
 }
 
 // A newer token on a request of what plays already: nothing of that is touched, whatever comes of it.
@@ -104,7 +104,7 @@
     return;
   }
   playback.token = viewer.token;
-  seats_did(entitlement::Claimed{*playback.seat, good->seats, good->issued, good->until});
+  seats_did(entitlement::SeatClaimed{*playback.seat, good->seats, good->issued, good->until});
 }
 
 void Manager::seats_did(const entitlement::LedgerEvent& event) {
@@ -113,7 +113,7 @@
   std::string bytes;
   std::uint64_t last = 0;
   for (const auto& act : actions) {
-    if (const auto* record = std::get_if<entitlement::KeepRecord>(&act)) {
+    if (const auto* record = std::get_if<entitlement::PersistRecord>(&act)) {
       const auto one = entitlement::bytes_of(record->record);
       for (int shift = 24; shift >= 0; shift -= 8)
         bytes += static_cast<char>(one.size() >> shift & 0xff);
@@ -127,7 +127,7 @@
     do_seat(act);
 }
 
-void Manager::do_seat(const entitlement::LedgerAct& act) {
+void Manager::do_seat(const entitlement::LedgerAction& act) {
   const auto of = [&](const entitlement::SeatKey& key) -> Playback* {
     const auto known = by_seat_.find(key);
     const auto found = known == by_seat_.end() ? playbacks_.end() : playbacks_.find(known->second);
@@ -138,19 +138,19 @@
     if (!playback || !playback->request || playback->playing)
       return;
     say("seat_given",
-        {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.who}});
+        {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.viewer_session}});
     tell(*std::exchange(playback->request, std::nullopt));
-  } else if (const auto* away = std::get_if<entitlement::TurnAway>(&act)) {
+  } else if (const auto* away = std::get_if<entitlement::RejectClaim>(&act)) {
     auto* playback = of(away->key);
     if (!playback || playback->playing)
       return;
-    using Why = entitlement::TurnAway::Why;
+    using Reason = entitlement::RejectClaim::Reason;
     const Span longest = terms_.entitlement.longest_come_back;
-    const Span come_back = std::clamp(away->come_back, Span(1'000'000), std::max(Span(1'000'000), longest));
-    const auto* cause = away->why == Why::no_seat        ? "its team has no free seat"
-                        : away->why == Why::owner_silent ? "its team's seats can't be counted now"
-                        : away->why == Why::too_many     ? "too many seats are asked for"
-                                                         : "its token is past its time";
+    const Span come_back = std::clamp(away->retry_after, Span(1'000'000), std::max(Span(1'000'000), longest));
+    const auto* cause = away->reason == Reason::no_free_seat      ? "its team has no free seat"
+                        : away->reason == Reason::owner_timed_out ? "its team's seats can't be counted now"
+                        : away->reason == Reason::too_many_claims ? "too many seats are asked for"
+                                                                  : "its token is past its time";
     say("seat_refused",
         {{"playback", said_id(playback->id)}, {"team", away->key.team}, {"cause", std::string(cause)}});
     part(*playback, hls::Ending::refused, come_back);
@@ -160,7 +160,7 @@
     auto* playback = of(end->key);
     if (!playback)
       return;
-    const bool lapsed = end->why == entitlement::EndPlayback::Why::lapsed;
+    const bool lapsed = end->reason == entitlement::EndPlayback::Reason::expired;
     const auto id = playback->id;
     say("seat_ended", {{"playback", said_id(id)},
                        {"cause", std::string(lapsed ? "its token's time" : "at another manager")}});
@@ -177,7 +177,7 @@
     }
     settle(*playback, 409, lapsed ? "the token's time is up\n" : "this playback went to another manager\n",
            {});
-  } else if (const auto* message = std::get_if<entitlement::Tell>(&act)) {
+  } else if (const auto* message = std::get_if<entitlement::SendToPeer>(&act)) {
     if (peers_)
       peers_->send(now_, message->to, seat_words, entitlement::bytes_of(message->message), *actions_);
   }
@@ -191,7 +191,7 @@
       continue;
     const auto message = entitlement::read_message(one.payload);
     if (message)
-      seats_did(entitlement::Heard{one.from, *message});
+      seats_did(entitlement::MessageReceived{one.from, *message});
     else
       say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.all[one.from].name}});
   }
@@ -205,7 +205,7 @@
     return;
   }
   if (!seats_disk_failed_)
-    seats_did(entitlement::Kept{what.ticket - seat_tickets});
+    seats_did(entitlement::RecordsPersisted{what.ticket - seat_tickets});
 }
 
 void Manager::seats_time() {
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -52,8 +52,8 @@
   entitlement::GateTerms gate;
   std::string keys_address = "127.0.0.1", keys_path = "/keys";
   std::uint16_t keys_port = 0;
-  entitlement::LedgerTerms ledger;  // its peers are those of `peers`
-  std::uint32_t restart = 1;        // of this process
+  entitlement::LedgerSettings ledger;  // its peers are those of `peers`
+  std::uint32_t restart = 1;           // of this process
   std::vector<entitlement::Record> kept;
   Span longest_come_back{30'000'000};  // where no seat is free
   Span every{100'000};                 // time passes for seats, keys and peers
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -284,8 +284,8 @@
       terms.gate.fetch_least = call.span("keys_least");
       terms.gate.keys_kept = call.span("keys_kept");
       terms.gate.most_good = terms.gate.most_bad = static_cast<std::size_t>(call.whole("tokens_kept"));
-      terms.ledger.resume = call.span("resume");
-      terms.ledger.ask_limit = call.span("ask_limit");
+      terms.ledger.resume_window = call.span("resume");
+      terms.ledger.claim_timeout = call.span("ask_limit");
       terms.keys_address = call.text("keys_address");
       terms.keys_port = static_cast<std::uint16_t>(call.whole("keys_port"));
       terms.keys_path = call.text("keys_path");
--- a/tests/program/ledger_test.cpp
+++ b/tests/program/ledger_test.cpp
@@ -1,5 +1,5 @@
-// The seats' ledger: its answers one by one, every order of a small world's troubles, and long walks through
-// larger ones.
+// Tests of the seat ledger: single answers, a breadth-first search over the interleavings of small
+// clusters, and random walks through larger ones.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -11,190 +11,198 @@
 namespace violettide::entitlement {
 namespace {
 
-using model::Size;
-using model::World;
+using model::Bounds;
+using model::ClusterModel;
 
-struct Searched {
+struct SearchResult {
   std::size_t states = 0;
-  bool whole = false;
-  std::optional<std::string> wrong;
-  std::size_t rested = 0;
+  bool exhaustive = false;
+  std::optional<std::string> violation;
+  std::size_t quiesced = 0;  // states that were checked when idle
 };
 
-// Every order of everything, breadth first, until there is no new state or the bound is met.
-Searched search(const Size& size, LedgerTerms::Planted planted, std::size_t most) {
-  Searched searched;
+// Breadth-first search over all interleavings, until there is no new state or `max_states` is reached.
+SearchResult search(const Bounds& bounds, LedgerSettings::InjectedFaults injected_faults,
+                    std::size_t max_states) {
+  SearchResult result;
   std::unordered_set<std::size_t> seen;
-  std::deque<World> open;
-  open.emplace_back(size, planted);
+  std::deque<ClusterModel> open;
+  open.emplace_back(bounds, injected_faults);
   seen.insert(std::hash<std::string>{}(open.front().fingerprint()));
-  while (!open.empty() && searched.states < most) {
-    const World world = std::move(open.front());
+  while (!open.empty() && result.states < max_states) {
+    const ClusterModel cluster = std::move(open.front());
     open.pop_front();
-    ++searched.states;
-    // Now and then, that everything comes to rest from here too.
-    if (searched.states % 97 == 0) {
-      auto resting = world;
-      ++searched.rested;
-      if (auto wrong = resting.come_to_rest()) {
-        searched.wrong = "at rest: " + *wrong;
-        return searched;
+    ++result.states;
+    // A sample of the states is also checked for leaks and unanswered claims.
+    if (result.states % 97 == 0) {
+      auto resting = cluster;
+      ++result.quiesced;
+      if (auto violation = resting.quiesce()) {
+        result.violation = "when idle: " + *violation;
+        return result;
       }
     }
-    for (const auto& step : world.steps()) {
-      auto next = world;
-      if (auto wrong = next.step(step)) {
-        searched.wrong = std::move(wrong);
-        return searched;
+    for (const auto& step : cluster.steps()) {
+      auto next = cluster;
+      if (auto violation = next.step(step)) {
+        result.violation = std::move(violation);
+        return result;
       }
       if (seen.insert(std::hash<std::string>{}(next.fingerprint())).second)
         open.push_back(std::move(next));
     }
   }
-  searched.whole = open.empty();
-  return searched;
+  result.exhaustive = open.empty();
+  return result;
 }
 
-struct Walked {
+struct WalkResult {
   std::size_t steps = 0;
-  std::optional<std::string> wrong;
+  std::optional<std::string> violation;
   unsigned seed = 0;
 };
-Walked walk(const Size& size, LedgerTerms::Planted planted, unsigned seeds, int steps) {
-  Walked walked;
-  for (unsigned seed = 1; seed <= seeds && !walked.wrong; ++seed) {
-    std::minstd_rand chance(seed);
-    World world(size, planted);
-    for (int i = 0; i < steps && !walked.wrong; ++i) {
-      const auto all = world.steps();
+WalkResult random_walk(const Bounds& bounds, LedgerSettings::InjectedFaults injected_faults, unsigned seeds,
+                       int steps) {
+  WalkResult result;
+  for (unsigned seed = 1; seed <= seeds && !result.violation; ++seed) {
+    std::minstd_rand random(seed);
+    ClusterModel cluster(bounds, injected_faults);
+    for (int i = 0; i < steps && !result.violation; ++i) {
+      const auto all = cluster.steps();
       if (all.empty())
         break;
-      walked.wrong = world.step(all[chance() % all.size()]);
-      ++walked.steps;
+      result.violation = cluster.step(all[random() % all.size()]);
+      ++result.steps;
     }
-    if (!walked.wrong) {
-      if (auto wrong = world.come_to_rest())
-        walked.wrong = "at rest: " + *wrong;
+    if (!result.violation) {
+      if (auto violation = cluster.quiesce())
+        result.violation = "when idle: " + *violation;
     }
-    walked.seed = seed;
+    result.seed = seed;
   }
-  return walked;
+  return result;
 }
 
-constexpr LedgerTerms::Planted sound{};
-LedgerTerms::Planted planted(int which) {
-  LedgerTerms::Planted made;
-  (which == 0 ? made.release_by_key : which == 1 ? made.keeps_after_restart : made.answers_unkept) = true;
-  return made;
+constexpr LedgerSettings::InjectedFaults no_faults{};
+LedgerSettings::InjectedFaults injected_faults(int which) {
+  LedgerSettings::InjectedFaults faults;
+  (which == 0   ? faults.ignores_claim_number
+   : which == 1 ? faults.trusts_restored_claims
+                : faults.grants_before_persisted) = true;
+  return faults;
 }
 
-// An owner of the only team, and what it says.
-struct Owner {
-  explicit Owner(LedgerTerms terms = {}) : ledger(with(std::move(terms)), 1) {}
-  static LedgerTerms with(LedgerTerms terms) {
-    terms.peers = {"m0"};
-    return terms;
+// The only manager of a cluster, which owns every team, and the messages it sends.
+struct OwnerHarness {
+  explicit OwnerHarness(LedgerSettings settings = {}) : ledger(with_single_peer(std::move(settings)), 1) {}
+  static LedgerSettings with_single_peer(LedgerSettings settings) {
+    settings.peers = {"m0"};
+    return settings;
   }
-  std::vector<Message> says(const LedgerEvent& event) {
-    std::vector<Message> said;
+  std::vector<Message> messages_after(const LedgerEvent& event) {
+    std::vector<Message> messages;
     for (const auto& act : ledger.handle(Span(1), event)) {
-      if (const auto* tell = std::get_if<Tell>(&act))
-        said.push_back(tell->message);
-      if (const auto* keep = std::get_if<KeepRecord>(&act))
-        ticket = keep->ticket;
-      if (const auto* away = std::get_if<TurnAway>(&act))
-        turned_away = away->why;
+      if (const auto* send = std::get_if<SendToPeer>(&act))
+        messages.push_back(send->message);
+      if (const auto* persist = std::get_if<PersistRecord>(&act))
+        ticket = persist->ticket;
+      if (const auto* reject = std::get_if<RejectClaim>(&act))
+        rejection = reject->reason;
     }
-    return said;
+    return messages;
   }
   Ledger ledger;
   std::uint64_t ticket = 0;
-  std::optional<TurnAway::Why> turned_away;
+  std::optional<RejectClaim::Reason> rejection;
 };
 
-TEST(Ledger, ASeatThatMovesTwiceBeforeItIsKeptIsTakenFromBoth) {
-  Owner owner;
+TEST(Ledger, SeatThatMovesTwiceBeforeItIsPersistedIsRevokedFromBoth) {
+  OwnerHarness owner;
   const SeatKey key{"team", "v"};
-  const auto ask = [&](Peer from) { return owner.says(Heard{from, AskSeat{key, 7, 1, Span(1), Span(100)}}); };
+  const auto ask = [&](PeerIndex from) {
+    return owner.messages_after(MessageReceived{from, SeatRequest{key, 7, 1, Span(1), Span(100)}});
+  };
   ask(1);
-  EXPECT_EQ(owner.says(Kept{owner.ticket}).size(), 1u) << "given";
-  EXPECT_TRUE(ask(2).empty()) << "nothing is said of it before it is kept";
+  EXPECT_EQ(owner.messages_after(RecordsPersisted{owner.ticket}).size(), 1u) << "the grant";
+  EXPECT_TRUE(ask(2).empty()) << "no answer before the record is persisted";
   EXPECT_TRUE(ask(3).empty());
-  std::size_t taken = 0, given = 0;
-  for (const auto& message : owner.says(Kept{owner.ticket})) {
-    taken += std::holds_alternative<SeatTaken>(message);
-    given += std::holds_alternative<SeatGiven>(message);
+  std::size_t revocations = 0, grants = 0;
+  for (const auto& message : owner.messages_after(RecordsPersisted{owner.ticket})) {
+    revocations += std::holds_alternative<SeatRevocation>(message);
+    grants += std::holds_alternative<SeatGrant>(message);
   }
-  EXPECT_EQ(taken, 2u);
-  EXPECT_EQ(given, 1u);
+  EXPECT_EQ(revocations, 2u);
+  EXPECT_EQ(grants, 1u);
 }
 
-TEST(Ledger, MoreClaimsThanItMayHoldAreTurnedAway) {
-  LedgerTerms terms;
-  terms.most_claims = 2;
-  Owner owner(terms);
+TEST(Ledger, ClaimsBeyondTheMaximumAreRejected) {
+  LedgerSettings settings;
+  settings.max_claims = 2;
+  OwnerHarness owner(settings);
   for (int i = 0; i < 2; ++i)
-    owner.says(Claimed{{"team", std::to_string(i)}, 9, Span(1), Span(100)});
-  EXPECT_FALSE(owner.turned_away);
-  owner.says(Claimed{{"team", "third"}, 9, Span(1), Span(100)});
-  EXPECT_EQ(owner.turned_away, TurnAway::Why::too_many);
+    owner.messages_after(SeatClaimed{{"team", std::to_string(i)}, 9, Span(1), Span(100)});
+  EXPECT_FALSE(owner.rejection);
+  owner.messages_after(SeatClaimed{{"team", "third"}, 9, Span(1), Span(100)});
+  EXPECT_EQ(owner.rejection, RejectClaim::Reason::too_many_claims);
 }
 
-TEST(Ledger, ALogIsReadAgainAndWhatIsOddInItIsTold) {
-  using What = Record::What;
-  const auto record = [](What what, const char* who, Peer holder, ClaimNumber number, int until) {
-    return Record{what, {"team", who}, holder, number, 5, Span(1), Span(until)};
+TEST(Ledger, ReplaysLogAndReportsAnomalies) {
+  using Kind = Record::Kind;
+  const auto record = [](Kind kind, const char* viewer_session, PeerIndex holder, ClaimNumber number,
+                         int until) {
+    return Record{kind, {"team", viewer_session}, holder, number, 5, Span(1), Span(until)};
   };
-  const std::vector<Record> log{record(What::given, "a", 1, 7, 50),  record(What::given, "b", 2, 8, 100),
-                                record(What::freed, "a", 2, 7, 50),  record(What::given, "c", 2, 8, 100),
-                                record(What::asked, "d", 0, 3, 100), record(What::gave_back, "d", 0, 2, 100),
-                                record(What::freed, "e", 1, 1, 50)};
-  const auto found = replayed(log);
-  EXPECT_EQ(found.given.size(), 3u) << "freed for another holder, it is held still";
-  EXPECT_EQ(found.asked.size(), 1u) << "an older claim's end is not this one's";
-  const auto odd = odd_seats(log, Span(60));
-  ASSERT_EQ(odd.size(), 2u);
-  EXPECT_EQ(odd[0].why, "past its time");
-  EXPECT_EQ(odd[1].why, "its claim has another seat too");
-  EXPECT_TRUE(odd_seats({log[0], log[1]}, Span(50)).empty());
+  const std::vector<Record> log{record(Kind::granted, "a", 1, 7, 50),  record(Kind::granted, "b", 2, 8, 100),
+                                record(Kind::freed, "a", 2, 7, 50),    record(Kind::granted, "c", 2, 8, 100),
+                                record(Kind::claimed, "d", 0, 3, 100), record(Kind::released, "d", 0, 2, 100),
+                                record(Kind::freed, "e", 1, 1, 50)};
+  const auto found = replay_log(log);
+  EXPECT_EQ(found.grants.size(), 3u) << "a freed record of another holder does not end the lease";
+  EXPECT_EQ(found.claims.size(), 1u) << "the release of an older claim does not end this one";
+  const auto anomalies = find_anomalies(log, Span(60));
+  ASSERT_EQ(anomalies.size(), 2u);
+  EXPECT_EQ(anomalies[0].reason, "past its expiry");
+  EXPECT_EQ(anomalies[1].reason, "its claim holds another seat too");
+  EXPECT_TRUE(find_anomalies({log[0], log[1]}, Span(50)).empty());
 }
 
-TEST(LedgerModel, EveryOrderOfASmallWorldKeepsItsSeats) {
-  const std::vector<std::pair<const char*, Size>> sizes{
+TEST(LedgerModel, EveryInterleavingOfASmallClusterKeepsWithinItsSeats) {
+  const std::vector<std::pair<const char*, Bounds>> sizes{
       {"2 managers, 2 viewers, 1 seat, a crash", {2, 2, 1, 1, 0, 0, 1, 2, 0}},
       {"2 managers, 2 viewers, 1 seat, a copy", {2, 2, 1, 0, 0, 1, 1, 2, 1}},
       {"2 managers, 2 viewers, 1 seat, a loss", {2, 2, 1, 0, 1, 0, 2, 2, 0}},
       {"3 managers, 1 viewer, 1 seat, retries", {3, 1, 1, 0, 0, 0, 1, 2, 1}},
       {"2 managers, 3 viewers, 2 seats", {2, 3, 2, 0, 0, 0, 0, 3, 1}}};
-  for (const auto& [name, size] : sizes) {
-    const auto searched = search(size, sound, 300'000);
-    EXPECT_FALSE(searched.wrong) << name << ": " << *searched.wrong;
-    EXPECT_GT(searched.states, 300u) << name;
-    std::printf("%s: %zu states%s, %zu brought to rest\n", name, searched.states,
-                searched.whole ? ", all there are" : " (bound met)", searched.rested);
+  for (const auto& [name, bounds] : sizes) {
+    const auto result = search(bounds, no_faults, 300'000);
+    EXPECT_FALSE(result.violation) << name << ": " << *result.violation;
+    EXPECT_GT(result.states, 300u) << name;
+    std::printf("%s: %zu states%s, %zu checked when idle\n", name, result.states,
+                result.exhaustive ? " (exhaustive)" : " (maximum reached)", result.quiesced);
   }
 }
 
-TEST(LedgerModel, LongWalksKeepTheirSeatsAndLeakNone) {
-  for (const auto& size : {Size{3, 4, 2, 3, 8, 6, 30, 30, 20}, Size{2, 3, 2, 4, 4, 4, 40, 40, 20}}) {
-    const auto walked = walk(size, sound, 1500, 250);
-    EXPECT_FALSE(walked.wrong) << "seed " << walked.seed << ": " << *walked.wrong;
-    std::printf("%zu steps walked\n", walked.steps);
+TEST(LedgerModel, LongRandomWalksKeepWithinTheirSeatsAndLeakNone) {
+  for (const auto& bounds : {Bounds{3, 4, 2, 3, 8, 6, 30, 30, 20}, Bounds{2, 3, 2, 4, 4, 4, 40, 40, 20}}) {
+    const auto result = random_walk(bounds, no_faults, 1500, 250);
+    EXPECT_FALSE(result.violation) << "seed " << result.seed << ": " << *result.violation;
+    std::printf("%zu steps walked\n", result.steps);
   }
 }
 
-TEST(LedgerModel, PlantedFaultsAreFoundBySearchAndByWalk) {
-  const Size sizes[] = {
+TEST(LedgerModel, InjectedFaultsAreFoundBySearchAndByRandomWalk) {
+  const Bounds sizes[] = {
       {2, 2, 1, 0, 0, 1, 2, 3, 2}, {2, 2, 1, 1, 0, 0, 2, 3, 1}, {2, 2, 1, 1, 0, 0, 2, 3, 1}};
   for (int which = 0; which < 3; ++which) {
-    const auto searched = search(sizes[which], planted(which), 150'000);
-    EXPECT_TRUE(searched.wrong) << "fault " << which << " in " << searched.states << " states";
-    const auto walked =
-        walk(which == 0 ? Size{2, 2, 1, 0, 2, 8, 8, 30, 30} : Size{3, 4, 2, 3, 8, 6, 30, 30, 20},
-             planted(which), 4000, 250);
-    EXPECT_TRUE(walked.wrong) << "fault " << which << " in " << walked.steps << " steps";
-    std::printf("fault %d: found after %zu states (%s), and after %u walks (%s)\n", which, searched.states,
-                searched.wrong.value_or("no").c_str(), walked.seed, walked.wrong.value_or("no").c_str());
+    const auto search_result = search(sizes[which], injected_faults(which), 150'000);
+    EXPECT_TRUE(search_result.violation) << "fault " << which << " in " << search_result.states << " states";
+    const auto walk_result =
+        random_walk(which == 0 ? Bounds{2, 2, 1, 0, 2, 8, 8, 30, 30} : Bounds{3, 4, 2, 3, 8, 6, 30, 30, 20},
+                    injected_faults(which), 4000, 250);
+    EXPECT_TRUE(walk_result.violation) << "fault " << which << " in " << walk_result.steps << " steps";
+    std::printf("fault %d: found after %zu states (%s), and after %u walks (%s)\n", which,
+                search_result.states, search_result.violation.value_or("no").c_str(), walk_result.seed,
+                walk_result.violation.value_or("no").c_str());
   }
 }
 
--- a/tests/program/seatlog_test.cpp
+++ b/tests/program/seatlog_test.cpp
@@ -35,8 +35,8 @@
     sqlite3_close(handle);
   }
   std::string folder;
-  const Record first{Record::What::given, {"red", "ann/1"}, 2, 77, 5, Span(10), Span(100)};
-  const Record second{Record::What::asked, {"red", "bob/2"}, 0, 78, 5, Span(11), Span(110)};
+  const Record first{Record::Kind::granted, {"red", "ann/1"}, 2, 77, 5, Span(10), Span(100)};
+  const Record second{Record::Kind::claimed, {"red", "bob/2"}, 0, 78, 5, Span(11), Span(110)};
 };
 
 TEST_F(Logged, WhatIsKeptIsThereAtTheNextStart) {
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -82,7 +82,7 @@
     terms.entitlement.gate.grace = 2s;
     terms.entitlement.gate.fetch_least = 1s;
     terms.entitlement.keys_port = Net::port(issuer_host);
-    terms.entitlement.ledger.resume = 5s;
+    terms.entitlement.ledger.resume_window = 5s;
     terms.entitlement.restart = restart;
     terms.entitlement.kept = std::move(kept);
     for (int p = 0; p < managers; ++p)
@@ -108,7 +108,7 @@
     net.run(net.now() + 500ms);
   }
   int owner() const {
-    entitlement::LedgerTerms terms;
+    entitlement::LedgerSettings terms;
     for (int p = 0; p < managers; ++p)
       terms.peers.push_back("m" + std::to_string(p));
     return static_cast<int>(entitlement::owner_of(terms, "red"));
@@ -137,7 +137,7 @@
   int get(int m, const std::string& sid, const std::string& with, int object = 0) {
     return status(ask(m, sid, with, object));
   }
-  std::size_t in_book() { return fronts[owner()]->seats()->sums().in_book; }
+  std::size_t in_book() { return fronts[owner()]->seats()->counts().granted; }
 
   Net net;
   Puppet box, list, keys, viewer;
@@ -267,7 +267,7 @@
   net.run(net.now() + 5s);
   EXPECT_EQ(in_book(), 0u) << "none leaked";
   for (const auto& front : fronts) {
-    EXPECT_EQ(front->seats()->sums().held + front->seats()->sums().asked, 0u);
+    EXPECT_EQ(front->seats()->counts().held + front->seats()->counts().pending, 0u);
     EXPECT_EQ(front->held().playbacks, 0u);
   }
 }
@@ -347,8 +347,8 @@
   EXPECT_GT(plays, 250) << "twelve seats, held three seconds each at the least, for about a hundred seconds";
   EXPECT_GT(turned, 100);
   for (const auto& front : fronts) {
-    const auto sums = front->seats()->sums();
-    EXPECT_EQ(sums.held + sums.asked + sums.in_book, 0u) << "leaked";
+    const auto counts = front->seats()->counts();
+    EXPECT_EQ(counts.held + counts.pending + counts.granted, 0u) << "leaked";
     EXPECT_EQ(front->held().playbacks, 0u);
   }
   std::printf("%d play, %d turned away, of %zu asked\n", plays, turned, asked.size());
