--- a/bench/seats.cpp
+++ b/bench/seats.cpp
@@ -7,8 +7,8 @@
 #include <queue>
 #include <random>
 
-#include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
+#include "entitlement/token_validator/token_validator.h"
 #include "path.h"
 #include "standins/issuer.h"
 
@@ -28,28 +28,28 @@
        {std::pair(Algorithm::es256, "ES256"), std::pair(Algorithm::rs256, "RS256")}) {
     issuer.rotate(algorithm);
     const Span now = 1'000'000s;
-    Gate gate({});
-    gate.wants_fetch(now);
-    std::vector<std::string> left_out;
-    gate.keys_came(now, issuer.key_set(), left_out);
+    TokenValidator validator({});
+    validator.start_fetch_if_due(now);
+    std::vector<std::string> skipped;
+    validator.on_keys_received(now, issuer.key_set(), skipped);
     std::vector<std::string> tokens;
     for (int i = 0; i < 2000; ++i)
       tokens.push_back(issuer.token(
           {"j" + std::to_string(i), "s" + std::to_string(i), "t", 5, now, now + 60s, Span(0), {}, {}}));
     auto from = Clock::now();
     for (const auto& token : tokens)
-      gate.judge(now, {token, "p", "t", "s"});
+      validator.validate(now, {token, "p", "t", "s"});
     const double first = static_cast<double>(tokens.size()) / since(from);
     from = Clock::now();
     for (int round = 0; round < 20; ++round) {
       for (const auto& token : tokens)
-        gate.judge(now, {token, "p", "t", "s"});
+        validator.validate(now, {token, "p", "t", "s"});
     }
     const double again = 20.0 * static_cast<double>(tokens.size()) / since(from);
     const auto bad = issuer.forged({"j", "s", "t", 5, now, now + 60s, Span(0), {}, {}});
     from = Clock::now();
     for (int i = 0; i < 100'000; ++i)
-      gate.judge(now, {bad, "p", "t", "s"});
+      validator.validate(now, {bad, "p", "t", "s"});
     std::printf("%s: verified %.0f, remembered %.0f, a bad one seen before %.0f\n", name, first, again,
                 100'000 / since(from));
   }
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -155,7 +155,8 @@
       if (kind == ".ports" || kind == ".port" || kind == ".log" || kind == ".err")
         std::filesystem::remove(entry.path());
     }
-    if (const auto& gate = day_.deployment.front.entitlement.gate; day_.deployment.front.entitlement.on) {
+    if (const auto& gate = day_.deployment.front.entitlement.token_validator;
+        day_.deployment.front.entitlement.on) {
       const auto turns = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
       std::ofstream(folder_ + "/issuer.keys")
           << standins::Issuer::made(gate.issuer, gate.audience, turns).written();
@@ -242,7 +243,7 @@
     const auto at = std::chrono::duration_cast<Span>(stopped.time_since_epoch()) - skew - 1s;
     for (int i = 0; i < day_.managers; ++i) {
       for (const auto& odd :
-           entitlement::find_anomalies(entitlement::SeatLog::look(folder_ + "/" + name(i)), at)) {
+           entitlement::find_anomalies(entitlement::SeatLog::read_records(folder_ + "/" + name(i)), at)) {
         trace::Passed leaked;
         leaked.set_at_us(runtime::Loop::machine_clock_us());
         leaked.set_kind(trace::Passed::LEAKED);
@@ -402,7 +403,7 @@
               << " troubles; traces in " << folder << std::endl;
     Played(words, day, folder).run();
     return audited(day, {folder + "/viewers.trace", folder + "/boxes.trace", folder + "/day.trace"});
-  } catch (const entitlement::SeatLog::Unusable& failed) {
+  } catch (const entitlement::SeatLog::Error& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const Unplayable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -107,7 +107,7 @@
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const trace::Failed& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const entitlement::SeatLog::Unusable& failed) {
+  } catch (const entitlement::SeatLog::Error& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const cataloguestore::Unusable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
@@ -156,9 +156,9 @@
 
 // The managers of the hall by words in place of the settings', this one's place among them, and their key.
 bool take_peers(const ServeWords& words, const std::string& key_from, const std::string& own,
-                peers::PeerTerms& terms) {
+                peers::PeerSettings& terms) {
   if (!words.peers.empty())
-    terms.all.clear();
+    terms.managers.clear();
   for (const auto& word : words.peers) {
     const auto colon = word.rfind(':');
     const int port = colon == std::string::npos ? 0 : std::atoi(word.c_str() + colon + 1);
@@ -166,17 +166,17 @@
       std::cerr << "violettide: --peer " << word << ": expected NAME:PORT\n";
       return false;
     }
-    terms.all.push_back({word.substr(0, colon), "127.0.0.1", static_cast<std::uint16_t>(port)});
+    terms.managers.push_back({word.substr(0, colon), "127.0.0.1", static_cast<std::uint16_t>(port)});
   }
-  if (terms.all.empty())
+  if (terms.managers.empty())
     return true;
-  const auto at =
-      std::find_if(terms.all.begin(), terms.all.end(), [&](auto& peer) { return peer.name == own; });
-  if (at == terms.all.end()) {
+  const auto at = std::find_if(terms.managers.begin(), terms.managers.end(),
+                               [&](auto& peer) { return peer.name == own; });
+  if (at == terms.managers.end()) {
     std::cerr << "violettide: no peer is named '" << own << "', as this manager is\n";
     return false;
   }
-  terms.own = static_cast<peers::PeerIndex>(at - terms.all.begin());
+  terms.self = static_cast<peers::PeerIndex>(at - terms.managers.begin());
   const auto file = words.peers_key.empty() ? key_from : words.peers_key;
   if (!file.empty()) {
     std::ifstream lines(file);
@@ -280,8 +280,8 @@
   }
   if (words.number)
     front.site.own_number = *words.number;
-  if (!front.site.own_number && static_cast<int>(front.peers.all.size()) == front.site.fronts)
-    front.site.own_number = static_cast<int>(front.peers.own);
+  if (!front.site.own_number && static_cast<int>(front.peers.managers.size()) == front.site.fronts)
+    front.site.own_number = static_cast<int>(front.peers.self);
   if (words.keys_port)
     front.entitlement.keys_port = *words.keys_port;
   front.wall_at_zero = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
@@ -297,15 +297,15 @@
       seats = std::make_unique<entitlement::SeatLog>(deployment.keep_in);
       // What no longer matters is left out of the log here, once for each start.
       auto terms = front.entitlement.ledger;
-      terms.self = front.peers.own;
-      for (const auto& peer : front.peers.all)
+      terms.self = front.peers.self;
+      for (const auto& peer : front.peers.managers)
         terms.peers.push_back(peer.name);
       if (terms.peers.empty())
         terms.peers.push_back(front.name);
       const auto present = entitlement::Ledger(terms, 0, front.wall_at_zero, seats->records()).snapshot();
       front.entitlement.restart = seats->restart();
       front.entitlement.kept = present;
-      seats->begin_with(present);
+      seats->replace_all(present);
       log(Span(0), Say{"seats_restored",
                        {{"records", static_cast<std::int64_t>(present.size())},
                         {"start", static_cast<std::int64_t>(seats->restart())}}});
@@ -327,8 +327,8 @@
           std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
       }
     }
-    if (!front.peers.all.empty()) {
-      const auto& own = front.peers.all[front.peers.own];
+    if (!front.peers.managers.empty()) {
+      const auto& own = front.peers.managers[front.peers.self];
       doors.push_back({own.address, own.port});
     }
     Books books(store.get(), seats.get());
@@ -352,7 +352,7 @@
 // What the log holds, and what an operator who suspects a leak should look at.
 int run_seats(const SeatsWords& words) {
   try {
-    const auto records = entitlement::SeatLog::look(words.folder);
+    const auto records = entitlement::SeatLog::read_records(words.folder);
     const auto now = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
     // Owners wait the clocks' skew before they free a seat; ten seconds are more than any hall needs.
     const auto odd = entitlement::find_anomalies(records, now - std::chrono::seconds(10));
@@ -375,7 +375,7 @@
     if (words.audit && !odd.empty())
       return 1;
     return 0;
-  } catch (const entitlement::SeatLog::Unusable& unusable) {
+  } catch (const entitlement::SeatLog::Error& unusable) {
     std::cerr << "violettide: " << unusable.what << '\n';
     return 2;
   }
@@ -384,7 +384,7 @@
 namespace {
 
 standins::Issuer issuer_in(const std::string& folder, const standins::Day& day) {
-  const auto& gate = day.deployment.front.entitlement.gate;
+  const auto& gate = day.deployment.front.entitlement.token_validator;
   return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"), gate.issuer,
                                 gate.audience);
 }
--- a/src/entitlement/seatlog/seatlog.cpp
+++ b/src/entitlement/seatlog/seatlog.cpp
@@ -3,7 +3,7 @@
 #include <sqlite3.h>
 #include <xxhash.h>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 
 namespace violettide::entitlement {
 
@@ -18,90 +18,94 @@
     run("CREATE TABLE IF NOT EXISTS starts(number INTEGER PRIMARY KEY)");
   }
   ~Database() {
-    if (put_)
-      sqlite3_finalize(put_);
+    if (append_)
+      sqlite3_finalize(append_);
     sqlite3_close(handle_);
   }
   void run(const char* sql) {
     if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
       fail(sql);
   }
+  // Counts a start and returns its number.
   std::uint32_t start() {
     run("INSERT INTO starts SELECT coalesce(max(number), 0) + 1 FROM starts");
-    sqlite3_stmt* ask = nullptr;
-    sqlite3_prepare_v2(handle_, "SELECT max(number) FROM starts", -1, &ask, nullptr);
-    if (sqlite3_step(ask) != SQLITE_ROW)
-      fail("read the count of starts");
-    const auto number = static_cast<std::uint32_t>(sqlite3_column_int64(ask, 0));
-    sqlite3_finalize(ask);
+    sqlite3_stmt* query = nullptr;
+    sqlite3_prepare_v2(handle_, "SELECT max(number) FROM starts", -1, &query, nullptr);
+    if (sqlite3_step(query) != SQLITE_ROW)
+      fail("read the number of starts");
+    const auto number = static_cast<std::uint32_t>(sqlite3_column_int64(query, 0));
+    sqlite3_finalize(query);
     return number;
   }
-  std::vector<Record> all() {
+  std::vector<Record> read_all() {
     std::vector<Record> records;
-    sqlite3_stmt* ask = nullptr;
-    if (sqlite3_prepare_v2(handle_, "SELECT at, bytes, sum FROM log ORDER BY at", -1, &ask, nullptr) !=
+    sqlite3_stmt* query = nullptr;
+    if (sqlite3_prepare_v2(handle_, "SELECT at, bytes, sum FROM log ORDER BY at", -1, &query, nullptr) !=
         SQLITE_OK)
       fail("read");
     int code = 0;
-    while ((code = sqlite3_step(ask)) == SQLITE_ROW) {
-      const std::string_view bytes(static_cast<const char*>(sqlite3_column_blob(ask, 1)),
-                                   static_cast<std::size_t>(sqlite3_column_bytes(ask, 1)));
+    while ((code = sqlite3_step(query)) == SQLITE_ROW) {
+      const std::string_view bytes(static_cast<const char*>(sqlite3_column_blob(query, 1)),
+                                   static_cast<std::size_t>(sqlite3_column_bytes(query, 1)));
       const auto sum = static_cast<sqlite3_int64>(XXH3_64bits(bytes.data(), bytes.size()));
-      const auto record = read_record(bytes);
-      if (sum != sqlite3_column_int64(ask, 2) || !record) {
-        const auto at = std::to_string(sqlite3_column_int64(ask, 0));
-        sqlite3_finalize(ask);
-        throw Unusable{path_ + ": record " + at + " is damaged: a seat may be held that it told of"};
+      const auto record = decode_record(bytes);
+      if (sum != sqlite3_column_int64(query, 2) || !record) {
+        const auto at = std::to_string(sqlite3_column_int64(query, 0));
+        sqlite3_finalize(query);
+        throw Error{path_ + ": record " + at + " is damaged; the seat that it describes may still be held"};
       }
       records.push_back(*record);
     }
-    sqlite3_finalize(ask);
+    sqlite3_finalize(query);
     if (code != SQLITE_DONE)
       fail("read");
     return records;
   }
-  std::string put(std::string_view bytes) {
-    if (!put_ && sqlite3_prepare_v2(handle_, "INSERT INTO log(bytes, sum) VALUES(?, ?)", -1, &put_,
-                                    nullptr) != SQLITE_OK)
+  // Returns the cause of a failure, empty on success.
+  std::string append(std::string_view bytes) {
+    if (!append_ && sqlite3_prepare_v2(handle_, "INSERT INTO log(bytes, sum) VALUES(?, ?)", -1, &append_,
+                                       nullptr) != SQLITE_OK)
       return sqlite3_errmsg(handle_);
-    sqlite3_bind_blob(put_, 1, bytes.data(), static_cast<int>(bytes.size()), SQLITE_STATIC);
-    sqlite3_bind_int64(put_, 2, static_cast<sqlite3_int64>(XXH3_64bits(bytes.data(), bytes.size())));
-    const int code = sqlite3_step(put_);
-    sqlite3_reset(put_);
+    sqlite3_bind_blob(append_, 1, bytes.data(), static_cast<int>(bytes.size()), SQLITE_STATIC);
+    sqlite3_bind_int64(append_, 2, static_cast<sqlite3_int64>(XXH3_64bits(bytes.data(), bytes.size())));
+    const int code = sqlite3_step(append_);
+    sqlite3_reset(append_);
     return code == SQLITE_DONE ? "" : sqlite3_errmsg(handle_);
   }
 
  private:
   [[noreturn]] void fail(const std::string& what) {
-    throw Unusable{path_ + ": " + what + ": " + (handle_ ? sqlite3_errmsg(handle_) : "no memory")};
+    throw Error{path_ + ": " + what + ": " + (handle_ ? sqlite3_errmsg(handle_) : "out of memory")};
   }
   std::string path_;
   sqlite3* handle_ = nullptr;
-  sqlite3_stmt* put_ = nullptr;
+  sqlite3_stmt* append_ = nullptr;
 };
 
 SeatLog::SeatLog(const std::string& folder) : database_(std::make_unique<Database>(folder + "/seats.db")) {
-  records_ = database_->all();
+  records_ = database_->read_all();
   restart_ = database_->start();
 }
 SeatLog::~SeatLog() = default;
 
-std::vector<Record> SeatLog::look(const std::string& folder) { return Database(folder + "/seats.db").all(); }
+std::vector<Record> SeatLog::read_records(const std::string& folder) {
+  return Database(folder + "/seats.db").read_all();
+}
 
-void SeatLog::begin_with(const std::vector<Record>& records) {
+void SeatLog::replace_all(const std::vector<Record>& records) {
   database_->run("BEGIN IMMEDIATE");
   database_->run("DELETE FROM log");
   for (const auto& record : records) {
-    if (const auto failed = database_->put(bytes_of(record)); !failed.empty()) {
+    if (const auto failed = database_->append(encode(record)); !failed.empty()) {
       database_->run("ROLLBACK");
-      throw Unusable{"seats.db: " + failed};
+      throw Error{"seats.db: " + failed};
     }
   }
   database_->run("COMMIT");
   records_.clear();
 }
 
-// `bytes`: records, each behind its length, as one manager's step made them.
+// `bytes` holds the records of one event of the ledger: all of them are committed, or none.
 std::string SeatLog::keep(std::uint64_t, const std::string& bytes, bool) {
   try {
     database_->run("BEGIN IMMEDIATE");
@@ -110,12 +114,12 @@
       std::size_t size = 0;
       for (int i = 0; i < 4; ++i)
         size = size << 8 | static_cast<unsigned char>(bytes[at++]);
-      failed = database_->put(std::string_view(bytes).substr(at, size));
+      failed = database_->append(std::string_view(bytes).substr(at, size));
       at += size;
     }
     database_->run(failed.empty() ? "COMMIT" : "ROLLBACK");
     return failed;
-  } catch (const Unusable& unusable) {
+  } catch (const Error& unusable) {
     return unusable.what;
   }
 }
--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -21,37 +21,38 @@
 
 using nlohmann::json;
 
-template <auto free_one>
-struct Frees {
+// Deleter for C libraries' handles.
+template <auto free_function>
+struct Deleter {
   template <typename Held>
   void operator()(Held* held) const {
-    free_one(held);
+    free_function(held);
   }
 };
-using Parameters = std::unique_ptr<OSSL_PARAM, Frees<OSSL_PARAM_free>>;
-using Build = std::unique_ptr<OSSL_PARAM_BLD, Frees<OSSL_PARAM_BLD_free>>;
-using Context = std::unique_ptr<EVP_PKEY_CTX, Frees<EVP_PKEY_CTX_free>>;
-using Key = std::unique_ptr<EVP_PKEY, Frees<EVP_PKEY_free>>;
-using Number = std::unique_ptr<BIGNUM, Frees<BN_free>>;
-using Jwt = std::unique_ptr<jwt_t, Frees<jwt_free>>;
+using Parameters = std::unique_ptr<OSSL_PARAM, Deleter<OSSL_PARAM_free>>;
+using ParameterBuilder = std::unique_ptr<OSSL_PARAM_BLD, Deleter<OSSL_PARAM_BLD_free>>;
+using Context = std::unique_ptr<EVP_PKEY_CTX, Deleter<EVP_PKEY_CTX_free>>;
+using Key = std::unique_ptr<EVP_PKEY, Deleter<EVP_PKEY_free>>;
+using BigNumber = std::unique_ptr<BIGNUM, Deleter<BN_free>>;
+using Jwt = std::unique_ptr<jwt_t, Deleter<jwt_free>>;
 
-constexpr std::size_t most_keys = 100;
-constexpr std::size_t least_modulus = 256;  // bytes; RFC 7518, 3.3
+constexpr std::size_t max_keys = 100;
+constexpr std::size_t min_modulus_bytes = 256;  // 2048 bits (RFC 7518, 3.3)
 
-std::optional<std::string> octets(const json& key, const char* name) {
+std::optional<std::string> decode_octets(const json& key, const char* name) {
   if (!key.contains(name) || !key[name].is_string())
     return std::nullopt;
   return signing::from_base64url(key[name].get<std::string>());
 }
 
-std::string pem_of(const char* type, OSSL_PARAM* parameters) {
+std::string public_key_pem(const char* type, OSSL_PARAM* parameters) {
   const Context context(EVP_PKEY_CTX_new_from_name(nullptr, type, nullptr));
-  EVP_PKEY* made = nullptr;
+  EVP_PKEY* raw_key = nullptr;
   if (!context || EVP_PKEY_fromdata_init(context.get()) <= 0 ||
-      EVP_PKEY_fromdata(context.get(), &made, EVP_PKEY_PUBLIC_KEY, parameters) <= 0)
+      EVP_PKEY_fromdata(context.get(), &raw_key, EVP_PKEY_PUBLIC_KEY, parameters) <= 0)
     return "";
-  const Key key(made);
-  const std::unique_ptr<BIO, Frees<BIO_free_all>> bio(BIO_new(BIO_s_mem()));
+  const Key key(raw_key);
+  const std::unique_ptr<BIO, Deleter<BIO_free_all>> bio(BIO_new(BIO_s_mem()));
   if (PEM_write_bio_PUBKEY(bio.get(), key.get()) != 1)
     return "";
   char* bytes = nullptr;
@@ -59,32 +60,32 @@
   return {bytes, static_cast<std::size_t>(size)};
 }
 
-std::string elliptic_pem(const json& key, const char* group, std::size_t size) {
-  const auto x = octets(key, "x"), y = octets(key, "y");
+std::string ec_public_key_pem(const json& key, const char* group, std::size_t size) {
+  const auto x = decode_octets(key, "x"), y = decode_octets(key, "y");
   if (!x || !y || x->size() != size || y->size() != size)
     return "";
   const auto point = std::string(1, '\x04') + *x + *y;
-  const Build build(OSSL_PARAM_BLD_new());
-  OSSL_PARAM_BLD_push_utf8_string(build.get(), OSSL_PKEY_PARAM_GROUP_NAME, group, 0);
-  OSSL_PARAM_BLD_push_octet_string(build.get(), OSSL_PKEY_PARAM_PUB_KEY, point.data(), point.size());
-  const Parameters parameters(OSSL_PARAM_BLD_to_param(build.get()));
-  return pem_of("EC", parameters.get());
+  const ParameterBuilder builder(OSSL_PARAM_BLD_new());
+  OSSL_PARAM_BLD_push_utf8_string(builder.get(), OSSL_PKEY_PARAM_GROUP_NAME, group, 0);
+  OSSL_PARAM_BLD_push_octet_string(builder.get(), OSSL_PKEY_PARAM_PUB_KEY, point.data(), point.size());
+  const Parameters parameters(OSSL_PARAM_BLD_to_param(builder.get()));
+  return public_key_pem("EC", parameters.get());
 }
 
-std::string rsa_pem(const json& key) {
-  const auto n = octets(key, "n"), e = octets(key, "e");
-  if (!n || !e || n->size() < least_modulus || n->size() > 1024 || e->empty() || e->size() > 8)
+std::string rsa_public_key_pem(const json& key) {
+  const auto n = decode_octets(key, "n"), e = decode_octets(key, "e");
+  if (!n || !e || n->size() < min_modulus_bytes || n->size() > 1024 || e->empty() || e->size() > 8)
     return "";
   const auto number = [](const std::string& bytes) {
-    return Number(BN_bin2bn(reinterpret_cast<const unsigned char*>(bytes.data()),
-                            static_cast<int>(bytes.size()), nullptr));
+    return BigNumber(BN_bin2bn(reinterpret_cast<const unsigned char*>(bytes.data()),
+                               static_cast<int>(bytes.size()), nullptr));
   };
   const auto modulus = number(*n), exponent = number(*e);
-  const Build build(OSSL_PARAM_BLD_new());
-  OSSL_PARAM_BLD_push_BN(build.get(), OSSL_PKEY_PARAM_RSA_N, modulus.get());
-  OSSL_PARAM_BLD_push_BN(build.get(), OSSL_PKEY_PARAM_RSA_E, exponent.get());
-  const Parameters parameters(OSSL_PARAM_BLD_to_param(build.get()));
-  return pem_of("RSA", parameters.get());
+  const ParameterBuilder builder(OSSL_PARAM_BLD_new());
+  OSSL_PARAM_BLD_push_BN(builder.get(), OSSL_PKEY_PARAM_RSA_N, modulus.get());
+  OSSL_PARAM_BLD_push_BN(builder.get(), OSSL_PKEY_PARAM_RSA_E, exponent.get());
+  const Parameters parameters(OSSL_PARAM_BLD_to_param(builder.get()));
+  return public_key_pem("RSA", parameters.get());
 }
 
 jwt_alg_t jwt_algorithm(Algorithm algorithm) {
@@ -93,7 +94,8 @@
                                          : JWT_ALG_RS256;
 }
 
-bool texts(const json& claims, const char* name, std::vector<std::string>& into) {
+// A claim that is a string or an array of strings. False if it is neither; an absent one is accepted.
+bool read_strings(const json& claims, const char* name, std::vector<std::string>& into) {
   if (!claims.contains(name))
     return true;
   const auto& claim = claims[name];
@@ -103,16 +105,16 @@
   }
   if (!claim.is_array())
     return false;
-  for (const auto& one : claim) {
-    if (!one.is_string())
+  for (const auto& element : claim) {
+    if (!element.is_string())
       return false;
-    into.push_back(one);
+    into.push_back(element);
   }
   return true;
 }
 
-// NumericDate (RFC 7519, 2): seconds, a fraction allowed.
-bool date(const json& claims, const char* name, Span& into) {
+// NumericDate (RFC 7519, 2): seconds, a fraction allowed. False if malformed; an absent one is accepted.
+bool read_date(const json& claims, const char* name, Span& into) {
   if (!claims.contains(name))
     return true;
   if (!claims[name].is_number())
@@ -136,115 +138,116 @@
   return std::nullopt;
 }
 
-std::string_view words_of(TokenFault fault) {
-  constexpr std::string_view words[] = {"good",
+std::string_view describe(TokenError error) {
+  constexpr std::string_view texts[] = {"good",
                                         "malformed",
-                                        "its algorithm is none that is taken",
-                                        "its key is not known",
-                                        "its algorithm is not its key's",
-                                        "its signature does not fit",
-                                        "of another issuer",
+                                        "its signature algorithm is not supported",
+                                        "its signing key is unknown",
+                                        "its algorithm is not that of its key",
+                                        "its signature is invalid",
+                                        "from another issuer",
                                         "for another audience",
                                         "not valid yet",
                                         "expired",
                                         "not for this plan",
                                         "not for this recording",
-                                        "used before"};
-  return words[static_cast<std::size_t>(fault)];
+                                        "already used, or replaced by a newer token"};
+  return texts[static_cast<std::size_t>(error)];
 }
 
-std::variant<ReadKeys, std::string> read_key_set(std::string_view text) {
+std::variant<KeySet, std::string> read_key_set(std::string_view text) {
   const auto set = json::parse(text, nullptr, false);
   if (!set.is_object() || !set.contains("keys") || !set["keys"].is_array())
-    return std::string("no JWK set");
-  if (set["keys"].size() > most_keys)
-    return "more than " + std::to_string(most_keys) + " keys";
-  ReadKeys read;
-  std::size_t number = 0;
+    return std::string("not a JWK set");
+  if (set["keys"].size() > max_keys)
+    return "more than " + std::to_string(max_keys) + " keys";
+  KeySet result;
+  std::size_t index = 0;
   for (const auto& key : set["keys"]) {
-    const auto place = "keys[" + std::to_string(number++) + "]: ";
+    const auto position = "keys[" + std::to_string(index++) + "]: ";
     const auto text_of = [&](const char* name) {
       return key.is_object() && key.contains(name) && key[name].is_string() ? key[name].get<std::string>()
                                                                             : "";
     };
-    PublicKey made;
-    made.id = text_of("kid");
+    PublicKey public_key;
+    public_key.id = text_of("kid");
     const auto type = text_of("kty"), curve = text_of("crv"), use = text_of("use");
-    if (made.id.empty()) {
-      read.left_out.push_back(place + "no kid");
+    if (public_key.id.empty()) {
+      result.skipped.push_back(position + "no kid");
       continue;
     }
     if (!use.empty() && use != "sig") {
-      read.left_out.push_back(place + "not for signatures");
+      result.skipped.push_back(position + "not for signatures");
       continue;
     }
     if (type == "EC" && curve == "P-256") {
-      made.algorithm = Algorithm::es256;
-      made.pem = elliptic_pem(key, "P-256", 32);
+      public_key.algorithm = Algorithm::es256;
+      public_key.pem = ec_public_key_pem(key, "P-256", 32);
     } else if (type == "EC" && curve == "P-384") {
-      made.algorithm = Algorithm::es384;
-      made.pem = elliptic_pem(key, "P-384", 48);
+      public_key.algorithm = Algorithm::es384;
+      public_key.pem = ec_public_key_pem(key, "P-384", 48);
     } else if (type == "RSA") {
-      made.algorithm = Algorithm::rs256;
-      made.pem = rsa_pem(key);
+      public_key.algorithm = Algorithm::rs256;
+      public_key.pem = rsa_public_key_pem(key);
     } else {
-      read.left_out.push_back(place + "a kind of key that is not taken");
+      result.skipped.push_back(position + "unsupported key type or curve");
       continue;
     }
-    if (made.pem.empty()) {
-      read.left_out.push_back(place + "no such key, or too short a one");
+    if (public_key.pem.empty()) {
+      result.skipped.push_back(position + "invalid key parameters, or the key is too short");
       continue;
     }
-    if (const auto said = text_of("alg"); !said.empty() && algorithm_of(said) != made.algorithm) {
-      read.left_out.push_back(place + "for another algorithm");
+    if (const auto algorithm = text_of("alg");
+        !algorithm.empty() && algorithm_of(algorithm) != public_key.algorithm) {
+      result.skipped.push_back(position + "alg does not match the key type");
       continue;
     }
-    read.keys.push_back(std::move(made));
+    result.keys.push_back(std::move(public_key));
   }
-  return read;
+  return result;
 }
 
-std::variant<Unsigned, TokenFault> read_unsigned(std::string_view token) {
-  if (token.empty() || token.size() > most_token_bytes || std::count(token.begin(), token.end(), '.') != 2)
-    return TokenFault::malformed;
+std::variant<UnverifiedHeader, TokenError> read_unverified_header(std::string_view token) {
+  if (token.empty() || token.size() > max_token_bytes || std::count(token.begin(), token.end(), '.') != 2)
+    return TokenError::malformed;
   const auto header = signing::from_base64url(token.substr(0, token.find('.')));
   if (!header)
-    return TokenFault::malformed;
-  const auto read = json::parse(*header, nullptr, false);
-  if (!read.is_object() || !read.contains("alg") || !read["alg"].is_string())
-    return TokenFault::malformed;
-  // Extensions that must be understood are not (RFC 7515, 4.1.11).
-  if (read.contains("crit"))
-    return TokenFault::malformed;
-  Unsigned made;
-  made.algorithm = read["alg"];
-  if (!algorithm_of(made.algorithm))
-    return TokenFault::no_algorithm;
-  if (!read.contains("kid") || !read["kid"].is_string())
-    return TokenFault::unknown_key;
-  made.key_id = read["kid"];
-  return made;
+    return TokenError::malformed;
+  const auto fields = json::parse(*header, nullptr, false);
+  if (!fields.is_object() || !fields.contains("alg") || !fields["alg"].is_string())
+    return TokenError::malformed;
+  // No critical extensions are supported (RFC 7515, 4.1.11).
+  if (fields.contains("crit"))
+    return TokenError::malformed;
+  UnverifiedHeader result;
+  result.algorithm = fields["alg"];
+  if (!algorithm_of(result.algorithm))
+    return TokenError::unsupported_algorithm;
+  if (!fields.contains("kid") || !fields["kid"].is_string())
+    return TokenError::unknown_key;
+  result.key_id = fields["kid"];
+  return result;
 }
 
-std::variant<Token, TokenFault> verify(std::string_view token, const PublicKey& key,
-                                       std::string_view audience) {
-  const auto head = read_unsigned(token);
-  if (const auto* fault = std::get_if<TokenFault>(&head))
-    return *fault;
-  // Guards against a token that chooses how it is checked: the key's algorithm counts.
-  if (algorithm_of(std::get<Unsigned>(head).algorithm) != key.algorithm)
-    return TokenFault::wrong_algorithm;
+std::variant<Token, TokenError> verify_token(std::string_view token, const PublicKey& key,
+                                             std::string_view audience) {
+  const auto header = read_unverified_header(token);
+  if (const auto* error = std::get_if<TokenError>(&header))
+    return *error;
+  // Guards against algorithm confusion: the key determines the algorithm, not the token.
+  if (algorithm_of(std::get<UnverifiedHeader>(header).algorithm) != key.algorithm)
+    return TokenError::wrong_algorithm;
   jwt_t* decoded = nullptr;
   const std::string text(token);
   const int code = jwt_decode(&decoded, text.c_str(), reinterpret_cast<const unsigned char*>(key.pem.data()),
                               static_cast<int>(key.pem.size()));
   const Jwt jwt(decoded);
   if (code != 0 || !jwt || jwt_get_alg(jwt.get()) != jwt_algorithm(key.algorithm))
-    return TokenFault::forged;
-  const std::unique_ptr<char, Frees<std::free>> grants(jwt_get_grants_json(jwt.get(), nullptr));
+    return TokenError::bad_signature;
+  const std::unique_ptr<char, Deleter<std::free>> grants(jwt_get_grants_json(jwt.get(), nullptr));
   const auto claims = grants ? json::parse(grants.get(), nullptr, false) : json();
   if (!claims.is_object())
-    return TokenFault::malformed;
+    return TokenError::malformed;
   const auto text_of = [&](const char* name, std::string& into) {
     if (!claims.contains(name))
       return true;
@@ -253,40 +256,41 @@
     into = claims[name];
     return true;
   };
-  Token made;
+  Token result;
   std::vector<std::string> audiences;
-  if (!text_of("jti", made.id) || !text_of("iss", made.issuer) || !text_of("sub", made.subject) ||
-      !text_of("team", made.team) || !texts(claims, "plans", made.plans) ||
-      !texts(claims, "recordings", made.titles) || !texts(claims, "aud", audiences) ||
-      !date(claims, "iat", made.issued) || !date(claims, "nbf", made.not_before) ||
-      !date(claims, "exp", made.expires))
-    return TokenFault::malformed;
+  if (!text_of("jti", result.id) || !text_of("iss", result.issuer) || !text_of("sub", result.subject) ||
+      !text_of("team", result.team) || !read_strings(claims, "plans", result.plans) ||
+      !read_strings(claims, "recordings", result.titles) || !read_strings(claims, "aud", audiences) ||
+      !read_date(claims, "iat", result.issued) || !read_date(claims, "nbf", result.not_before) ||
+      !read_date(claims, "exp", result.expires))
+    return TokenError::malformed;
   if (claims.contains("seats")) {
     if (!claims["seats"].is_number_integer() || claims["seats"] < 0 || claims["seats"] > 1'000'000)
-      return TokenFault::malformed;
-    made.seats = claims["seats"];
+      return TokenError::malformed;
+    result.seats = claims["seats"];
   }
-  // Without these nothing can be counted, ended or told apart.
-  if (made.id.empty() || made.subject.empty() || made.team.empty() || made.expires == Span(0) ||
-      made.id.size() > 256 || made.subject.size() > 256 || made.team.size() > 256)
-    return TokenFault::malformed;
+  // Required: seats are counted by team and subject, expire by `exp`, and replays are detected by `jti`.
+  if (result.id.empty() || result.subject.empty() || result.team.empty() || result.expires == Span(0) ||
+      result.id.size() > 256 || result.subject.size() > 256 || result.team.size() > 256)
+    return TokenError::malformed;
   if (!audience.empty() && std::find(audiences.begin(), audiences.end(), audience) == audiences.end())
-    return TokenFault::wrong_audience;
-  return made;
+    return TokenError::wrong_audience;
+  return result;
 }
 
-std::string sign(const std::string& claims_json, Algorithm algorithm, const std::string& key_id,
-                 const std::string& private_pem) {
-  jwt_t* made = nullptr;
-  if (jwt_new(&made) != 0)
+std::string sign_token(const std::string& claims_json, Algorithm algorithm, const std::string& key_id,
+                       const std::string& private_pem) {
+  jwt_t* raw_jwt = nullptr;
+  if (jwt_new(&raw_jwt) != 0)
     return "";
-  const Jwt jwt(made);
-  if (jwt_add_grants_json(made, claims_json.c_str()) != 0 ||
-      jwt_add_header(made, "kid", key_id.c_str()) != 0 ||
-      jwt_set_alg(made, jwt_algorithm(algorithm), reinterpret_cast<const unsigned char*>(private_pem.data()),
+  const Jwt jwt(raw_jwt);
+  if (jwt_add_grants_json(raw_jwt, claims_json.c_str()) != 0 ||
+      jwt_add_header(raw_jwt, "kid", key_id.c_str()) != 0 ||
+      jwt_set_alg(raw_jwt, jwt_algorithm(algorithm),
+                  reinterpret_cast<const unsigned char*>(private_pem.data()),
                   static_cast<int>(private_pem.size())) != 0)
     return "";
-  const std::unique_ptr<char, Frees<std::free>> text(jwt_encode_str(made));
+  const std::unique_ptr<char, Deleter<std::free>> text(jwt_encode_str(raw_jwt));
   return text ? text.get() : "";
 }
 
--- a/src/entitlement/tokens/tokens.h
+++ b/src/entitlement/tokens/tokens.h
@@ -1,5 +1,6 @@
 // Entitlement tokens: JWTs (RFC 7519) signed by a customer's issuer, and the issuer's keys as a JWK set
-// (RFC 7517). libjwt checks signatures; which algorithm a token must have is its key's to say (RFC 8725).
+// (RFC 7517). libjwt checks the signatures. A token must use the algorithm of its key, whatever its own
+// header says (RFC 8725).
 #pragma once
 
 #include <chrono>
@@ -16,57 +17,66 @@
 using Span = std::chrono::microseconds;
 
 enum class Algorithm : std::uint8_t { es256, es384, rs256 };
+// By its JWS name; nothing for an unsupported one.
 std::optional<Algorithm> algorithm_of(std::string_view name);
 
+// A verification key of the issuer.
 struct PublicKey {
   std::string id;  // kid
   Algorithm algorithm = Algorithm::es256;
   std::string pem;
 };
-struct ReadKeys {
+// The usable keys of a JWK set.
+struct KeySet {
   std::vector<PublicKey> keys;
-  std::vector<std::string> left_out;  // which and why
+  std::vector<std::string> skipped;  // the position and the cause of each key that can't be used
 };
-// Keys that are of no use here are left out and told; text that is no set is a fault.
-std::variant<ReadKeys, std::string> read_key_set(std::string_view json);
+// Skips keys that can't be used. Returns the cause as text if `json` is not a JWK set.
+std::variant<KeySet, std::string> read_key_set(std::string_view json);
 
-// What a token says, its signature aside.
+// The claims of a verified token.
 struct Token {
   std::string id;  // jti
   std::string issuer, subject, team;
   int seats = 0;
-  std::vector<std::string> plans, titles;  // empty: any; a title may end in '*'
-  Span issued{0}, not_before{0}, expires{0};
+  std::vector<std::string> plans, titles;     // allowed ones; empty: any; each may end in '*'
+  Span issued{0}, not_before{0}, expires{0};  // since the Unix epoch; 0: claim absent
 };
-struct Unsigned {  // what is read before any key is known
+// The header fields that select the key. Not to be trusted.
+struct UnverifiedHeader {
   std::string key_id, algorithm;
 };
 
-enum class TokenFault : std::uint8_t {
+// Why a token is not accepted.
+enum class TokenError : std::uint8_t {
   none,
-  malformed,     // no JWT, or claims that are none
-  no_algorithm,  // 'none', or one that is not taken
+  malformed,              // not a JWT, or claims that are missing or of the wrong type
+  unsupported_algorithm,  // 'none' included
   unknown_key,
-  wrong_algorithm,  // another than its key's
-  forged,
+  wrong_algorithm,  // not the algorithm of its key
+  bad_signature,
   wrong_issuer,
   wrong_audience,
-  not_yet,
+  not_yet_valid,
   expired,
-  not_this_plan,
-  not_this_title,
-  replayed,  // its id was another playback's, or a newer one took its place
+  plan_not_allowed,
+  title_not_allowed,
+  replayed,  // its id was used for another playback, or a newer token replaced it
 };
-std::string_view words_of(TokenFault fault);
+// The cause as a text for logs and viewers.
+std::string_view describe(TokenError error);
 
-constexpr std::size_t most_token_bytes = 8 * 1024;
-std::variant<Unsigned, TokenFault> read_unsigned(std::string_view token);
-// By the key that its header names.
-std::variant<Token, TokenFault> verify(std::string_view token, const PublicKey& key,
-                                       std::string_view audience);
+// Longer tokens are malformed.
+constexpr std::size_t max_token_bytes = 8 * 1024;
+// Reads the header without checking the signature.
+std::variant<UnverifiedHeader, TokenError> read_unverified_header(std::string_view token);
+// Checks the signature by `key`, which must be the one that the header names, the form of the claims, and the
+// audience unless `audience` is empty. Times and the issuer are for the caller to check.
+std::variant<Token, TokenError> verify_token(std::string_view token, const PublicKey& key,
+                                             std::string_view audience);
 
-// For issuers' stand-ins and tests.
-std::string sign(const std::string& claims_json, Algorithm algorithm, const std::string& key_id,
-                 const std::string& private_pem);
+// For stand-in issuers and tests. Returns an empty text on failure.
+std::string sign_token(const std::string& claims_json, Algorithm algorithm, const std::string& key_id,
+                       const std::string& private_pem);
 
 }  // namespace violettide::entitlement
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -66,7 +66,7 @@
           terms_.keeper, [this](std::string_view name) { return list_.index(name); },
           static_cast<int>(terms_.site.rung_kb.size())),
       demand_(terms_.demand_kept, terms_.demand_half_life),
-      gate_(terms_.entitlement.gate),
+      token_validator_(terms_.entitlement.token_validator),
       keys_(terms_.hls.passes) {
   terms_.hls.show.silence = terms_.silence;
   chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
@@ -117,16 +117,16 @@
   if (terms_.catalogued && terms_.feed_port != 0)
     arm(Span(0), Ring::feed, 0);
   arm(terms_.object_length, Ring::weigh, 0);
-  if (!terms_.peers.all.empty())
+  if (!terms_.peers.managers.empty())
     peers_ = std::make_unique<peers::Peers>(terms_.peers, peer_links);
   if (terms_.entitlement.on) {
     auto own = terms_.entitlement.ledger;
     own.peers.clear();
-    for (const auto& peer : terms_.peers.all)
+    for (const auto& peer : terms_.peers.managers)
       own.peers.push_back(peer.name);
     if (own.peers.empty())
       own.peers.push_back(terms_.name);
-    own.self = terms_.peers.own;
+    own.self = terms_.peers.self;
     ledger_ = std::make_unique<entitlement::Ledger>(std::move(own), terms_.entitlement.restart, wall(),
                                                     terms_.entitlement.kept);
   }
@@ -194,7 +194,7 @@
 
 void Manager::on(const Accepted& what) {
   if (peers_ && what.door == terms_.peer_door)
-    return peers_->accepted(now_, what.link, *actions_);
+    return peers_->on_accepted(now_, what.link, *actions_);
   if (what.door != 0) {
     auto control = std::make_unique<Control>();
     control->link = what.link;
@@ -220,7 +220,7 @@
 
 void Manager::on(const Received& what) {
   if (peer_link(what.link))
-    return peers_said(peers_->received(what.link, what.bytes, *actions_));
+    return peers_said(peers_->on_received(what.link, what.bytes, *actions_));
   if (what.link >= first_accepted) {
     if (const auto control = controls_.find(what.link); control != controls_.end()) {
       control->second->reader.push(what.bytes);
@@ -532,7 +532,7 @@
 void Manager::on(const HalfClosed& what) {
   if (peer_link(what.link)) {
     actions_->push_back(Close{what.link, false});
-    return peers_->ended(now_, what.link);
+    return peers_->on_closed(now_, what.link);
   }
   if (what.link < first_accepted)
     return on(Ended{what.link, Ending::finished});
@@ -1094,7 +1094,7 @@
 
 void Manager::on(const Ended& what) {
   if (peer_link(what.link))
-    return peers_->ended(now_, what.link);
+    return peers_->on_closed(now_, what.link);
   if (what.link >= first_accepted) {
     if (controls_.contains(what.link))
       return control_gone(what.link);
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -19,8 +19,8 @@
 #include "catalogue/keeper.h"
 #include "cataloguewire/resource.h"
 #include "decider/decider.h"
-#include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
+#include "entitlement/token_validator/token_validator.h"
 #include "hints/weighing/weighing.h"
 #include "hls/showing/showing.h"
 #include "hls/writing.h"
@@ -51,7 +51,7 @@
   catalogue::Keeper& catalogue() { return keeper_; }
   // The seats, where tokens are asked for and the first happening has been.
   const entitlement::Ledger* seats() const { return ledger_.get(); }
-  const entitlement::Gate& gate() const { return gate_; }
+  const entitlement::TokenValidator& token_validator() const { return token_validator_; }
 
  private:
   enum class Use { idle, set_up, object, probe, list, feed, keys };
@@ -139,14 +139,14 @@
   http::Fields box_fields(const ViewerLink* viewer, const Playback* playback, bool set_up) const;
 
   // ---- seats ----
-  bool peer_link(Link link) const { return peers_ && peers_->knows(link); }
+  bool peer_link(Link link) const { return peers_ && peers_->owns_link(link); }
   static std::string token_of(const http::Request& request);
   void entitle(Playback& playback);
   void renew(Playback& playback, const ViewerLink& viewer);
   void seats_did(const entitlement::LedgerEvent& event);
   void seats_time();
   void seats_kept(const KeepDone& what);
-  void peers_said(std::vector<peers::Heard> heard);
+  void peers_said(std::vector<peers::ReceivedMessage> heard);
   void keys_answered(BoxLink& link, bool whole);
   void fetch_keys();
   void do_seat(const entitlement::LedgerAction& act);
@@ -253,7 +253,7 @@
       asking_;  // that wait for a set-up, or are out for one
   bool feed_out_ = false, feed_whole_ = false;
   std::unique_ptr<entitlement::Ledger> ledger_;
-  entitlement::Gate gate_;
+  entitlement::TokenValidator token_validator_;
   std::unique_ptr<peers::Peers> peers_;
   std::map<entitlement::SeatKey, PlaybackId> by_seat_;
   std::set<PlaybackId> wait_for_keys_;
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -3,7 +3,7 @@
 // carried to viewers, other managers, the issuer and the disk.
 #include <algorithm>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 #include "manager/inside.h"
 
 namespace violettide::manager {
@@ -64,25 +64,25 @@
   };
   if (viewer.token.empty())
     return refuse(401, "none was shown", "invalid_request");
-  const auto judged =
-      gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
-  if (std::holds_alternative<entitlement::WaitsForKeys>(judged)) {
+  const auto judged = token_validator_.validate(
+      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+  if (std::holds_alternative<entitlement::AwaitingKeys>(judged)) {
     wait_for_keys_.insert(playback.id);
     fetch_keys();
     // The issuer was asked not long ago and did not answer: to wait for the next time would hold this one up.
-    if (!gate_.fetching())
+    if (!token_validator_.fetching())
       settle(playback, 503, "rejected: the issuer's keys can't be had now\n", come_back_soon());
     return;
   }
-  if (const auto* bad = std::get_if<entitlement::Bad>(&judged)) {
-    using Fault = entitlement::TokenFault;
-    const bool scope = bad->fault == Fault::not_this_plan || bad->fault == Fault::not_this_title;
-    return refuse(scope ? 403 : 401, std::string(entitlement::words_of(bad->fault)),
+  if (const auto* bad = std::get_if<entitlement::InvalidToken>(&judged)) {
+    using Error = entitlement::TokenError;
+    const bool scope = bad->error == Error::plan_not_allowed || bad->error == Error::title_not_allowed;
+    return refuse(scope ? 403 : 401, std::string(entitlement::describe(bad->error)),
                   scope ? "insufficient_scope" : "invalid_token");
   }
-  const auto& good = std::get<entitlement::Good>(judged);
+  const auto& good = std::get<entitlement::ValidToken>(judged);
   playback.token = viewer.token;
-  playback.seat = entitlement::SeatKey{good.team, good.who};
+  playback.seat = entitlement::SeatKey{good.team, good.viewer_session};
   by_seat_[*playback.seat] = playback.id;
   seats_did(entitlement::SeatClaimed{*playback.seat, good.seats, good.issued, good.until});
 }
@@ -91,16 +91,16 @@
 void Manager::renew(Playback& playback, const ViewerLink& viewer) {
   if (viewer.token.empty() || viewer.token == playback.token || !playback.seat)
     return;
-  const auto judged =
-      gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
-  if (std::holds_alternative<entitlement::WaitsForKeys>(judged))
+  const auto judged = token_validator_.validate(
+      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+  if (std::holds_alternative<entitlement::AwaitingKeys>(judged))
     return fetch_keys();
-  const auto* good = std::get_if<entitlement::Good>(&judged);
-  if (!good || entitlement::SeatKey{good->team, good->who} != *playback.seat) {
-    const auto* bad = std::get_if<entitlement::Bad>(&judged);
+  const auto* good = std::get_if<entitlement::ValidToken>(&judged);
+  if (!good || entitlement::SeatKey{good->team, good->viewer_session} != *playback.seat) {
+    const auto* bad = std::get_if<entitlement::InvalidToken>(&judged);
     say("renewal_refused",
         {{"playback", said_id(playback.id)},
-         {"cause", bad ? std::string(entitlement::words_of(bad->fault)) : "of another seat"}});
+         {"cause", bad ? std::string(entitlement::describe(bad->error)) : "of another seat"}});
     return;
   }
   playback.token = viewer.token;
@@ -114,7 +114,7 @@
   std::uint64_t last = 0;
   for (const auto& act : actions) {
     if (const auto* record = std::get_if<entitlement::PersistRecord>(&act)) {
-      const auto one = entitlement::bytes_of(record->record);
+      const auto one = entitlement::encode(record->record);
       for (int shift = 24; shift >= 0; shift -= 8)
         bytes += static_cast<char>(one.size() >> shift & 0xff);
       bytes += one;
@@ -179,21 +179,21 @@
            {});
   } else if (const auto* message = std::get_if<entitlement::SendToPeer>(&act)) {
     if (peers_)
-      peers_->send(now_, message->to, seat_words, entitlement::bytes_of(message->message), *actions_);
+      peers_->send(now_, message->to, seat_words, entitlement::encode(message->message), *actions_);
   }
 }
 
-void Manager::peers_said(std::vector<peers::Heard> heard) {
-  for (const auto& remark : peers_->take_remarks())
+void Manager::peers_said(std::vector<peers::ReceivedMessage> heard) {
+  for (const auto& remark : peers_->take_warnings())
     say("peer_refused", {{"cause", remark}});
   for (const auto& one : heard) {
     if (one.kind != seat_words || !ledger_)
       continue;
-    const auto message = entitlement::read_message(one.payload);
+    const auto message = entitlement::decode_message(one.payload);
     if (message)
       seats_did(entitlement::MessageReceived{one.from, *message});
     else
-      say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.all[one.from].name}});
+      say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.managers[one.from].name}});
   }
 }
 
@@ -211,7 +211,7 @@
 void Manager::seats_time() {
   arm(terms_.entitlement.every, Ring::seats, 0);
   if (peers_) {
-    peers_->time_passed(now_, *actions_);
+    peers_->on_tick(now_, *actions_);
     peers_said({});  // what it remarked meanwhile
   }
   if (!ledger_)
@@ -222,7 +222,7 @@
 
 void Manager::fetch_keys() {
   const auto& terms = terms_.entitlement;
-  if (terms.keys_port == 0 || !gate_.wants_fetch(wall()))
+  if (terms.keys_port == 0 || !token_validator_.start_fetch_if_due(wall()))
     return;
   service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Span(2'000'000));
 }
@@ -233,11 +233,11 @@
   hang_box(link.link);
   if (whole && status == 200) {
     std::vector<std::string> left_out;
-    gate_.keys_came(wall(), body, left_out);
+    token_validator_.on_keys_received(wall(), body, left_out);
     for (const auto& what : left_out)
       say("key_left_out", {{"cause", what}});
   } else {
-    gate_.keys_failed();
+    token_validator_.on_keys_failed();
     say("keys_failed", {{"status", std::int64_t{status}}});
   }
   // Those who waited for this answer are judged by what is known now.
@@ -246,7 +246,7 @@
     const auto found = playbacks_.find(id);
     if (found == playbacks_.end() || found->second->askers.empty())
       continue;
-    if (gate_.keys() > 0) {
+    if (token_validator_.keys() > 0) {
       entitle(*found->second);
       if (!wait_for_keys_.contains(id))
         continue;
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -8,8 +8,8 @@
 
 #include "brain.h"
 #include "catalogue/keeper.h"
-#include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
+#include "entitlement/token_validator/token_validator.h"
 #include "hls/playlist.h"
 #include "hls/showing/showing.h"
 #include "http/http.h"
@@ -49,7 +49,7 @@
 // Seats of teams, by tokens. Off, no token is asked for.
 struct EntitlementTerms {
   bool on = false;
-  entitlement::GateTerms gate;
+  entitlement::TokenValidatorSettings token_validator;
   std::string keys_address = "127.0.0.1", keys_path = "/keys";
   std::uint16_t keys_port = 0;
   entitlement::LedgerSettings ledger;  // its peers are those of `peers`
@@ -82,9 +82,9 @@
   http::Limits http;
   HlsTerms hls;
   EntitlementTerms entitlement;
-  peers::PeerTerms peers;  // none: this manager is alone
-  int peer_door = 2;       // where other managers come in
-  Span wall_at_zero{0};    // the machine's clock at the core's time 0
+  peers::PeerSettings peers;  // none: this manager is alone
+  int peer_door = 2;          // where other managers come in
+  Span wall_at_zero{0};       // the machine's clock at the core's time 0
   // With a catalogue, holders come from it alone; without, from `recordings` and names' hashes.
   bool catalogued = false;
   catalogue::KeeperTerms keeper;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -13,176 +13,183 @@
 constexpr std::uint32_t version = 1;
 constexpr std::size_t challenge_bytes = 32, mac_bytes = 16, length_bytes = 4;
 
-std::string framed(const std::string& bytes) {
-  std::string made;
+std::string with_length_prefix(const std::string& bytes) {
+  std::string frame;
   for (int shift = 24; shift >= 0; shift -= 8)
-    made += static_cast<char>(bytes.size() >> shift & 0xff);
-  return made + bytes;
+    frame += static_cast<char>(bytes.size() >> shift & 0xff);
+  return frame + bytes;
 }
 
-// The next whole frame; nothing: more bytes are wanted. Too long a one is told.
-std::optional<std::string> next_frame(std::string& got, std::size_t most, bool& too_long) {
-  if (got.size() < length_bytes)
+// Removes the next complete frame from the buffer; nothing if more bytes are needed. Sets `too_long` if the
+// frame is longer than `max_bytes`.
+std::optional<std::string> next_frame(std::string& buffer, std::size_t max_bytes, bool& too_long) {
+  if (buffer.size() < length_bytes)
     return std::nullopt;
   std::size_t size = 0;
   for (std::size_t i = 0; i < length_bytes; ++i)
-    size = size << 8 | static_cast<unsigned char>(got[i]);
-  too_long = size > most;
-  if (too_long || got.size() < length_bytes + size)
+    size = size << 8 | static_cast<unsigned char>(buffer[i]);
+  too_long = size > max_bytes;
+  if (too_long || buffer.size() < length_bytes + size)
     return std::nullopt;
-  auto frame = got.substr(length_bytes, size);
-  got.erase(0, length_bytes + size);
+  auto frame = buffer.substr(length_bytes, size);
+  buffer.erase(0, length_bytes + size);
   return frame;
 }
 
 }  // namespace
 
 std::string Peers::mac(std::string_view challenge, std::string_view body) const {
-  return signing::hmac(terms_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
+  return signing::hmac(settings_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
 }
 
 void Peers::send(Span now, PeerIndex to, std::uint32_t kind, std::string payload,
                  std::vector<Action>& actions) {
-  if (to >= out_.size() || to == terms_.own)
+  if (to >= outgoing_.size() || to == settings_.self)
     return;
-  auto& out = out_[to];
-  if (out.waiting.size() >= terms_.most_waiting) {
-    out.waiting.pop_front();  // the oldest: what matters still is sent again
-    if (!std::exchange(out.told_full, true))
-      remarks_.push_back("messages to " + terms_.all[to].name + " are dropped: too many wait");
+  auto& outgoing = outgoing_[to];
+  if (outgoing.queue.size() >= settings_.max_queued) {
+    outgoing.queue.pop_front();  // the oldest one: senders resend what still matters
+    if (!std::exchange(outgoing.overflow_reported, true))
+      warnings_.push_back("messages to " + settings_.managers[to].name + " are dropped: the queue is full");
   }
-  out.waiting.emplace_back(kind, std::move(payload));
-  if (out.link == 0 && now >= out.dial_at)
+  outgoing.queue.emplace_back(kind, std::move(payload));
+  if (outgoing.link == 0 && now >= outgoing.dial_at)
     dial(now, to, actions);
   flush(to, actions);
 }
 
 void Peers::dial(Span now, PeerIndex to, std::vector<Action>& actions) {
-  auto& out = out_[to];
-  out.link = next_link_++;
-  out.challenged = false;
-  out.got.clear();
-  out.count = 0;
-  // Until it is seen to work, the next attempt waits.
-  out.pause = out.pause == Span(0) ? terms_.dial_again : std::min(terms_.dial_longest, 2 * out.pause);
-  out.dial_at = now + out.pause;
-  dialed_[out.link] = to;
-  actions.push_back(Dial{out.link, terms_.all[to].address, terms_.all[to].port});
+  auto& outgoing = outgoing_[to];
+  outgoing.link = next_link_++;
+  outgoing.challenged = false;
+  outgoing.buffer.clear();
+  outgoing.frame_count = 0;
+  // Doubles the delay until a challenge arrives, which shows that the connection works.
+  outgoing.redial_pause = outgoing.redial_pause == Span(0)
+                              ? settings_.redial_delay
+                              : std::min(settings_.max_redial_delay, 2 * outgoing.redial_pause);
+  outgoing.dial_at = now + outgoing.redial_pause;
+  dialed_[outgoing.link] = to;
+  actions.push_back(Dial{outgoing.link, settings_.managers[to].address, settings_.managers[to].port});
 }
 
 void Peers::flush(PeerIndex to, std::vector<Action>& actions) {
-  auto& out = out_[to];
-  if (out.link == 0 || !out.challenged)
+  auto& outgoing = outgoing_[to];
+  if (outgoing.link == 0 || !outgoing.challenged)
     return;
-  while (!out.waiting.empty()) {
+  while (!outgoing.queue.empty()) {
     wire::Body body;
     body.set_version(version);
-    body.set_count(++out.count);
-    body.set_from(terms_.all[terms_.own].name);
-    body.set_to(terms_.all[to].name);
-    body.set_kind(out.waiting.front().first);
-    body.set_payload(std::move(out.waiting.front().second));
-    out.waiting.pop_front();
+    body.set_count(++outgoing.frame_count);
+    body.set_from(settings_.managers[settings_.self].name);
+    body.set_to(settings_.managers[to].name);
+    body.set_kind(outgoing.queue.front().first);
+    body.set_payload(std::move(outgoing.queue.front().second));
+    outgoing.queue.pop_front();
     wire::Frame frame;
     frame.set_body(body.SerializeAsString());
-    frame.set_mac(mac(out.challenge, frame.body()));
-    actions.push_back(Send{out.link, framed(frame.SerializeAsString())});
+    frame.set_mac(mac(outgoing.challenge, frame.body()));
+    actions.push_back(Send{outgoing.link, with_length_prefix(frame.SerializeAsString())});
   }
 }
 
-void Peers::accepted(Span now, Link link, std::vector<Action>& actions) {
-  auto& in = came_[link];
-  // Never the same twice, nor to be told before: by the key, the time and a count.
-  in.challenge =
-      signing::hmac(terms_.key, "challenge " + terms_.all[terms_.own].name + std::to_string(now.count()) +
-                                    "." + std::to_string(link) + "." + std::to_string(++challenges_))
+void Peers::on_accepted(Span now, Link link, std::vector<Action>& actions) {
+  auto& incoming = incoming_[link];
+  // Unique and unpredictable: derived from the key, the time, the connection and a counter.
+  incoming.challenge =
+      signing::hmac(settings_.key, "challenge " + settings_.managers[settings_.self].name +
+                                       std::to_string(now.count()) + "." + std::to_string(link) + "." +
+                                       std::to_string(++challenge_count_))
           .substr(0, challenge_bytes);
-  actions.push_back(Send{link, framed(in.challenge)});
+  actions.push_back(Send{link, with_length_prefix(incoming.challenge)});
 }
 
-void Peers::refuse(Link link, const std::string& cause, std::vector<Action>& actions) {
-  remarks_.push_back(cause);
+void Peers::reject(Link link, const std::string& cause, std::vector<Action>& actions) {
+  warnings_.push_back(cause);
   actions.push_back(Close{link, false});
-  came_.erase(link);
+  incoming_.erase(link);
 }
 
-std::vector<Heard> Peers::received(Link link, std::string_view bytes, std::vector<Action>& actions) {
-  std::vector<Heard> heard;
+std::vector<ReceivedMessage> Peers::on_received(Link link, std::string_view bytes,
+                                                std::vector<Action>& actions) {
+  std::vector<ReceivedMessage> messages;
   bool too_long = false;
   if (const auto dialed = dialed_.find(link); dialed != dialed_.end()) {
-    auto& out = out_[dialed->second];
-    out.got.append(bytes);
-    const auto frame = out.challenged ? std::nullopt : next_frame(out.got, challenge_bytes, too_long);
+    auto& outgoing = outgoing_[dialed->second];
+    outgoing.buffer.append(bytes);
+    const auto frame =
+        outgoing.challenged ? std::nullopt : next_frame(outgoing.buffer, challenge_bytes, too_long);
     if (frame && frame->size() == challenge_bytes) {
-      out.challenge = *frame;
-      out.challenged = true;
-      out.pause = Span(0);
-      out.told_full = false;
+      outgoing.challenge = *frame;
+      outgoing.challenged = true;
+      outgoing.redial_pause = Span(0);
+      outgoing.overflow_reported = false;
       flush(dialed->second, actions);
-    } else if (too_long || out.challenged || frame) {
-      // Nothing else is said on this side: who says it is no manager.
-      remarks_.push_back("no challenge from " + terms_.all[dialed->second].name);
+    } else if (too_long || outgoing.challenged || frame) {
+      // A manager sends nothing but one challenge in this direction.
+      warnings_.push_back("malformed challenge from " + settings_.managers[dialed->second].name);
       actions.push_back(Close{link, false});
-      out.link = 0;
+      outgoing.link = 0;
       dialed_.erase(dialed);
     }
-    return heard;
+    return messages;
   }
-  const auto found = came_.find(link);
-  if (found == came_.end())
-    return heard;
-  auto& in = found->second;
-  in.got.append(bytes);
-  while (const auto bytes_of = next_frame(in.got, terms_.most_frame, too_long)) {
+  const auto found = incoming_.find(link);
+  if (found == incoming_.end())
+    return messages;
+  auto& incoming = found->second;
+  incoming.buffer.append(bytes);
+  while (const auto frame_bytes = next_frame(incoming.buffer, settings_.max_frame_bytes, too_long)) {
     wire::Frame frame;
     wire::Body body;
-    const auto whom = in.from ? " from " + terms_.all[*in.from].name : std::string();
-    if (!frame.ParseFromString(*bytes_of) || frame.mac().size() != mac_bytes)
-      return refuse(link, "no frame" + whom, actions), heard;
-    const auto own = mac(in.challenge, frame.body());
-    if (!signing::same(own, frame.mac()))
-      return refuse(link, "a frame that is not signed with the hall's key" + whom, actions), heard;
+    const auto sender = incoming.from ? " from " + settings_.managers[*incoming.from].name : std::string();
+    if (!frame.ParseFromString(*frame_bytes) || frame.mac().size() != mac_bytes)
+      return reject(link, "malformed frame" + sender, actions), messages;
+    const auto expected_mac = mac(incoming.challenge, frame.body());
+    if (!signing::same(expected_mac, frame.mac()))
+      return reject(link, "a frame that is not signed with the hall's key" + sender, actions), messages;
     if (!body.ParseFromString(frame.body()))
-      return refuse(link, "no body" + whom, actions), heard;
+      return reject(link, "malformed frame body" + sender, actions), messages;
     if (body.version() != version)
-      return refuse(link, "version " + std::to_string(body.version()) + " is not spoken here" + whom,
+      return reject(link, "protocol version " + std::to_string(body.version()) + " is not supported" + sender,
                     actions),
-             heard;
-    if (body.count() != in.count + 1 || body.to() != terms_.all[terms_.own].name)
-      return refuse(link, "a frame of another connection, or one is missing" + whom, actions), heard;
-    in.count = body.count();
-    if (!in.from) {
-      for (PeerIndex peer = 0; peer < terms_.all.size(); ++peer) {
-        if (terms_.all[peer].name == body.from() && peer != terms_.own)
-          in.from = peer;
+             messages;
+    if (body.count() != incoming.frame_count + 1 || body.to() != settings_.managers[settings_.self].name)
+      return reject(link, "a frame is missing, repeated or meant for another manager" + sender, actions),
+             messages;
+    incoming.frame_count = body.count();
+    if (!incoming.from) {
+      for (PeerIndex peer = 0; peer < settings_.managers.size(); ++peer) {
+        if (settings_.managers[peer].name == body.from() && peer != settings_.self)
+          incoming.from = peer;
       }
-      if (!in.from)
-        return refuse(link, "no manager is named '" + body.from() + "'", actions), heard;
-    } else if (terms_.all[*in.from].name != body.from()) {
-      return refuse(link, "two names on one connection", actions), heard;
+      if (!incoming.from)
+        return reject(link, "unknown manager '" + body.from() + "'", actions), messages;
+    } else if (settings_.managers[*incoming.from].name != body.from()) {
+      return reject(link, "the sender's name changed within a connection", actions), messages;
     }
-    heard.push_back({*in.from, body.kind(), std::move(*body.mutable_payload())});
+    messages.push_back({*incoming.from, body.kind(), std::move(*body.mutable_payload())});
   }
   if (too_long)
-    refuse(link, "a frame of more than " + std::to_string(terms_.most_frame) + " bytes", actions);
-  return heard;
+    reject(link, "a frame is longer than " + std::to_string(settings_.max_frame_bytes) + " bytes", actions);
+  return messages;
 }
 
-void Peers::ended(Span now, Link link) {
-  came_.erase(link);
+void Peers::on_closed(Span now, Link link) {
+  incoming_.erase(link);
   const auto dialed = dialed_.find(link);
   if (dialed == dialed_.end())
     return;
-  auto& out = out_[dialed->second];
-  out.link = 0;
-  out.challenged = false;
-  out.dial_at = std::max(out.dial_at, now);
+  auto& outgoing = outgoing_[dialed->second];
+  outgoing.link = 0;
+  outgoing.challenged = false;
+  outgoing.dial_at = std::max(outgoing.dial_at, now);
   dialed_.erase(dialed);
 }
 
-void Peers::time_passed(Span now, std::vector<Action>& actions) {
-  for (PeerIndex to = 0; to < out_.size(); ++to) {
-    if (out_[to].link == 0 && !out_[to].waiting.empty() && now >= out_[to].dial_at)
+void Peers::on_tick(Span now, std::vector<Action>& actions) {
+  for (PeerIndex to = 0; to < outgoing_.size(); ++to) {
+    if (outgoing_[to].link == 0 && !outgoing_[to].queue.empty() && now >= outgoing_[to].dial_at)
       dial(now, to, actions);
   }
 }
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,7 +1,8 @@
-// Managers of a hall speaking to each other: one connection each way between each two, frames of protobuf,
-// each signed with the hall's key over the other side's challenge and a count, so that nothing is forged,
-// replayed on another connection or left out within one. Messages may still be lost with a connection, and
-// are kept for one that is down within a bound: who sends must live with both. Free of I/O and clock.
+// Connections between the managers of a hall: between each two managers one connection in each direction,
+// with protobuf frames. The accepting side sends a challenge; each frame carries a MAC, with the hall's key,
+// of that challenge and of a body with a frame count, so that frames can't be forged, replayed on another
+// connection or dropped within one. Messages are lost when a connection fails, and the queue for a peer that
+// is down is bounded: senders must tolerate both. Free of I/O and of a clock.
 #pragma once
 
 #include <deque>
@@ -16,68 +17,82 @@
 
 namespace violettide::peers {
 
-using PeerIndex = std::uint32_t;
-struct Address {
-  std::string name, address;
+using PeerIndex = std::uint32_t;  // a manager's position in PeerSettings::managers
+// Where a manager listens for other managers.
+struct PeerAddress {
+  std::string name;
+  std::string address;
   std::uint16_t port = 0;
 };
-struct PeerTerms {
-  std::vector<Address> all;  // every manager of the hall, this one too
-  PeerIndex own = 0;
-  std::string key;
-  Span dial_again{200'000};         // after a connection that failed, doubled up to
-  Span dial_longest{5'000'000};     // this
-  std::size_t most_waiting = 4096;  // messages to one peer
-  std::size_t most_frame = 64 * 1024;
+struct PeerSettings {
+  std::vector<PeerAddress> managers;  // all managers of the hall, this one included
+  PeerIndex self = 0;
+  std::string key;             // shared by the managers of the hall
+  Span redial_delay{200'000};  // after a connection failed; doubled with each failure
+  Span max_redial_delay{5'000'000};
+  std::size_t max_queued = 4096;  // messages to one peer that wait for its connection
+  std::size_t max_frame_bytes = 64 * 1024;
 };
 
-struct Heard {
+// A message whose MAC and frame count were checked.
+struct ReceivedMessage {
   PeerIndex from = 0;
   std::uint32_t kind = 0;
   std::string payload;
 };
 
+// All connections of one manager to the others. The functions append the actions to take to `actions`.
 class Peers {
  public:
-  // `links`: where the numbers of links that this dials begin; they rise from there.
-  Peers(PeerTerms terms, Link links) : terms_(std::move(terms)), next_link_(links), out_(terms_.all.size()) {}
+  // `first_link`: the number of the first connection that this dials; the next ones follow it.
+  Peers(PeerSettings settings, Link first_link)
+      : settings_(std::move(settings)), next_link_(first_link), outgoing_(settings_.managers.size()) {}
+  // Queues a message. If the queue is full, its oldest message is dropped with a warning.
   void send(Span now, PeerIndex to, std::uint32_t kind, std::string payload, std::vector<Action>& actions);
-  void accepted(Span now, Link link, std::vector<Action>& actions);
-  bool knows(Link link) const { return dialed_.contains(link) || came_.contains(link); }
-  std::vector<Heard> received(Link link, std::string_view bytes, std::vector<Action>& actions);
-  void ended(Span now, Link link);
-  void time_passed(Span now, std::vector<Action>& actions);  // dials what is due
+  // A manager connected: sends it a challenge.
+  void on_accepted(Span now, Link link, std::vector<Action>& actions);
+  bool owns_link(Link link) const { return dialed_.contains(link) || incoming_.contains(link); }
+  // Bytes from a connection of either direction. A violation of the protocol closes it with a warning.
+  std::vector<ReceivedMessage> on_received(Link link, std::string_view bytes, std::vector<Action>& actions);
+  void on_closed(Span now, Link link);
+  // Dials the peers that have messages waiting and whose redial delay is over.
+  void on_tick(Span now, std::vector<Action>& actions);
 
-  // What was refused or dropped since the last call, and why.
-  std::vector<std::string> take_remarks() { return std::exchange(remarks_, {}); }
+  // The causes of closed connections and dropped messages since the last call.
+  std::vector<std::string> take_warnings() { return std::exchange(warnings_, {}); }
 
  private:
-  struct Out {  // to one peer
+  // The connection that this manager dials to one peer.
+  struct Outgoing {
     Link link = 0;
     bool challenged = false;
-    std::string challenge, got;
-    std::uint64_t count = 0;
-    std::deque<std::pair<std::uint32_t, std::string>> waiting;
-    Span dial_at{0}, pause{0};
-    bool told_full = false;
+    std::string challenge;  // received from the peer
+    std::string buffer;
+    std::uint64_t frame_count = 0;
+    std::deque<std::pair<std::uint32_t, std::string>> queue;  // kind and payload
+    Span dial_at{0};                                          // not before
+    Span redial_pause{0};                                     // 0 once the connection worked
+    bool overflow_reported = false;
   };
-  struct In {
-    std::string challenge, got;
-    std::optional<PeerIndex> from;
-    std::uint64_t count = 0;
+  // A connection that another manager dialed.
+  struct Incoming {
+    std::string challenge;  // sent to the peer
+    std::string buffer;
+    std::optional<PeerIndex> from;  // known from the first frame on
+    std::uint64_t frame_count = 0;
   };
   std::string mac(std::string_view challenge, std::string_view body) const;
   void flush(PeerIndex to, std::vector<Action>& actions);
   void dial(Span now, PeerIndex to, std::vector<Action>& actions);
-  void refuse(Link link, const std::string& cause, std::vector<Action>& actions);
+  void reject(Link link, const std::string& cause, std::vector<Action>& actions);
 
-  PeerTerms terms_;
+  PeerSettings settings_;
   Link next_link_;
-  std::vector<Out> out_;
+  std::vector<Outgoing> outgoing_;
   std::map<Link, PeerIndex> dialed_;
-  std::map<Link, In> came_;
-  std::uint64_t challenges_ = 0;
-  std::vector<std::string> remarks_;
+  std::map<Link, Incoming> incoming_;
+  std::uint64_t challenge_count_ = 0;
+  std::vector<std::string> warnings_;
 };
 
 }  // namespace violettide::peers
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -276,14 +276,15 @@
     } else if (call.name == "entitlement") {
       auto& terms = front.entitlement;
       terms.on = true;
-      terms.gate.issuer = call.text("issuer");
-      terms.gate.audience = call.text("audience");
-      terms.gate.skew = terms.ledger.skew = call.span("skew");
-      terms.gate.grace = call.span("grace");
-      terms.gate.fetch_every = call.span("keys_every");
-      terms.gate.fetch_least = call.span("keys_least");
-      terms.gate.keys_kept = call.span("keys_kept");
-      terms.gate.most_good = terms.gate.most_bad = static_cast<std::size_t>(call.whole("tokens_kept"));
+      terms.token_validator.issuer = call.text("issuer");
+      terms.token_validator.audience = call.text("audience");
+      terms.token_validator.skew = terms.ledger.skew = call.span("skew");
+      terms.token_validator.grace = call.span("grace");
+      terms.token_validator.fetch_interval = call.span("keys_every");
+      terms.token_validator.min_fetch_interval = call.span("keys_least");
+      terms.token_validator.max_key_age = call.span("keys_kept");
+      terms.token_validator.max_cached_valid = terms.token_validator.max_cached_invalid =
+          static_cast<std::size_t>(call.whole("tokens_kept"));
       terms.ledger.resume_window = call.span("resume");
       terms.ledger.claim_timeout = call.span("ask_limit");
       terms.keys_address = call.text("keys_address");
@@ -291,11 +292,11 @@
       terms.keys_path = call.text("keys_path");
       terms.longest_come_back = call.span("longest_come_back");
     } else if (call.name == "peer") {
-      for (const auto& other : front.peers.all) {
+      for (const auto& other : front.peers.managers) {
         if (other.name == call.text("name"))
           wrong(call.place_of("name"), "two managers named '" + call.text("name") + "'");
       }
-      front.peers.all.push_back(
+      front.peers.managers.push_back(
           {call.text("name"), call.text("address"), static_cast<std::uint16_t>(call.whole("port"))});
     } else if (call.name == "peers") {
       front.peers.key = call.text("key");
--- a/src/standins/issuer.cpp
+++ b/src/standins/issuer.cpp
@@ -124,12 +124,12 @@
 
 std::string Issuer::token(const Says& says) const {
   const auto& key = signs();
-  return entitlement::sign(claims(says), key.algorithm, key.id, key.private_pem);
+  return entitlement::sign_token(claims(says), key.algorithm, key.id, key.private_pem);
 }
 
 std::string Issuer::forged(const Says& says) const {
   const auto key = make(signs().id, signs().algorithm);
-  return entitlement::sign(claims(says), key.algorithm, key.id, key.private_pem);
+  return entitlement::sign_token(claims(says), key.algorithm, key.id, key.private_pem);
 }
 
 }  // namespace violettide::standins
--- a/tests/program/peers_test.cpp
+++ b/tests/program/peers_test.cpp
@@ -1,4 +1,5 @@
-// Managers' connections, moved by hand: nothing forged, replayed or left out is heard, and queues end.
+// Tests of the connections between managers, without I/O: forged, replayed and missing frames are rejected,
+// and queues are bounded.
 #include "peers/peers.h"
 
 #include <gtest/gtest.h>
@@ -8,13 +9,13 @@
 
 using namespace std::chrono_literals;
 
-PeerTerms terms_of(PeerIndex own, std::string key = "hall") {
-  PeerTerms terms;
-  terms.all = {{"a", "127.0.0.1", 1}, {"b", "127.0.0.1", 2}};
-  terms.own = own;
-  terms.key = std::move(key);
-  terms.most_waiting = 3;
-  return terms;
+PeerSettings settings_of(PeerIndex self, std::string key = "hall") {
+  PeerSettings settings;
+  settings.managers = {{"a", "127.0.0.1", 1}, {"b", "127.0.0.1", 2}};
+  settings.self = self;
+  settings.key = std::move(key);
+  settings.max_queued = 3;
+  return settings;
 }
 std::vector<std::string> sent(const std::vector<Action>& actions) {
   std::vector<std::string> all;
@@ -30,95 +31,95 @@
                      [](auto& act) { return std::holds_alternative<Kind>(act); });
 }
 
-class Two : public ::testing::Test {
+class PeersTest : public ::testing::Test {
  protected:
   static constexpr Link in = first_accepted;
-  // `a` dials, `b` challenges; what `a` then sends.
-  std::vector<std::string> greet(Link link_in = in) {
+  // `b` accepts the connection of `a` and challenges it. Returns what `a` then sends.
+  std::vector<std::string> connect(Link link_in = in) {
     std::vector<Action> challenge, answer;
-    b.accepted(1s, link_in, challenge);
-    a.received(dialed, sent(challenge).at(0), answer);
+    b.on_accepted(1s, link_in, challenge);
+    a.on_received(dialed, sent(challenge).at(0), answer);
     return sent(answer);
   }
-  Peers a{terms_of(0), 100}, b{terms_of(1), 100};
+  Peers a{settings_of(0), 100}, b{settings_of(1), 100};
   Link dialed = 100;
   std::vector<Action> actions;
 };
 
-TEST_F(Two, WhatIsSentIsHeardInOrder) {
+TEST_F(PeersTest, MessagesArriveInOrder) {
   a.send(0s, 1, 7, "one", actions);
   a.send(0s, 1, 7, "two", actions);
   EXPECT_TRUE(did<Dial>(actions));
-  EXPECT_TRUE(sent(actions).empty()) << "nothing before the challenge";
-  const auto frames = greet();
+  EXPECT_TRUE(sent(actions).empty()) << "no frame before the challenge";
+  const auto frames = connect();
   ASSERT_EQ(frames.size(), 2u);
   const auto joined = frames[0] + frames[1];
-  std::vector<Heard> heard;
+  std::vector<ReceivedMessage> messages;
   for (const char byte : joined) {
-    for (auto& one : b.received(in, std::string(1, byte), actions))
-      heard.push_back(one);
+    for (auto& one : b.on_received(in, std::string(1, byte), actions))
+      messages.push_back(one);
   }
-  ASSERT_EQ(heard.size(), 2u);
-  EXPECT_EQ(heard[1].payload, "two");
-  EXPECT_EQ(heard[1].from, 0u);
-  EXPECT_TRUE(b.take_remarks().empty());
+  ASSERT_EQ(messages.size(), 2u);
+  EXPECT_EQ(messages[1].payload, "two");
+  EXPECT_EQ(messages[1].from, 0u);
+  EXPECT_TRUE(b.take_warnings().empty());
 }
 
-TEST_F(Two, AFrameLeftOutRepeatedOrOfAnotherConnectionIsRefused) {
+TEST_F(PeersTest, MissingRepeatedAndForeignFramesAreRejected) {
   for (int i = 0; i < 3; ++i)
     a.send(0s, 1, 7, std::to_string(i), actions);
-  const auto frames = greet();
+  const auto frames = connect();
   const auto refused = [&](Link link, const std::string& bytes) {
     actions.clear();
-    const bool none = b.received(link, bytes, actions).empty();
-    return none && did<Close>(actions) && b.take_remarks().size() == 1;
+    const bool none = b.on_received(link, bytes, actions).empty();
+    return none && did<Close>(actions) && b.take_warnings().size() == 1;
   };
-  EXPECT_TRUE(refused(in, frames[1])) << "the first is missing";
+  EXPECT_TRUE(refused(in, frames[1])) << "the first frame is missing";
   std::vector<Action> challenge;
-  b.accepted(2s, in + 1, challenge);
+  b.on_accepted(2s, in + 1, challenge);
   EXPECT_TRUE(refused(in + 1, frames[0])) << "signed over another challenge";
-  a.ended(2s, dialed);
+  a.on_closed(2s, dialed);
   a.send(3s, 1, 7, "again", actions);
   dialed = 101;
-  const auto more = greet(in + 2);
-  ASSERT_EQ(b.received(in + 2, more.at(0), actions).size(), 1u);
-  EXPECT_TRUE(refused(in + 2, more[0])) << "once more";
+  const auto more = connect(in + 2);
+  ASSERT_EQ(b.on_received(in + 2, more.at(0), actions).size(), 1u);
+  EXPECT_TRUE(refused(in + 2, more[0])) << "repeated";
 }
 
-TEST_F(Two, TooLongAFrameAndAnotherKeyAreRefused) {
+TEST_F(PeersTest, TooLongFramesAndFramesWithAnotherKeyAreRejected) {
   std::vector<Action> challenge;
-  b.accepted(1s, in, challenge);
-  b.received(in, std::string("\x7f\xff\xff\xff", 4), actions);
+  b.on_accepted(1s, in, challenge);
+  b.on_received(in, std::string("\x7f\xff\xff\xff", 4), actions);
   EXPECT_TRUE(did<Close>(actions));
-  Peers stranger(terms_of(0, "another"), 100);
+  Peers stranger(settings_of(0, "another"), 100);
   stranger.send(0s, 1, 7, "one", actions);
-  b.accepted(1s, in + 1, challenge);
+  b.on_accepted(1s, in + 1, challenge);
   std::vector<Action> answer;
-  stranger.received(100, sent(challenge).at(1), answer);
-  EXPECT_TRUE(b.received(in + 1, sent(answer).at(0), actions).empty());
-  EXPECT_EQ(b.take_remarks().size(), 2u);
+  stranger.on_received(100, sent(challenge).at(1), answer);
+  EXPECT_TRUE(b.on_received(in + 1, sent(answer).at(0), actions).empty());
+  EXPECT_EQ(b.take_warnings().size(), 2u);
 }
 
-TEST_F(Two, TheQueueToOneThatIsDownEndsAndIsTold) {
+TEST_F(PeersTest, QueueToUnreachablePeerIsBoundedAndReported) {
   for (int i = 0; i < 10; ++i)
     a.send(0s, 1, 7, std::to_string(i), actions);
-  EXPECT_EQ(a.take_remarks().size(), 1u) << "once, not for each";
-  const auto frames = greet();
+  EXPECT_EQ(a.take_warnings().size(), 1u) << "one warning, not one for each message";
+  const auto frames = connect();
   ASSERT_EQ(frames.size(), 3u);
-  EXPECT_EQ(b.received(in, frames[0], actions).at(0).payload, "7") << "the oldest were dropped";
+  EXPECT_EQ(b.on_received(in, frames[0], actions).at(0).payload, "7") << "the oldest were dropped";
 }
 
-TEST_F(Two, ItIsDialedAgainAtAPaceThatSlows) {
+TEST_F(PeersTest, RedialsWithIncreasingDelay) {
   a.send(0s, 1, 7, "one", actions);
   Span now = 0s;
   std::vector<Span> dials;
   for (; now < 60s; now += 50ms) {
     actions.clear();
-    a.time_passed(now, actions);
+    a.on_tick(now, actions);
     if (!did<Dial>(actions) && !(now == 0s))
       continue;
     dials.push_back(now);
-    a.ended(now, dialed);
+    a.on_closed(now, dialed);
     dialed = 100 + static_cast<Link>(dials.size());
   }
   EXPECT_GE(dials.size(), 10u);
--- a/tests/program/seatlog_test.cpp
+++ b/tests/program/seatlog_test.cpp
@@ -1,4 +1,5 @@
-// The seat log on a real disk: what is kept is there again, and damage is never taken for an empty book.
+// Tests of the seat log on a real disk: records survive a restart, and a damaged log is never taken for an
+// empty one.
 #include "entitlement/seatlog/seatlog.h"
 
 #include <gtest/gtest.h>
@@ -6,12 +7,12 @@
 
 #include <filesystem>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 
 namespace violettide::entitlement {
 namespace {
 
-class Logged : public ::testing::Test {
+class SeatLogTest : public ::testing::Test {
  protected:
   void SetUp() override {
     auto pattern = (std::filesystem::temp_directory_path() / "violettide-seats-XXXXXX").string();
@@ -21,10 +22,10 @@
   static std::string batch(const std::vector<Record>& records) {
     std::string bytes;
     for (const auto& record : records) {
-      const auto one = bytes_of(record);
+      const auto encoded = encode(record);
       for (int shift = 24; shift >= 0; shift -= 8)
-        bytes += static_cast<char>(one.size() >> shift & 0xff);
-      bytes += one;
+        bytes += static_cast<char>(encoded.size() >> shift & 0xff);
+      bytes += encoded;
     }
     return bytes;
   }
@@ -39,37 +40,37 @@
   const Record second{Record::Kind::claimed, {"red", "bob/2"}, 0, 78, 5, Span(11), Span(110)};
 };
 
-TEST_F(Logged, WhatIsKeptIsThereAtTheNextStart) {
+TEST_F(SeatLogTest, RecordsAreRestoredAtTheNextStart) {
   {
     SeatLog log(folder);
     EXPECT_EQ(log.restart(), 1u);
     EXPECT_EQ(log.keep(1, batch({first, second}), false), "");
   }
-  SeatLog again(folder);
-  EXPECT_EQ(again.restart(), 2u) << "claims of each process have numbers of their own";
-  ASSERT_EQ(again.records().size(), 2u);
-  EXPECT_EQ(bytes_of(again.records()[0]), bytes_of(first));
-  EXPECT_EQ(bytes_of(again.records()[1]), bytes_of(second));
-  again.begin_with({first});
-  EXPECT_EQ(SeatLog::look(folder).size(), 1u);
+  SeatLog reopened(folder);
+  EXPECT_EQ(reopened.restart(), 2u) << "claim numbers must not repeat across processes";
+  ASSERT_EQ(reopened.records().size(), 2u);
+  EXPECT_EQ(encode(reopened.records()[0]), encode(first));
+  EXPECT_EQ(encode(reopened.records()[1]), encode(second));
+  reopened.replace_all({first});
+  EXPECT_EQ(SeatLog::read_records(folder).size(), 1u);
 }
 
-TEST_F(Logged, ADamagedRecordStopsTheStartAndSaysWhich) {
+TEST_F(SeatLogTest, DamagedRecordFailsTheStartAndIsNamed) {
   { EXPECT_EQ(SeatLog(folder).keep(1, batch({first, second}), false), ""); }
   run("UPDATE log SET bytes = zeroblob(length(bytes)) WHERE at = 2");
   try {
     SeatLog damaged(folder);
-    FAIL() << "it started";
-  } catch (const SeatLog::Unusable& unusable) {
-    EXPECT_NE(unusable.what.find("seats.db: record 2 is damaged"), std::string::npos) << unusable.what;
+    FAIL() << "opened a damaged log";
+  } catch (const SeatLog::Error& failure) {
+    EXPECT_NE(failure.what.find("seats.db: record 2 is damaged"), std::string::npos) << failure.what;
   }
 }
 
-TEST_F(Logged, ALogThatCanNotBeWrittenSaysSo) {
+TEST_F(SeatLogTest, WriteFailureIsReported) {
   SeatLog log(folder);
   run("DROP TABLE log");
   EXPECT_NE(log.keep(1, batch({first}), false), "");
-  EXPECT_THROW(SeatLog("/nonexistent/folder"), SeatLog::Unusable);
+  EXPECT_THROW(SeatLog("/nonexistent/folder"), SeatLog::Error);
 }
 
 }  // namespace
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 #include "manager/manager.h"
 #include "net.h"
 #include "standins/issuer.h"
@@ -77,17 +77,17 @@
     terms.silence = 3s;
     terms.wall_at_zero = wall_at_zero;
     terms.entitlement.on = true;
-    terms.entitlement.gate.issuer = "issuer";
-    terms.entitlement.gate.skew = 1s;
-    terms.entitlement.gate.grace = 2s;
-    terms.entitlement.gate.fetch_least = 1s;
+    terms.entitlement.token_validator.issuer = "issuer";
+    terms.entitlement.token_validator.skew = 1s;
+    terms.entitlement.token_validator.grace = 2s;
+    terms.entitlement.token_validator.min_fetch_interval = 1s;
     terms.entitlement.keys_port = Net::port(issuer_host);
     terms.entitlement.ledger.resume_window = 5s;
     terms.entitlement.restart = restart;
     terms.entitlement.kept = std::move(kept);
     for (int p = 0; p < managers; ++p)
-      terms.peers.all.push_back({"m" + std::to_string(p), "", Net::port(p, 2)});
-    terms.peers.own = static_cast<peers::PeerIndex>(m);
+      terms.peers.managers.push_back({"m" + std::to_string(p), "", Net::port(p, 2)});
+    terms.peers.self = static_cast<peers::PeerIndex>(m);
     terms.peers.key = m == wrong_key ? "another" : "hall";
     return std::make_unique<Manager>(terms, 1, "", std::make_unique<Places>());
   }
@@ -98,7 +98,7 @@
         std::size_t size = 0;
         for (int i = 0; i < 4; ++i)
           size = size << 8 | static_cast<unsigned char>(bytes[at++]);
-        records.push_back(*entitlement::read_record(bytes.substr(at, size)));
+        records.push_back(*entitlement::decode_record(bytes.substr(at, size)));
         at += size;
       }
     }
