--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -24,9 +24,9 @@
 // Deleter for C libraries' handles.
 template <auto free_function>
 struct Deleter {
-  template <typename Held>
-  void operator()(Held* held) const {
-    free_function(held);
+  template <typename Handle>
+  void operator()(Handle* handle) const {
+    free_function(handle);
   }
 };
 using Parameters = std::unique_ptr<OSSL_PARAM, Deleter<OSSL_PARAM_free>>;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -127,7 +127,7 @@
       flush(dialed->second, actions);
     } else if (too_long || outgoing.challenged || frame) {
       // A manager sends nothing but one challenge in this direction.
-      warnings_.push_back("malformed challenge from " + settings_.managers[dialed->second].name);
+      warnings_.push_back("malformed or repeated challenge from " + settings_.managers[dialed->second].name);
       actions.push_back(Close{link, false});
       outgoing.link = 0;
       dialed_.erase(dialed);
--- a/tests/program/peers_test.cpp
+++ b/tests/program/peers_test.cpp
@@ -56,8 +56,8 @@
   const auto joined = frames[0] + frames[1];
   std::vector<ReceivedMessage> messages;
   for (const char byte : joined) {
-    for (auto& one : b.on_received(in, std::string(1, byte), actions))
-      messages.push_back(one);
+    for (auto& message : b.on_received(in, std::string(1, byte), actions))
+      messages.push_back(message);
   }
   ASSERT_EQ(messages.size(), 2u);
   EXPECT_EQ(messages[1].payload, "two");
