--- a/bench/catalogue.cpp
+++ b/bench/catalogue.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <random>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "cataloguestore/store.h"
 #include "path.h"
 
--- a/src/catalogue/keeper.cpp
+++ b/src/catalogue/keeper.cpp
@@ -1,7 +1,7 @@
-#include "catalogue/keeper.h"
-
 #include <algorithm>
 
+#include "catalogue/replica.h"
+
 namespace violettide::catalogue {
 
 Keeper::Keeper(KeeperTerms terms, BoxIndex boxes, int rungs)
--- a/src/cataloguestore/store.h
+++ b/src/cataloguestore/store.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "runtime/runtime.h"
 
 namespace violettide::cataloguestore {
--- a/src/cataloguewire/json.h
+++ b/src/cataloguewire/json.h
@@ -1,7 +1,7 @@
 // The catalogue's JSON: changes checked against docs/schemas/catalogue-changes.json, and back. Pure.
 #pragma once
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 
 namespace violettide::cataloguewire {
 
--- a/src/cataloguewire/resource.h
+++ b/src/cataloguewire/resource.h
@@ -14,7 +14,7 @@
 #pragma once
 
 #include "catalogue/demand.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "http/http.h"
 
 namespace violettide::cataloguewire {
--- a/src/hls/address.cpp
+++ b/src/hls/address.cpp
@@ -1,8 +1,8 @@
-#include "hls/address.h"
-
 #include <algorithm>
 #include <vector>
 
+#include "hls/uri.h"
+
 namespace violettide::hls {
 
 namespace {
--- a/src/hls/continuity/continuity.h
+++ b/src/hls/continuity/continuity.h
@@ -5,7 +5,7 @@
 
 #include <optional>
 
-#include "hls/writing.h"
+#include "hls/writer.h"
 
 namespace violettide::hls {
 
--- a/src/hls/playlist.h
+++ b/src/hls/playlist.h
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-#include "hls/address.h"
 #include "hls/tags.h"
+#include "hls/uri.h"
 
 namespace violettide::hls {
 
--- a/src/hls/showing/showing.cpp
+++ b/src/hls/showing/showing.cpp
@@ -1,8 +1,8 @@
-#include "hls/showing/showing.h"
-
 #include <algorithm>
 #include <cmath>
 
+#include "hls/playback_policy/playback_policy.h"
+
 namespace violettide::hls {
 
 namespace {
--- a/src/hls/writing.cpp
+++ b/src/hls/writing.cpp
@@ -1,8 +1,8 @@
-#include "hls/writing.h"
-
 #include <algorithm>
 #include <cstdio>
 
+#include "hls/writer.h"
+
 namespace violettide::hls {
 
 namespace {
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -67,7 +67,7 @@
           terms_.keeper, [this](std::string_view name) { return list_.index(name); },
           static_cast<int>(terms_.site.rung_kb.size())),
       demand_(terms_.demand_kept, terms_.demand_half_life),
-      gate_(terms_.entitlement.gate),
+      token_validator_(terms_.entitlement.token_validator),
       keys_(terms_.hls.passes) {
   terms_.hls.show.silence = terms_.silence;
   chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
@@ -118,16 +118,16 @@
   if (terms_.catalogued && terms_.feed_port != 0)
     arm(Duration(0), Ring::feed, 0);
   arm(terms_.object_length, Ring::weigh, 0);
-  if (!terms_.peers.all.empty())
+  if (!terms_.peers.managers.empty())
     peers_ = std::make_unique<peers::Peers>(terms_.peers, peer_links);
   if (terms_.entitlement.on) {
     auto own = terms_.entitlement.ledger;
     own.peers.clear();
-    for (const auto& peer : terms_.peers.all)
+    for (const auto& peer : terms_.peers.managers)
       own.peers.push_back(peer.name);
     if (own.peers.empty())
       own.peers.push_back(terms_.name);
-    own.own = terms_.peers.own;
+    own.self = terms_.peers.self;
     ledger_ = std::make_unique<entitlement::Ledger>(std::move(own), terms_.entitlement.restart, wall(),
                                                     terms_.entitlement.kept);
   }
@@ -195,7 +195,7 @@
 
 void Manager::on(const Accepted& what) {
   if (peers_ && what.listener == terms_.peer_door)
-    return peers_->accepted(now_, what.connection, *actions_);
+    return peers_->on_accepted(now_, what.connection, *actions_);
   if (what.listener != 0) {
     auto control = std::make_unique<Control>();
     control->link = what.connection;
@@ -221,7 +221,7 @@
 
 void Manager::on(const Received& what) {
   if (peer_link(what.connection))
-    return peers_said(peers_->received(what.connection, what.bytes, *actions_));
+    return peers_said(peers_->on_received(what.connection, what.bytes, *actions_));
   if (what.connection >= first_accepted) {
     if (const auto control = controls_.find(what.connection); control != controls_.end()) {
       control->second->reader.push(what.bytes);
@@ -533,7 +533,7 @@
 void Manager::on(const HalfClosed& what) {
   if (peer_link(what.connection)) {
     actions_->push_back(Close{what.connection, false});
-    return peers_->ended(now_, what.connection);
+    return peers_->on_closed(now_, what.connection);
   }
   if (what.connection < first_accepted)
     return on(Disconnected{what.connection, CloseReason::finished});
@@ -677,7 +677,7 @@
   playbacks_.erase(found);
   if (seat) {
     by_seat_.erase(*seat);
-    seats_did(entitlement::Left{*seat});
+    seats_did(entitlement::PlaybackEnded{*seat});
   }
 }
 
@@ -1096,7 +1096,7 @@
 
 void Manager::on(const Disconnected& what) {
   if (peer_link(what.connection))
-    return peers_->ended(now_, what.connection);
+    return peers_->on_closed(now_, what.connection);
   if (what.connection >= first_accepted) {
     if (controls_.contains(what.connection))
       return control_gone(what.connection);
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -3,7 +3,7 @@
 // carried to viewers, other managers, the issuer and the disk.
 #include <algorithm>
 
-#include "entitlement/words/words.h"
+#include "entitlement/seat_codec/seat_codec.h"
 #include "manager/inside.h"
 
 namespace violettide::manager {
@@ -64,47 +64,47 @@
   };
   if (viewer.token.empty())
     return refuse(401, "none was shown", "invalid_request");
-  const auto judged =
-      gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
-  if (std::holds_alternative<entitlement::WaitsForKeys>(judged)) {
+  const auto judged = token_validator_.validate(
+      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+  if (std::holds_alternative<entitlement::AwaitingKeys>(judged)) {
     wait_for_keys_.insert(playback.id);
     fetch_keys();
     // The issuer was asked not long ago and did not answer: to wait for the next time would hold this one up.
-    if (!gate_.fetching())
+    if (!token_validator_.fetching())
       settle(playback, 503, "rejected: the issuer's keys can't be had now\n", come_back_soon());
     return;
   }
-  if (const auto* bad = std::get_if<entitlement::Bad>(&judged)) {
-    using Fault = entitlement::TokenFault;
-    const bool scope = bad->fault == Fault::not_this_plan || bad->fault == Fault::not_this_title;
-    return refuse(scope ? 403 : 401, std::string(entitlement::words_of(bad->fault)),
+  if (const auto* bad = std::get_if<entitlement::InvalidToken>(&judged)) {
+    using Error = entitlement::TokenError;
+    const bool scope = bad->error == Error::plan_not_allowed || bad->error == Error::title_not_allowed;
+    return refuse(scope ? 403 : 401, std::string(entitlement::describe(bad->error)),
                   scope ? "insufficient_scope" : "invalid_token");
   }
-  const auto& good = std::get<entitlement::Good>(judged);
+  const auto& good = std::get<entitlement::ValidToken>(judged);
   playback.token = viewer.token;
-  playback.seat = entitlement::SeatKey{good.team, good.who};
+  playback.seat = entitlement::SeatKey{good.team, good.viewer_session};
   by_seat_[*playback.seat] = playback.id;
-  seats_did(entitlement::Claimed{*playback.seat, good.seats, good.issued, good.until});
+  seats_did(entitlement::SeatClaimed{*playback.seat, good.seats, good.issued, good.until});
 }
 
 // A newer token on a request of what plays already: nothing of that is touched, whatever comes of it.
 void Manager::renew(Playback& playback, const ViewerLink& viewer) {
   if (viewer.token.empty() || viewer.token == playback.token || !playback.seat)
     return;
-  const auto judged =
-      gate_.judge(wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
-  if (std::holds_alternative<entitlement::WaitsForKeys>(judged))
+  const auto judged = token_validator_.validate(
+      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+  if (std::holds_alternative<entitlement::AwaitingKeys>(judged))
     return fetch_keys();
-  const auto* good = std::get_if<entitlement::Good>(&judged);
-  if (!good || entitlement::SeatKey{good->team, good->who} != *playback.seat) {
-    const auto* bad = std::get_if<entitlement::Bad>(&judged);
+  const auto* good = std::get_if<entitlement::ValidToken>(&judged);
+  if (!good || entitlement::SeatKey{good->team, good->viewer_session} != *playback.seat) {
+    const auto* bad = std::get_if<entitlement::InvalidToken>(&judged);
     say("renewal_refused",
         {{"playback", said_id(playback.id)},
-         {"cause", bad ? std::string(entitlement::words_of(bad->fault)) : "of another seat"}});
+         {"cause", bad ? std::string(entitlement::describe(bad->error)) : "of another seat"}});
     return;
   }
   playback.token = viewer.token;
-  seats_did(entitlement::Claimed{*playback.seat, good->seats, good->issued, good->until});
+  seats_did(entitlement::SeatClaimed{*playback.seat, good->seats, good->issued, good->until});
 }
 
 void Manager::seats_did(const entitlement::LedgerEvent& event) {
@@ -113,8 +113,8 @@
   std::string bytes;
   std::uint64_t last = 0;
   for (const auto& act : actions) {
-    if (const auto* record = std::get_if<entitlement::KeepRecord>(&act)) {
-      const auto one = entitlement::bytes_of(record->record);
+    if (const auto* record = std::get_if<entitlement::PersistRecord>(&act)) {
+      const auto one = entitlement::encode(record->record);
       for (int shift = 24; shift >= 0; shift -= 8)
         bytes += static_cast<char>(one.size() >> shift & 0xff);
       bytes += one;
@@ -127,7 +127,7 @@
     do_seat(act);
 }
 
-void Manager::do_seat(const entitlement::LedgerAct& act) {
+void Manager::do_seat(const entitlement::LedgerAction& act) {
   const auto of = [&](const entitlement::SeatKey& key) -> Playback* {
     const auto known = by_seat_.find(key);
     const auto found = known == by_seat_.end() ? playbacks_.end() : playbacks_.find(known->second);
@@ -138,20 +138,20 @@
     if (!playback || !playback->request || playback->playing)
       return;
     say("seat_given",
-        {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.who}});
+        {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.viewer_session}});
     tell(*std::exchange(playback->request, std::nullopt));
-  } else if (const auto* away = std::get_if<entitlement::TurnAway>(&act)) {
+  } else if (const auto* away = std::get_if<entitlement::RejectClaim>(&act)) {
     auto* playback = of(away->key);
     if (!playback || playback->playing)
       return;
-    using Why = entitlement::TurnAway::Why;
+    using Reason = entitlement::RejectClaim::Reason;
     const Duration longest = terms_.entitlement.longest_come_back;
     const Duration come_back =
-        std::clamp(away->come_back, Duration(1'000'000), std::max(Duration(1'000'000), longest));
-    const auto* cause = away->why == Why::no_seat        ? "its team has no free seat"
-                        : away->why == Why::owner_silent ? "its team's seats can't be counted now"
-                        : away->why == Why::too_many     ? "too many seats are asked for"
-                                                         : "its token is past its time";
+        std::clamp(away->retry_after, Duration(1'000'000), std::max(Duration(1'000'000), longest));
+    const auto* cause = away->reason == Reason::no_free_seat      ? "its team has no free seat"
+                        : away->reason == Reason::owner_timed_out ? "its team's seats can't be counted now"
+                        : away->reason == Reason::too_many_claims ? "too many seats are asked for"
+                                                                  : "its token is past its time";
     say("seat_refused",
         {{"playback", said_id(playback->id)}, {"team", away->key.team}, {"cause", std::string(cause)}});
     part(*playback, hls::Ending::refused, come_back);
@@ -161,7 +161,7 @@
     auto* playback = of(end->key);
     if (!playback)
       return;
-    const bool lapsed = end->why == entitlement::EndPlayback::Why::lapsed;
+    const bool lapsed = end->reason == entitlement::EndPlayback::Reason::expired;
     const auto id = playback->id;
     say("seat_ended", {{"playback", said_id(id)},
                        {"cause", std::string(lapsed ? "its token's time" : "at another manager")}});
@@ -178,23 +178,23 @@
     }
     settle(*playback, 409, lapsed ? "the token's time is up\n" : "this playback went to another manager\n",
            {});
-  } else if (const auto* message = std::get_if<entitlement::Tell>(&act)) {
+  } else if (const auto* message = std::get_if<entitlement::SendToPeer>(&act)) {
     if (peers_)
-      peers_->send(now_, message->to, seat_words, entitlement::bytes_of(message->message), *actions_);
+      peers_->send(now_, message->to, seat_words, entitlement::encode(message->message), *actions_);
   }
 }
 
-void Manager::peers_said(std::vector<peers::Heard> heard) {
-  for (const auto& remark : peers_->take_remarks())
+void Manager::peers_said(std::vector<peers::ReceivedMessage> heard) {
+  for (const auto& remark : peers_->take_warnings())
     say("peer_refused", {{"cause", remark}});
   for (const auto& one : heard) {
     if (one.kind != seat_words || !ledger_)
       continue;
-    const auto message = entitlement::read_message(one.payload);
+    const auto message = entitlement::decode_message(one.payload);
     if (message)
-      seats_did(entitlement::Heard{one.from, *message});
+      seats_did(entitlement::MessageReceived{one.from, *message});
     else
-      say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.all[one.from].name}});
+      say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.managers[one.from].name}});
   }
 }
 
@@ -206,13 +206,13 @@
     return;
   }
   if (!seats_disk_failed_)
-    seats_did(entitlement::Kept{what.ticket - first_seat_ticket});
+    seats_did(entitlement::RecordsPersisted{what.ticket - first_seat_ticket});
 }
 
 void Manager::seats_time() {
   arm(terms_.entitlement.every, Ring::seats, 0);
   if (peers_) {
-    peers_->time_passed(now_, *actions_);
+    peers_->on_tick(now_, *actions_);
     peers_said({});  // what it remarked meanwhile
   }
   if (!ledger_)
@@ -223,7 +223,7 @@
 
 void Manager::fetch_keys() {
   const auto& terms = terms_.entitlement;
-  if (terms.keys_port == 0 || !gate_.wants_fetch(wall()))
+  if (terms.keys_port == 0 || !token_validator_.start_fetch_if_due(wall()))
     return;
   service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Duration(2'000'000));
 }
@@ -234,11 +234,11 @@
   hang_box(link.link);
   if (whole && status == 200) {
     std::vector<std::string> left_out;
-    gate_.keys_came(wall(), body, left_out);
+    token_validator_.on_keys_received(wall(), body, left_out);
     for (const auto& what : left_out)
       say("key_left_out", {{"cause", what}});
   } else {
-    gate_.keys_failed();
+    token_validator_.on_keys_failed();
     say("keys_failed", {{"status", std::int64_t{status}}});
   }
   // Those who waited for this answer are judged by what is known now.
@@ -247,7 +247,7 @@
     const auto found = playbacks_.find(id);
     if (found == playbacks_.end() || found->second->askers.empty())
       continue;
-    if (gate_.keys() > 0) {
+    if (token_validator_.keys() > 0) {
       entitle(*found->second);
       if (!wait_for_keys_.contains(id))
         continue;
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -6,15 +6,15 @@
 #include <string_view>
 #include <vector>
 
-#include "catalogue/keeper.h"
-#include "entitlement/gate/gate.h"
+#include "catalogue/replica.h"
 #include "entitlement/ledger/ledger.h"
+#include "entitlement/token_validator/token_validator.h"
+#include "hls/playback_policy/playback_policy.h"
 #include "hls/playlist.h"
-#include "hls/showing/showing.h"
 #include "http/http.h"
-#include "passes/passes.h"
 #include "peers/peers.h"
 #include "policy/policy.h"
+#include "signed_url/signed_url.h"
 
 namespace violettide::manager {
 
@@ -49,11 +49,11 @@
 // Seats of teams, by tokens. Off, no token is asked for.
 struct EntitlementTerms {
   bool on = false;
-  entitlement::GateTerms gate;
+  entitlement::TokenValidatorSettings token_validator;
   std::string keys_address = "127.0.0.1", keys_path = "/keys";
   std::uint16_t keys_port = 0;
-  entitlement::LedgerTerms ledger;  // its peers are those of `peers`
-  std::uint32_t restart = 1;        // of this process
+  entitlement::LedgerSettings ledger;  // its peers are those of `peers`
+  std::uint32_t restart = 1;           // of this process
   std::vector<entitlement::Record> kept;
   Duration longest_come_back{30'000'000};  // where no seat is free
   Duration every{100'000};                 // time passes for seats, keys and peers
@@ -82,9 +82,9 @@
   http::Limits http;
   HlsTerms hls;
   EntitlementTerms entitlement;
-  peers::PeerTerms peers;    // none: this manager is alone
-  int peer_door = 2;         // where other managers come in
-  Duration wall_at_zero{0};  // the machine's clock at the core's time 0
+  peers::PeerSettings peers;  // none: this manager is alone
+  int peer_door = 2;          // where other managers come in
+  Duration wall_at_zero{0};   // the machine's clock at the core's time 0
   // With a catalogue, holders come from it alone; without, from `recordings` and names' hashes.
   bool catalogued = false;
   catalogue::KeeperTerms keeper;
--- a/src/passes/passes.cpp
+++ b/src/passes/passes.cpp
@@ -1,7 +1,6 @@
-#include "passes/passes.h"
-
 #include <algorithm>
 
+#include "signed_url/signed_url.h"
 #include "signing/signing.h"
 
 namespace violettide::passes {
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "http/http.h"
 #include "io/io.h"
 #include "standins/day.h"
--- a/tests/program/hls_decisions_test.cpp
+++ b/tests/program/hls_decisions_test.cpp
@@ -6,8 +6,8 @@
 
 #include "gzip/gzip.h"
 #include "hls/continuity/continuity.h"
-#include "hls/showing/showing.h"
-#include "passes/passes.h"
+#include "hls/playback_policy/playback_policy.h"
+#include "signed_url/signed_url.h"
 #include "signing/signing.h"
 
 namespace violettide::hls {
--- a/tests/program/hls_test.cpp
+++ b/tests/program/hls_test.cpp
@@ -5,7 +5,7 @@
 
 #include <set>
 
-#include "hls/writing.h"
+#include "hls/writer.h"
 
 namespace violettide::hls {
 namespace {
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -77,17 +77,17 @@
     terms.silence = 3s;
     terms.wall_at_zero = wall_at_zero;
     terms.entitlement.on = true;
-    terms.entitlement.gate.issuer = "issuer";
-    terms.entitlement.gate.skew = 1s;
-    terms.entitlement.gate.grace = 2s;
-    terms.entitlement.gate.fetch_least = 1s;
+    terms.entitlement.token_validator.issuer = "issuer";
+    terms.entitlement.token_validator.skew = 1s;
+    terms.entitlement.token_validator.grace = 2s;
+    terms.entitlement.token_validator.min_fetch_interval = 1s;
     terms.entitlement.keys_port = Network::port(issuer_host);
-    terms.entitlement.ledger.resume = 5s;
+    terms.entitlement.ledger.resume_window = 5s;
     terms.entitlement.restart = restart;
     terms.entitlement.kept = std::move(kept);
     for (int p = 0; p < managers; ++p)
-      terms.peers.all.push_back({"m" + std::to_string(p), "", Network::port(p, 2)});
-    terms.peers.own = static_cast<peers::PeerIndex>(m);
+      terms.peers.managers.push_back({"m" + std::to_string(p), "", Network::port(p, 2)});
+    terms.peers.self = static_cast<peers::PeerIndex>(m);
     terms.peers.key = m == wrong_key ? "another" : "hall";
     return std::make_unique<Manager>(terms, 1, "", std::make_unique<Places>());
   }
@@ -98,7 +98,7 @@
         std::size_t size = 0;
         for (int i = 0; i < 4; ++i)
           size = size << 8 | static_cast<unsigned char>(bytes[at++]);
-        records.push_back(*entitlement::read_record(bytes.substr(at, size)));
+        records.push_back(*entitlement::decode_record(bytes.substr(at, size)));
         at += size;
       }
     }
@@ -108,7 +108,7 @@
     net.run(net.now() + 500ms);
   }
   int owner() const {
-    entitlement::LedgerTerms terms;
+    entitlement::LedgerSettings terms;
     for (int p = 0; p < managers; ++p)
       terms.peers.push_back("m" + std::to_string(p));
     return static_cast<int>(entitlement::owner_of(terms, "red"));
@@ -137,7 +137,7 @@
   int get(int m, const std::string& sid, const std::string& with, int object = 0) {
     return status(ask(m, sid, with, object));
   }
-  std::size_t in_book() { return fronts[owner()]->seats()->sums().in_book; }
+  std::size_t in_book() { return fronts[owner()]->seats()->counts().granted; }
 
   Network net;
   ScriptedPeer box, list, keys, viewer;
@@ -270,7 +270,7 @@
   net.run(net.now() + 5s);
   EXPECT_EQ(in_book(), 0u) << "none leaked";
   for (const auto& front : fronts) {
-    EXPECT_EQ(front->seats()->sums().held + front->seats()->sums().asked, 0u);
+    EXPECT_EQ(front->seats()->counts().held + front->seats()->counts().pending, 0u);
     EXPECT_EQ(front->held().playbacks, 0u);
   }
 }
@@ -350,8 +350,8 @@
   EXPECT_GT(plays, 250) << "twelve seats, held three seconds each at the least, for about a hundred seconds";
   EXPECT_GT(turned, 100);
   for (const auto& front : fronts) {
-    const auto sums = front->seats()->sums();
-    EXPECT_EQ(sums.held + sums.asked + sums.in_book, 0u) << "leaked";
+    const auto counts = front->seats()->counts();
+    EXPECT_EQ(counts.held + counts.pending + counts.granted, 0u) << "leaked";
     EXPECT_EQ(front->held().playbacks, 0u);
   }
   std::printf("%d play, %d turned away, of %zu asked\n", plays, turned, asked.size());
