--- a/bench/hls.cpp
+++ b/bench/hls.cpp
@@ -33,8 +33,8 @@
   return text;
 }
 
-hls::Media media_of(std::string text, const hls::Media* before = nullptr) {
-  return std::get<hls::Media>(hls::read_media(std::move(text), {}, {}, before));
+hls::MediaPlaylist media_of(std::string text, const hls::MediaPlaylist* before = nullptr) {
+  return std::get<hls::MediaPlaylist>(hls::parse_media_playlist(std::move(text), {}, {}, before));
 }
 
 // Seconds for each of so many runs, in turn with the others, the best of five rounds.
@@ -72,18 +72,17 @@
             },
             times * 10),
         copy);
-    const auto write = [&](hls::Media media, bool moved) {
-      const auto shared = std::make_shared<const hls::Media>(std::move(media));
+    const auto write = [&](hls::MediaPlaylist media, bool moved) {
+      const auto shared = std::make_shared<const hls::MediaPlaylist>(std::move(media));
       hls::Window window{{}, shared->media_sequence, 0, false};
-      window.pieces.push_back({shared, 0, static_cast<std::uint32_t>(shared->segments.size()), 0, 0, false});
-      hls::WriteTerms terms;
+      window.slices.push_back({shared, 0, static_cast<std::uint32_t>(shared->segments.size()), 0, 0, false});
+      hls::WriteOptions terms;
       if (moved) {
-        terms.moved = [](const hls::Piece&) { return true; };
-        terms.address = [](const hls::Piece&, std::string_view uri, hls::Tag) -> hls::Address {
-          return "/~/token/" + std::string(uri);
-        };
+        terms.is_relocated = [](const hls::PlaylistSlice&) { return true; };
+        terms.rewrite_uri = [](const hls::PlaylistSlice&, std::string_view uri,
+                               hls::Tag) -> hls::RewrittenUri { return "/~/token/" + std::string(uri); };
       }
-      sum += std::get<std::string>(hls::write_window(window, terms)).size();
+      sum += std::get<std::string>(hls::write_media_playlist(window, terms)).size();
     };
     row("read on", best([&] { write(media_of(newer, &before), false); }, times), copy);
     row("read whole", best([&] { write(media_of(newer), false); }, times), copy);
--- a/src/hls/continuity/continuity.h
+++ b/src/hls/continuity/continuity.h
@@ -1,54 +1,59 @@
-// One media playlist as one player sees it, while the boxes behind it change: numbers that never go back,
-// no segment twice and none left out that some box had, discontinuities only where the media breaks. Free
-// of I/O and clock: what a box had and when, in; the window to show, out.
+// Keeps the media playlist that one player reads consistent while the video servers behind it change: media
+// sequence numbers never go back, no segment is listed twice, none that some server had is left out, and a
+// discontinuity is signalled only where the media has one. Free of I/O and clock.
 #pragma once
 
 #include <optional>
 
-#include "hls/writing.h"
+#include "hls/writer.h"
 
 namespace violettide::hls {
 
-// A playlist as a box had it just now.
-struct Fresh {
-  std::shared_ptr<const Media> media;
-  std::uint32_t source = 0;  // the box
-  int rung = 0;              // of what it lists
+// A playlist as a video server had it just now.
+struct PlaylistUpdate {
+  std::shared_ptr<const MediaPlaylist> playlist;
+  std::uint32_t source = 0;  // the video server
+  int rung = 0;              // of the playlist
 };
-struct Course {
+// How an update relates to what the player was shown before.
+struct ContinuityResult {
   enum class Step {
-    began,      // the first the player sees
-    went_on,    // nothing between it and what was shown
-    stood,      // the box has nothing that was not shown: what was shown is shown again
-    skipped,    // segments that no box shows any more lie between
-    began_anew  // nothing says how it follows what was shown
+    started,    // the first playlist that the player sees
+    continued,  // new segments follow the last one shown
+    unchanged,  // the server has nothing new: the same window is shown again
+    skipped,    // new segments, but some in between are no longer listed by any server
+    restarted   // nothing shows how the playlist relates to the window
   };
-  Step step = Step::began;
-  Span stood_for{0};  // how long nothing new has come
+  Step step = Step::started;
+  Span unchanged_for{0};  // the time since the last new segment
 };
 
+// The window of one rendition for one player.
 class Continuity {
  public:
-  // `beside`: another rendition's course of the same player, to begin with its numbers; null where none is.
-  Course take(Span now, const Fresh& fresh, const Continuity* beside = nullptr);
-  // As it was shown last; no pieces before the first take().
+  // Adds the new segments of an update. `other_rendition` is another rendition's window of the same player,
+  // to start with the same sequence numbers; null if there is none.
+  ContinuityResult apply(Span now, const PlaylistUpdate& update, const Continuity* other_rendition = nullptr);
+  // The window shown last; it has no slices before the first apply().
   const Window& window() const { return window_; }
-  // The number that the newest box gives to what the player calls `shown`; for requests that name one.
-  std::uint64_t at_box(std::uint64_t shown) const;
+  // The newest video server's sequence number for the player's number `shown`, for requests that name one.
+  std::uint64_t server_sequence(std::uint64_t shown) const;
 
  private:
-  std::uint64_t first_number(const Media& media, const Continuity* beside) const;
-  std::optional<std::uint32_t> find_last(const Fresh& fresh) const;
-  enum class Lies { unknown, behind, ahead };
-  Lies lies(const Fresh& fresh) const;
-  bool same(const Segment& a, const Media& in_a, const Segment& b, const Media& in_b, bool same_rung) const;
-  void re_anchor(const Fresh& fresh, std::uint32_t last_at);
-  void append(const Fresh& fresh, std::uint32_t from, bool breaks);
-  void trim(std::size_t most);
-  void drop_first(Piece& piece);
+  std::uint64_t initial_sequence(const MediaPlaylist& media, const Continuity* other_rendition) const;
+  std::optional<std::uint32_t> find_last_shown(const PlaylistUpdate& update) const;
+  // Where an update lies relative to the last segment shown, which it does not list.
+  enum class Position { unknown, behind, ahead };
+  Position position_of(const PlaylistUpdate& update) const;
+  bool is_same_segment(const Segment& a, const MediaPlaylist& in_a, const Segment& b,
+                       const MediaPlaylist& in_b, bool same_rung) const;
+  void replace_matched_slices(const PlaylistUpdate& update, std::uint32_t last_at);
+  void append(const PlaylistUpdate& update, std::uint32_t from, bool discontinuity_before);
+  void trim(std::size_t max_segments);
+  void drop_first(PlaylistSlice& slice);
 
   Window window_;
-  Span news_at_{0};
+  Span last_progress_at_{0};
 };
 
 }  // namespace violettide::hls
--- a/src/hls/playlist.cpp
+++ b/src/hls/playlist.cpp
@@ -9,158 +9,163 @@
 
 namespace {
 
-Span span_of(double s) { return Span(std::llround(s * 1e6)); }
+Span from_seconds(double s) { return Span(std::llround(s * 1e6)); }
 
 struct Line {
-  Range whole;             // with its end
-  std::string_view text;   // without
-  std::uint32_t from = 0;  // of the text
+  TextRange range;         // with its line end
+  std::string_view text;   // without its line end
+  std::uint32_t from = 0;  // offset of `text`
 };
 
-// Where a fault is met; told with its line at the end.
-struct Met {
+// Thrown within the parsers; the offset becomes a line number at the end.
+struct ParseFailure {
   std::size_t at;
   std::string cause;
 };
 
-class Lines {
+// Splits a playlist into lines and checks each one.
+class LineReader {
  public:
-  Lines(const std::string& text, const Limits& limits) : text_(text), limits_(limits) {}
+  LineReader(const std::string& text, const PlaylistLimits& limits) : text_(text), limits_(limits) {}
   bool next(Line& line) {
     if (at_ >= text_.size())
       return false;
     auto end = text_.find('\n', at_);
-    const auto whole_end = end == std::string::npos ? text_.size() : end + 1;
+    const auto next_line = end == std::string::npos ? text_.size() : end + 1;
     if (end == std::string::npos)
       end = text_.size();
     if (end > at_ && text_[end - 1] == '\r')
       --end;
-    line.whole = {static_cast<std::uint32_t>(at_), static_cast<std::uint32_t>(whole_end)};
+    line.range = {static_cast<std::uint32_t>(at_), static_cast<std::uint32_t>(next_line)};
     line.text = std::string_view(text_).substr(at_, end - at_);
     line.from = static_cast<std::uint32_t>(at_);
     if (line.text.size() > limits_.line)
-      throw Met{at_, "a line of more than " + std::to_string(limits_.line) + " bytes"};
-    // Guards against bytes that break the text of whatever it is put into (RFC 8216, 4.1).
+      throw ParseFailure{at_, "longer than " + std::to_string(limits_.line) + " bytes"};
+    // Guards against bytes that would corrupt any text a line is copied into (RFC 8216, 4.1).
     for (const char c : line.text) {
       if (static_cast<unsigned char>(c) < 0x20 && c != '\t')
-        throw Met{at_, "a control character"};
+        throw ParseFailure{at_, "contains a control character"};
     }
-    at_ = whole_end;
+    at_ = next_line;
     return true;
   }
   std::size_t at() const { return at_; }
-  void go_to(std::size_t at) { at_ = at; }
+  void seek(std::size_t at) { at_ = at; }
 
  private:
   const std::string& text_;
-  const Limits& limits_;
+  const PlaylistLimits& limits_;
   std::size_t at_ = 0;
 };
 
-// The tag of a line, its value, and its attributes where it has such.
-struct Read {
-  const TagRule* rule = nullptr;  // null: unknown, or a comment
+// The tag of a line and its value.
+struct ParsedTag {
+  const TagRule* rule = nullptr;  // null for an unknown tag or a comment
   std::string_view value;
 };
 
-Read tag_of(const Line& line) {
+ParsedTag parse_tag(const Line& line) {
   if (!line.text.starts_with("#EXT"))
     return {};
   const auto rest = line.text.substr(4);
   const auto colon = rest.find(':');
-  const auto* rule = rule_of(rest.substr(0, colon));
+  const auto* rule = find_tag_rule(rest.substr(0, colon));
   if (!rule)
     return {};
-  Read read{rule, colon == std::string_view::npos ? std::string_view() : rest.substr(colon + 1)};
-  if (rule->takes == Takes::nothing) {
-    // A tag that takes nothing and has something is another's tag of a like name.
+  ParsedTag parsed{rule, colon == std::string_view::npos ? std::string_view() : rest.substr(colon + 1)};
+  if (rule->value_type == ValueType::none) {
+    // A tag without a value that has one is a vendor's tag whose name only looks alike.
     if (colon != std::string_view::npos)
       return {};
   } else if (colon == std::string_view::npos) {
-    throw Met{line.from, "#EXT" + std::string(rule->name) + " lacks its value"};
+    throw ParseFailure{line.from, "#EXT" + std::string(rule->name) + " has no value"};
   }
-  return read;
+  return parsed;
 }
 
-void check_value(const Line& line, const Read& read, Attributes& attributes) {
-  const auto name = "#EXT" + std::string(read.rule->name);
-  switch (read.rule->takes) {
-    case Takes::attributes:
-      if (const auto cause = read_attributes(read.value, attributes))
-        throw Met{line.from, name + ": " + *cause};
-      if (const auto cause = check_attributes(*read.rule, attributes))
-        throw Met{line.from, name + ": " + *cause};
+void check_value(const Line& line, const ParsedTag& tag, AttributeList& attributes) {
+  const auto name = "#EXT" + std::string(tag.rule->name);
+  switch (tag.rule->value_type) {
+    case ValueType::attribute_list:
+      if (const auto cause = parse_attributes(tag.value, attributes))
+        throw ParseFailure{line.from, name + ": " + *cause};
+      if (const auto cause = check_attributes(*tag.rule, attributes))
+        throw ParseFailure{line.from, name + ": " + *cause};
       return;
-    case Takes::whole:
-      if (!read_whole(read.value))
-        throw Met{line.from, name + " takes a whole number"};
+    case ValueType::integer:
+      if (!parse_integer(tag.value))
+        throw ParseFailure{line.from, name + " requires an integer"};
       return;
-    case Takes::date:
-      if (!read_date(read.value))
-        throw Met{line.from, name + " takes a date and time by ISO 8601"};
+    case ValueType::date_time:
+      if (!parse_date_time(tag.value))
+        throw ParseFailure{line.from, name + " requires an ISO 8601 date and time"};
       return;
     default:
       return;
   }
 }
 
-std::uint64_t whole_of(const Read& read) { return *read_whole(read.value); }
+std::uint64_t integer_value(const ParsedTag& tag) { return *parse_integer(tag.value); }
 
-class Defines {
+// Collects the variables of EXT-X-DEFINE.
+class VariableDefinitions {
  public:
-  Defines(Variables& variables, const Variables& given, const Limits& limits)
-      : variables_(variables), given_(given), limits_(limits) {}
-  void take(const Line& line, const Attributes& attributes) {
-    const auto add = [&](std::string_view name, std::string value) {
+  VariableDefinitions(Variables& variables, const Variables& external_variables, const PlaylistLimits& limits)
+      : variables_(variables), external_variables_(external_variables), limits_(limits) {}
+  void add(const Line& line, const AttributeList& attributes) {
+    const auto add_variable = [&](std::string_view name, std::string value) {
       if (name.empty())
-        throw Met{line.from, "#EXT-X-DEFINE: an empty name"};
+        throw ParseFailure{line.from, "#EXT-X-DEFINE: empty variable name"};
       if (variables_.size() >= limits_.variables)
-        throw Met{line.from, "too many variables"};
+        throw ParseFailure{line.from, "too many variables"};
       if (!variables_.emplace(std::string(name), std::move(value)).second)
-        throw Met{line.from, "#EXT-X-DEFINE: " + std::string(name) + " twice"};
+        throw ParseFailure{line.from, "#EXT-X-DEFINE: variable " + std::string(name) + " is defined twice"};
     };
-    const auto from_outside = [&](const char* kind) {
+    const auto import_variable = [&](const char* kind) {
       const auto name = attributes.text(kind);
-      const auto found = given_.find(name);
-      if (found == given_.end())
-        throw Met{line.from, "#EXT-X-DEFINE: " + std::string(name) + " is not given to this playlist"};
-      add(name, found->second);
+      const auto found = external_variables_.find(name);
+      if (found == external_variables_.end())
+        throw ParseFailure{
+            line.from, "#EXT-X-DEFINE: variable " + std::string(name) + " is not available to this playlist"};
+      add_variable(name, found->second);
     };
     if (attributes.find("NAME")) {
       if (!attributes.find("VALUE"))
-        throw Met{line.from, "#EXT-X-DEFINE: NAME without VALUE"};
-      add(attributes.text("NAME"), std::string(attributes.text("VALUE")));
+        throw ParseFailure{line.from, "#EXT-X-DEFINE: NAME without VALUE"};
+      add_variable(attributes.text("NAME"), std::string(attributes.text("VALUE")));
     } else if (attributes.find("IMPORT")) {
-      from_outside("IMPORT");
+      import_variable("IMPORT");
     } else if (attributes.find("QUERYPARAM")) {
-      from_outside("QUERYPARAM");
+      import_variable("QUERYPARAM");
     } else {
-      throw Met{line.from, "#EXT-X-DEFINE: neither NAME, IMPORT nor QUERYPARAM"};
+      throw ParseFailure{line.from, "#EXT-X-DEFINE has none of NAME, IMPORT and QUERYPARAM"};
     }
   }
 
  private:
   Variables& variables_;
-  const Variables& given_;
-  const Limits& limits_;
+  const Variables& external_variables_;
+  const PlaylistLimits& limits_;
 };
 
-Range range_in(const Line& line, std::string_view part) {
+TextRange range_of(const Line& line, std::string_view part) {
   const auto from = line.from + static_cast<std::uint32_t>(part.data() - line.text.data());
   return {from, from + static_cast<std::uint32_t>(part.size())};
 }
 
-void begin(Lines& lines, const std::string& text, const Limits& limits) {
+void check_header(LineReader& lines, const std::string& text, const PlaylistLimits& limits) {
   if (text.size() > limits.bytes)
-    throw Met{0, "a playlist of more than " + std::to_string(limits.bytes) + " bytes"};
+    throw ParseFailure{0, "playlist exceeds " + std::to_string(limits.bytes) + " bytes"};
   Line first;
   if (!lines.next(first) || first.text != "#EXTM3U")
-    throw Met{0, "no playlist: it does not begin with #EXTM3U"};
+    throw ParseFailure{0, "not a playlist: the first line is not #EXTM3U"};
 }
 
-Fault fault_of(const Met& met, std::string_view text) { return fault_at(text, met.at, met.cause); }
+PlaylistError to_error(const ParseFailure& failure, std::string_view text) {
+  return error_at(text, failure.at, failure.cause);
+}
 
-// By blocks first: where lists agree, they agree for long.
+// Compares whole blocks first, as successive versions of a playlist share long stretches.
 std::uint32_t common_length(std::string_view a, std::string_view b) {
   constexpr std::size_t block = 4096;
   const auto most = std::min(a.size(), b.size());
@@ -172,193 +177,194 @@
   return static_cast<std::uint32_t>(at);
 }
 
-class MediaReader {
+class MediaPlaylistParser {
  public:
-  MediaReader(Media& media, const Limits& limits, const Variables& given, const Media* before)
+  MediaPlaylistParser(MediaPlaylist& media, const PlaylistLimits& limits, const Variables& external_variables,
+                      const MediaPlaylist* previous)
       : media_(media),
         limits_(limits),
-        before_(before),
+        previous_(previous),
         lines_(media.text, limits),
-        defines_(media.variables, given, limits) {}
+        definitions_(media.variables, external_variables, limits) {}
 
-  void read() {
-    begin(lines_, media_.text, limits_);
+  void parse() {
+    check_header(lines_, media_.text, limits_);
     media_.states.emplace_back();
-    media_.segments.reserve(before_ ? before_->segments.size() + 4 : 0);
-    span_from_ = 0;
+    media_.segments.reserve(previous_ ? previous_->segments.size() + 4 : 0);
+    segment_from_ = 0;
     Line line;
     while (lines_.next(line)) {
-      take(line);
-      if (before_ && media_.segments.size() == 1 && !tried_)
-        take_over();
+      parse_line(line);
+      if (previous_ && media_.segments.size() == 1 && !tried_reuse_)
+        reuse_previous();
     }
-    if (!saw_[static_cast<std::size_t>(Tag::target_duration)])
-      throw Met{0, "#EXT-X-TARGETDURATION is missing"};
+    if (!seen_tags_[static_cast<std::size_t>(Tag::target_duration)])
+      throw ParseFailure{0, "#EXT-X-TARGETDURATION is missing"};
     if (has_duration_)
-      throw Met{media_.text.size(), "#EXTINF without the URI of its segment"};
+      throw ParseFailure{media_.text.size(), "#EXTINF without a segment URI"};
     const auto end = static_cast<std::uint32_t>(media_.text.size());
     if (media_.segments.empty())
-      media_.head.to = in_span_ ? span_from_ : end;
+      media_.head.to = in_segment_ ? segment_from_ : end;
     media_.tail = {media_.segments.empty() ? media_.head.to : media_.segments.back().lines.to, end};
   }
 
  private:
-  void take(const Line& line) {
+  void parse_line(const Line& line) {
     if (line.text.empty())
       return;
     if (line.text[0] != '#')
-      return take_uri(line);
-    const auto read = tag_of(line);
-    if (!read.rule)
+      return add_segment(line);
+    const auto tag = parse_tag(line);
+    if (!tag.rule)
       return;
-    check_value(line, read, attributes_);
-    const auto& rule = *read.rule;
-    if (rule.stands == Stands::in_multivariant)
-      throw Met{line.from, "#EXT" + std::string(rule.name) + " in a media playlist"};
-    auto& saw = saw_[static_cast<std::size_t>(rule.tag)];
-    if (rule.once && saw)
-      throw Met{line.from, "#EXT" + std::string(rule.name) + " twice"};
-    saw = true;
-    if (rule.stands == Stands::at_segment) {
-      begin_span(line);
-    } else if (in_span_ && rule.tag != Tag::date_range && rule.tag != Tag::preload_hint &&
+    check_value(line, tag, attributes_);
+    const auto& rule = *tag.rule;
+    if (rule.placement == Placement::multivariant_playlist)
+      throw ParseFailure{line.from, "#EXT" + std::string(rule.name) + " is not allowed in a media playlist"};
+    auto& seen = seen_tags_[static_cast<std::size_t>(rule.tag)];
+    if (rule.at_most_once && seen)
+      throw ParseFailure{line.from, "#EXT" + std::string(rule.name) + " appears twice"};
+    seen = true;
+    if (rule.placement == Placement::segment) {
+      begin_segment(line);
+    } else if (in_segment_ && rule.tag != Tag::date_range && rule.tag != Tag::preload_hint &&
                rule.tag != Tag::rendition_report) {
-      media_.strays.push_back(line.whole);
+      media_.misplaced_tags.push_back(line.range);
     }
-    take_tag(line, read);
+    apply_tag(line, tag);
   }
 
-  void begin_span(const Line& line) {
-    if (in_span_)
+  void begin_segment(const Line& line) {
+    if (in_segment_)
       return;
-    in_span_ = true;
-    span_from_ = media_.segments.empty() ? line.whole.from : media_.segments.back().lines.to;
+    in_segment_ = true;
+    segment_from_ = media_.segments.empty() ? line.range.from : media_.segments.back().lines.to;
     if (media_.segments.empty())
-      media_.head = {0, span_from_};
-    now_.before = now_.state = static_cast<std::uint32_t>(state_);
+      media_.head = {0, segment_from_};
+    segment_.state_before = segment_.state = static_cast<std::uint32_t>(state_);
   }
 
-  void take_tag(const Line& line, const Read& read) {
-    switch (read.rule->tag) {
+  void apply_tag(const Line& line, const ParsedTag& tag) {
+    switch (tag.rule->tag) {
       case Tag::version:
-        media_.version = whole_of(read);
+        media_.version = integer_value(tag);
         return;
       case Tag::define:
-        return defines_.take(line, attributes_);
+        return definitions_.add(line, attributes_);
       case Tag::target_duration:
-        if (whole_of(read) == 0 || whole_of(read) > 86'400)
-          throw Met{line.from, "#EXT-X-TARGETDURATION takes 1 to 86400 seconds"};
-        media_.target = std::chrono::seconds(whole_of(read));
+        if (integer_value(tag) == 0 || integer_value(tag) > 86'400)
+          throw ParseFailure{line.from, "#EXT-X-TARGETDURATION must be 1 to 86400 seconds"};
+        media_.target_duration = std::chrono::seconds(integer_value(tag));
         return;
       case Tag::media_sequence:
       case Tag::discontinuity_sequence:
         if (!media_.segments.empty())
-          throw Met{line.from, "#EXT" + std::string(read.rule->name) + " behind the first segment"};
-        // Guards against numbers that would run over when the list goes on.
-        if (whole_of(read) >> 53)
-          throw Met{line.from, "#EXT" + std::string(read.rule->name) + " is too large"};
-        (read.rule->tag == Tag::media_sequence ? media_.media_sequence : media_.discontinuity_sequence) =
-            whole_of(read);
+          throw ParseFailure{line.from, "#EXT" + std::string(tag.rule->name) + " after the first segment"};
+        // Guards against overflow as the sequence number grows.
+        if (integer_value(tag) >> 53)
+          throw ParseFailure{line.from, "#EXT" + std::string(tag.rule->name) + " is too large"};
+        (tag.rule->tag == Tag::media_sequence ? media_.media_sequence : media_.discontinuity_sequence) =
+            integer_value(tag);
         return;
       case Tag::playlist_type:
-        if (read.value != "VOD" && read.value != "EVENT")
-          throw Met{line.from, "#EXT-X-PLAYLIST-TYPE takes VOD or EVENT"};
-        media_.type = read.value;
+        if (tag.value != "VOD" && tag.value != "EVENT")
+          throw ParseFailure{line.from, "#EXT-X-PLAYLIST-TYPE must be VOD or EVENT"};
+        media_.type = tag.value;
         return;
       case Tag::i_frames_only:
         media_.i_frames_only = true;
         return;
       case Tag::independent_segments:
-        media_.independent = true;
+        media_.independent_segments = true;
         return;
       case Tag::end_list:
         media_.ended = true;
         return;
       case Tag::part_inf:
-        media_.part_target = span_of(*attributes_.number("PART-TARGET"));
+        media_.part_target = from_seconds(*attributes_.decimal("PART-TARGET"));
         return;
       case Tag::server_control: {
-        const auto spanned = [&](const char* name) -> std::optional<Span> {
-          const auto value = attributes_.number(name);
-          return value ? std::optional(span_of(*value)) : std::nullopt;
+        const auto seconds_attribute = [&](const char* name) -> std::optional<Span> {
+          const auto value = attributes_.decimal(name);
+          return value ? std::optional(from_seconds(*value)) : std::nullopt;
         };
-        media_.skip_until = spanned("CAN-SKIP-UNTIL");
-        media_.hold_back = spanned("HOLD-BACK");
-        media_.part_hold_back = spanned("PART-HOLD-BACK");
-        media_.blocks_reload = attributes_.text("CAN-BLOCK-RELOAD") == "YES";
+        media_.skip_until = seconds_attribute("CAN-SKIP-UNTIL");
+        media_.hold_back = seconds_attribute("HOLD-BACK");
+        media_.part_hold_back = seconds_attribute("PART-HOLD-BACK");
+        media_.can_block_reload = attributes_.text("CAN-BLOCK-RELOAD") == "YES";
         return;
       }
       case Tag::skip:
-        throw Met{line.from, "a delta update that nobody asked for"};
+        throw ParseFailure{line.from, "unrequested delta update"};
       case Tag::inf: {
         if (has_duration_)
-          throw Met{line.from, "two #EXTINF for one segment"};
-        const auto comma = read.value.find(',');
-        const auto number = read_number(read.value.substr(0, comma));
+          throw ParseFailure{line.from, "two #EXTINF for one segment"};
+        const auto comma = tag.value.find(',');
+        const auto number = parse_decimal(tag.value.substr(0, comma));
         if (!number || *number < 0 || *number > 86'400)
-          throw Met{line.from, "#EXTINF takes a duration in seconds"};
-        now_.duration = span_of(*number);
+          throw ParseFailure{line.from, "#EXTINF requires a duration in seconds"};
+        segment_.duration = from_seconds(*number);
         has_duration_ = true;
         return;
       }
       case Tag::byte_range: {
-        const auto at = read.value.find('@');
-        const auto length = read_whole(read.value.substr(0, at));
-        const auto offset = at == std::string_view::npos ? std::optional<std::uint64_t>(no_offset)
-                                                         : read_whole(read.value.substr(at + 1));
+        const auto at_sign = tag.value.find('@');
+        const auto length = parse_integer(tag.value.substr(0, at_sign));
+        const auto offset = at_sign == std::string_view::npos ? std::optional<std::uint64_t>(no_offset)
+                                                              : parse_integer(tag.value.substr(at_sign + 1));
         if (!length || !offset)
-          throw Met{line.from, "#EXT-X-BYTERANGE takes length[@offset]"};
-        now_.range_length = *length;
-        now_.range_offset = *offset;
-        ranged_ = true;
+          throw ParseFailure{line.from, "#EXT-X-BYTERANGE requires length[@offset]"};
+        segment_.byte_range_length = *length;
+        segment_.byte_range_offset = *offset;
+        has_byte_range_ = true;
         return;
       }
       case Tag::discontinuity:
-        now_.discontinuity = true;
+        segment_.discontinuity = true;
         return;
       case Tag::gap:
-        now_.gap = true;
+        segment_.gap = true;
         return;
       case Tag::program_date_time:
-        now_.wall = *read_date(read.value);
-        now_.own_wall = true;
+        segment_.date_time_us = *parse_date_time(tag.value);
+        segment_.has_own_date_time = true;
         return;
       case Tag::key:
       case Tag::map:
       case Tag::bitrate:
-        note_uri(line, read.rule->tag);
-        return change_state(line, read);
+        record_uri(line, tag.rule->tag);
+        return update_state(line, tag);
       case Tag::part:
       case Tag::preload_hint:
       case Tag::rendition_report:
-        return note_uri(line, read.rule->tag);
+        return record_uri(line, tag.rule->tag);
       default:
         return;
     }
   }
 
-  void note_uri(const Line& line, Tag tag) {
+  void record_uri(const Line& line, Tag tag) {
     const auto* uri = attributes_.find("URI");
     if (!uri || tag == Tag::bitrate)
       return;
-    const UriAt at{range_in(line, uri->value), tag};
+    const UriReference at{range_of(line, uri->value), tag};
     media_.attribute_uris.push_back(at);
-    if (!plain_name(uri->value))
-      media_.uris.push_back(at);
+    if (!is_plain_file_name(uri->value))
+      media_.non_plain_uris.push_back(at);
   }
 
-  void change_state(const Line& line, const Read& read) {
+  void update_state(const Line& line, const ParsedTag& tag) {
     auto next = media_.states[state_];
-    if (read.rule->tag == Tag::map) {
+    if (tag.rule->tag == Tag::map) {
       next.map = line.text;
-    } else if (read.rule->tag == Tag::bitrate) {
+    } else if (tag.rule->tag == Tag::bitrate) {
       next.bitrate = line.text;
     } else {
-      // Keys of one format replace each other; METHOD=NONE ends all (RFC 8216, 4.3.2.4).
+      // A key replaces one of the same KEYFORMAT; METHOD=NONE removes all (RFC 8216, 4.3.2.4).
       const auto method = attributes_.text("METHOD");
       const auto format = [&](std::string_view text) {
-        Attributes other;
-        read_attributes(text.substr(text.find(':') + 1), other);
+        AttributeList other;
+        parse_attributes(text.substr(text.find(':') + 1), other);
         const auto said = other.text("KEYFORMAT");
         return std::string(said.empty() ? "identity" : said);
       };
@@ -366,7 +372,7 @@
         next.keys.clear();
       } else {
         if (!attributes_.find("URI"))
-          throw Met{line.from, "#EXT-X-KEY lacks its URI"};
+          throw ParseFailure{line.from, "#EXT-X-KEY has no URI"};
         const auto own = format(line.text);
         std::erase_if(next.keys, [&](const auto& key) { return format(key) == own; });
         next.keys.emplace_back(line.text);
@@ -379,256 +385,267 @@
       media_.states.push_back(std::move(next));
       state_ = media_.states.size() - 1;
     }
-    now_.state = static_cast<std::uint32_t>(state_);
+    segment_.state = static_cast<std::uint32_t>(state_);
   }
 
-  void take_uri(const Line& line) {
+  void add_segment(const Line& line) {
     if (!has_duration_)
-      throw Met{line.from, "a URI without #EXTINF"};
+      throw ParseFailure{line.from, "URI without #EXTINF"};
     if (media_.segments.size() >= limits_.segments)
-      throw Met{line.from, "more than " + std::to_string(limits_.segments) + " segments"};
+      throw ParseFailure{line.from, "more than " + std::to_string(limits_.segments) + " segments"};
     auto text = line.text;
     while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
       text.remove_suffix(1);
-    now_.lines = {span_from_, line.whole.to};
-    now_.uri = range_in(line, text);
+    segment_.lines = {segment_from_, line.range.to};
+    segment_.uri = range_of(line, text);
     const Segment* last = media_.segments.empty() ? nullptr : &media_.segments.back();
-    if (now_.wall == no_wall && last && last->wall != no_wall && !now_.discontinuity)
-      now_.wall = last->wall + last->duration.count();
-    if (ranged_ && now_.range_offset == no_offset) {
-      // Goes on where the range before ended, in the same resource (RFC 8216, 4.3.2.2).
-      if (!last || last->range_offset == no_offset || last->uri.of(media_.text) != text)
-        throw Met{line.from, "#EXT-X-BYTERANGE without an offset follows no range of the same resource"};
-      now_.range_offset = last->range_offset + last->range_length;
+    if (segment_.date_time_us == no_date_time && last && last->date_time_us != no_date_time &&
+        !segment_.discontinuity)
+      segment_.date_time_us = last->date_time_us + last->duration.count();
+    if (has_byte_range_ && segment_.byte_range_offset == no_offset) {
+      // The range starts where the previous one of the same resource ended (RFC 8216, 4.3.2.2).
+      if (!last || last->byte_range_offset == no_offset || last->uri.view_in(media_.text) != text)
+        throw ParseFailure{line.from,
+                           "#EXT-X-BYTERANGE without an offset does not follow a range of the same resource"};
+      segment_.byte_range_offset = last->byte_range_offset + last->byte_range_length;
     }
-    if (!plain_name(text))
-      media_.uris.push_back({now_.uri, Tag::inf});
-    media_.segments.push_back(now_);
-    now_ = Segment{};
-    in_span_ = has_duration_ = ranged_ = false;
+    if (!is_plain_file_name(text))
+      media_.non_plain_uris.push_back({segment_.uri, Tag::inf});
+    media_.segments.push_back(segment_);
+    segment_ = Segment{};
+    in_segment_ = has_duration_ = has_byte_range_ = false;
   }
 
-  // What the playlist read before has behind the same first segment, byte for byte, is what it was.
-  void take_over() {
-    tried_ = true;
-    const auto& old = *before_;
+  // Copies the segments of the previous playlist that follow the same first segment byte for byte.
+  void reuse_previous() {
+    tried_reuse_ = true;
+    const auto& old = *previous_;
     const auto& first = media_.segments[0];
     if (media_.media_sequence < old.media_sequence)
       return;
     const auto skipped = media_.media_sequence - old.media_sequence;
     if (skipped >= old.segments.size() || !(media_.variables == old.variables))
       return;
-    const auto& same = old.segments[skipped];
-    if (same.uri.of(old.text) != first.uri.of(media_.text) || same.wall != first.wall ||
-        same.range_offset != first.range_offset || same.range_length != first.range_length ||
-        same.duration != first.duration || !(old.states[same.state] == media_.states[first.state]))
+    const auto& match = old.segments[skipped];
+    if (match.uri.view_in(old.text) != first.uri.view_in(media_.text) ||
+        match.date_time_us != first.date_time_us || match.byte_range_offset != first.byte_range_offset ||
+        match.byte_range_length != first.byte_range_length || match.duration != first.duration ||
+        !(old.states[match.state] == media_.states[first.state]))
       return;
     const auto now_text = std::string_view(media_.text).substr(first.lines.to);
-    const auto old_text = std::string_view(old.text).substr(same.lines.to);
+    const auto old_text = std::string_view(old.text).substr(match.lines.to);
     const auto common = common_length(now_text, old_text);
-    const auto shift = static_cast<std::int64_t>(first.lines.to) - static_cast<std::int64_t>(same.lines.to);
-    const auto moved = [&](Range range) {
-      return Range{static_cast<std::uint32_t>(range.from + shift),
-                   static_cast<std::uint32_t>(range.to + shift)};
+    const auto shift = static_cast<std::int64_t>(first.lines.to) - static_cast<std::int64_t>(match.lines.to);
+    const auto shifted = [&](TextRange range) {
+      return TextRange{static_cast<std::uint32_t>(range.from + shift),
+                       static_cast<std::uint32_t>(range.to + shift)};
     };
-    const auto upto = same.lines.to + common;
+    const auto common_end = match.lines.to + common;
     auto last = skipped + 1;
-    while (last < old.segments.size() && old.segments[last].lines.to <= upto)
+    while (last < old.segments.size() && old.segments[last].lines.to <= common_end)
       ++last;
     if (last == skipped + 1)
       return;
-    // A playlist's tag among segments is read anew, as it may hold for the whole.
-    if (!old.strays.empty())
+    // Playlist-wide tags between segments affect the whole playlist, so that it is parsed in full.
+    if (!old.misplaced_tags.empty())
       return;
-    // Guards against states gathering for ever where keys change with every segment.
+    // Guards against `states` growing without bound where keys change with every segment.
     if (old.states.size() > 2 * old.segments.size() + 16)
       return;
-    const Range of_old{same.lines.to, old.segments[last - 1].lines.to};
+    const TextRange reused_range{match.lines.to, old.segments[last - 1].lines.to};
     media_.states = old.states;
-    media_.segments[0].state = same.state;
+    media_.segments[0].state = match.state;
     for (auto i = skipped + 1; i < last; ++i) {
       auto segment = old.segments[i];
-      segment.lines = moved(segment.lines);
-      segment.uri = moved(segment.uri);
+      segment.lines = shifted(segment.lines);
+      segment.uri = shifted(segment.uri);
       media_.segments.push_back(segment);
     }
-    const auto take_uris = [&](const std::vector<UriAt>& from, std::vector<UriAt>& to) {
-      for (auto it = std::lower_bound(from.begin(), from.end(), of_old.from,
-                                      [](const UriAt&uri, std::uint32_t at) { return uri.at.from < at; });
-           it != from.end() && it->at.to <= of_old.to; ++it)
-        to.push_back({moved(it->at), it->of});
+    const auto copy_uris = [&](const std::vector<UriReference>& from, std::vector<UriReference>& to) {
+      for (auto it =
+               std::lower_bound(from.begin(), from.end(), reused_range.from,
+                                [](const UriReference&uri, std::uint32_t at) { return uri.range.from < at; });
+           it != from.end() && it->range.to <= reused_range.to; ++it)
+        to.push_back({shifted(it->range), it->tag});
     };
-    take_uris(old.uris, media_.uris);
-    take_uris(old.attribute_uris, media_.attribute_uris);
-    media_.taken_over = last - skipped - 1;
+    copy_uris(old.non_plain_uris, media_.non_plain_uris);
+    copy_uris(old.attribute_uris, media_.attribute_uris);
+    media_.reused_segments = last - skipped - 1;
     state_ = media_.segments.back().state;
-    lines_.go_to(media_.segments.back().lines.to);
+    lines_.seek(media_.segments.back().lines.to);
   }
 
-  Media& media_;
-  const Limits& limits_;
-  const Media* before_;
-  Lines lines_;
-  Defines defines_;
-  Attributes attributes_;
-  Segment now_;
-  bool in_span_ = false, has_duration_ = false, ranged_ = false, tried_ = false;
-  std::uint32_t span_from_ = 0;
-  std::size_t state_ = 0;
-  std::array<bool, static_cast<std::size_t>(Tag::unknown)> saw_{};
+  MediaPlaylist& media_;
+  const PlaylistLimits& limits_;
+  const MediaPlaylist* previous_;
+  LineReader lines_;
+  VariableDefinitions definitions_;
+  AttributeList attributes_;
+  Segment segment_;
+  bool in_segment_ = false;
+  bool has_duration_ = false;
+  bool has_byte_range_ = false;
+  bool tried_reuse_ = false;
+  std::uint32_t segment_from_ = 0;
+  std::size_t state_ = 0;  // index into `states` of the tags in effect
+  std::array<bool, static_cast<std::size_t>(Tag::unknown)> seen_tags_{};
 };
 
 }  // namespace
 
-Fault fault_at(std::string_view text, std::size_t at, std::string cause) {
+PlaylistError error_at(std::string_view text, std::size_t at, std::string cause) {
   const auto before = text.substr(0, at);
   return {static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n')) + 1, std::move(cause)};
 }
 
-Span Media::length() const {
+Span MediaPlaylist::duration() const {
   Span sum{0};
   for (const auto& segment : segments)
     sum += segment.duration;
   return sum;
 }
 
-std::variant<Media, Fault> read_media(std::string text, const Limits& limits, const Variables& given,
-                                      const Media* before) {
-  Media media;
+std::variant<MediaPlaylist, PlaylistError> parse_media_playlist(std::string text,
+                                                                const PlaylistLimits& limits,
+                                                                const Variables& external_variables,
+                                                                const MediaPlaylist* previous) {
+  MediaPlaylist media;
   media.text = std::move(text);
   try {
-    MediaReader(media, limits, given, before).read();
-  } catch (const Met& met) {
-    return fault_of(met, media.text);
+    MediaPlaylistParser(media, limits, external_variables, previous).parse();
+  } catch (const ParseFailure& failure) {
+    return to_error(failure, media.text);
   }
   return media;
 }
 
-bool looks_multivariant(std::string_view text) {
+bool looks_like_multivariant(std::string_view text) {
   return text.find("\n#EXT-X-STREAM-INF:") != std::string_view::npos ||
          text.find("\n#EXT-X-MEDIA:") != std::string_view::npos ||
          text.find("\n#EXT-X-I-FRAME-STREAM-INF:") != std::string_view::npos;
 }
 
-std::variant<Multivariant, Fault> read_multivariant(std::string text, const Limits& limits,
-                                                    const Variables& given) {
-  Multivariant made;
-  made.text = std::move(text);
+std::variant<MultivariantPlaylist, PlaylistError> parse_multivariant_playlist(
+    std::string text, const PlaylistLimits& limits, const Variables& external_variables) {
+  MultivariantPlaylist playlist;
+  playlist.text = std::move(text);
   try {
-    Lines lines(made.text, limits);
-    begin(lines, made.text, limits);
-    made.definitions_end = {static_cast<std::uint32_t>(lines.at()), static_cast<std::uint32_t>(lines.at())};
-    Defines defines(made.variables, given, limits);
-    Attributes attributes;
-    std::optional<Variant> waits;
-    std::array<bool, static_cast<std::size_t>(Tag::unknown)> saw{};
+    LineReader lines(playlist.text, limits);
+    check_header(lines, playlist.text, limits);
+    playlist.insertion_point = {static_cast<std::uint32_t>(lines.at()),
+                                static_cast<std::uint32_t>(lines.at())};
+    VariableDefinitions definitions(playlist.variables, external_variables, limits);
+    AttributeList attributes;
+    std::optional<Variant> pending_variant;
+    std::array<bool, static_cast<std::size_t>(Tag::unknown)> seen_tags{};
     Line line;
     while (lines.next(line)) {
       if (line.text.empty())
         continue;
       if (line.text[0] != '#') {
-        if (!waits)
-          throw Met{line.from, "a URI without #EXT-X-STREAM-INF"};
+        if (!pending_variant)
+          throw ParseFailure{line.from, "URI without #EXT-X-STREAM-INF"};
         auto uri = line.text;
         while (!uri.empty() && (uri.back() == ' ' || uri.back() == '\t'))
           uri.remove_suffix(1);
-        waits->uri = range_in(line, uri);
-        waits->lines.to = line.whole.to;
-        made.variants.push_back(std::move(*waits));
-        waits.reset();
+        pending_variant->uri = range_of(line, uri);
+        pending_variant->lines.to = line.range.to;
+        playlist.variants.push_back(std::move(*pending_variant));
+        pending_variant.reset();
         continue;
       }
-      const auto read = tag_of(line);
-      if (!read.rule)
+      const auto tag = parse_tag(line);
+      if (!tag.rule)
         continue;
-      check_value(line, read, attributes);
-      const auto& rule = *read.rule;
+      check_value(line, tag, attributes);
+      const auto& rule = *tag.rule;
       const auto name = "#EXT" + std::string(rule.name);
-      if (rule.stands == Stands::in_media || rule.stands == Stands::at_segment)
-        throw Met{line.from, name + " in a multivariant playlist"};
-      auto& seen = saw[static_cast<std::size_t>(rule.tag)];
-      if (rule.once && seen)
-        throw Met{line.from, name + " twice"};
+      if (rule.placement == Placement::media_playlist || rule.placement == Placement::segment)
+        throw ParseFailure{line.from, name + " is not allowed in a multivariant playlist"};
+      auto& seen = seen_tags[static_cast<std::size_t>(rule.tag)];
+      if (rule.at_most_once && seen)
+        throw ParseFailure{line.from, name + " appears twice"};
       seen = true;
-      if (waits)
-        throw Met{line.from, "#EXT-X-STREAM-INF without its URI behind it"};
+      if (pending_variant)
+        throw ParseFailure{line.from, "#EXT-X-STREAM-INF is not followed by a URI"};
       const auto text_of = [&](const char* attribute) { return std::string(attributes.text(attribute)); };
       const auto uri_of = [&]() {
         const auto* uri = attributes.find("URI");
-        return uri ? range_in(line, uri->value) : Range{};
+        return uri ? range_of(line, uri->value) : TextRange{};
       };
-      const auto whole_line = line.whole;
+      const auto line_range = line.range;
       switch (rule.tag) {
         case Tag::version:
-          made.version = whole_of(read);
+          playlist.version = integer_value(tag);
           break;
         case Tag::define:
-          defines.take(line, attributes);
+          definitions.add(line, attributes);
           break;
         case Tag::stream_inf: {
-          if (made.variants.size() >= limits.variants)
-            throw Met{line.from, "too many variants"};
+          if (playlist.variants.size() >= limits.variants)
+            throw ParseFailure{line.from, "too many variants"};
           Variant variant;
-          variant.lines = whole_line;
-          variant.bandwidth = *attributes.whole("BANDWIDTH");
-          variant.average = attributes.whole("AVERAGE-BANDWIDTH").value_or(0);
+          variant.lines = line_range;
+          variant.bandwidth = *attributes.integer("BANDWIDTH");
+          variant.average_bandwidth = attributes.integer("AVERAGE-BANDWIDTH").value_or(0);
           variant.resolution = attributes.resolution("RESOLUTION");
           variant.codecs = text_of("CODECS");
           variant.audio = text_of("AUDIO");
           variant.video = text_of("VIDEO");
           variant.subtitles = text_of("SUBTITLES");
           if (const auto* captions = attributes.find("CLOSED-CAPTIONS"); captions && captions->quoted)
-            variant.captions = captions->value;
+            variant.closed_captions = captions->value;
           variant.pathway = text_of("PATHWAY-ID");
-          waits = std::move(variant);
+          pending_variant = std::move(variant);
           break;
         }
         case Tag::i_frame_stream_inf:
-          if (made.i_frames.size() >= limits.variants)
-            throw Met{line.from, "too many variants"};
-          made.i_frames.push_back({whole_line, uri_of(), *attributes.whole("BANDWIDTH"), text_of("VIDEO"),
-                                   text_of("PATHWAY-ID")});
+          if (playlist.i_frames.size() >= limits.variants)
+            throw ParseFailure{line.from, "too many variants"};
+          playlist.i_frames.push_back({line_range, uri_of(), *attributes.integer("BANDWIDTH"),
+                                       text_of("VIDEO"), text_of("PATHWAY-ID")});
           break;
         case Tag::media:
-          if (made.renditions.size() >= limits.variants)
-            throw Met{line.from, "too many renditions"};
-          made.renditions.push_back({whole_line, uri_of(), text_of("TYPE"), text_of("GROUP-ID"),
-                                     text_of("NAME"), text_of("LANGUAGE")});
+          if (playlist.renditions.size() >= limits.variants)
+            throw ParseFailure{line.from, "too many renditions"};
+          playlist.renditions.push_back({line_range, uri_of(), text_of("TYPE"), text_of("GROUP-ID"),
+                                         text_of("NAME"), text_of("LANGUAGE")});
           if (attributes.text("TYPE") == "SUBTITLES" && !attributes.find("URI"))
-            throw Met{line.from, "#EXT-X-MEDIA: subtitles without a URI"};
+            throw ParseFailure{line.from, "#EXT-X-MEDIA: subtitles without a URI"};
           break;
         case Tag::session_data:
         case Tag::session_key:
           if (attributes.find("URI"))
-            made.others.push_back({uri_of(), rule.tag});
+            playlist.session_uris.push_back({uri_of(), rule.tag});
           break;
         case Tag::content_steering:
-          made.steering = whole_line;
-          made.first_pathway = text_of("PATHWAY-ID");
+          playlist.content_steering = line_range;
+          playlist.initial_pathway = text_of("PATHWAY-ID");
           break;
         default:
           break;
       }
-      if (rule.stands == Stands::anywhere && made.variants.empty())
-        made.definitions_end = {line.whole.to, line.whole.to};
+      if (rule.placement == Placement::anywhere && playlist.variants.empty())
+        playlist.insertion_point = {line.range.to, line.range.to};
     }
-    if (waits)
-      throw Met{made.text.size(), "#EXT-X-STREAM-INF without its URI behind it"};
-    if (made.variants.empty())
-      throw Met{0, "a multivariant playlist without variants"};
-    for (const auto& variant : made.variants) {
+    if (pending_variant)
+      throw ParseFailure{playlist.text.size(), "#EXT-X-STREAM-INF is not followed by a URI"};
+    if (playlist.variants.empty())
+      throw ParseFailure{0, "multivariant playlist without variants"};
+    for (const auto& variant : playlist.variants) {
       const auto lacks = [&](const std::string& group, const char* type) {
-        return !group.empty() && std::none_of(made.renditions.begin(), made.renditions.end(),
+        return !group.empty() && std::none_of(playlist.renditions.begin(), playlist.renditions.end(),
                                               [&](auto& r) { return r.group == group && r.type == type; });
       };
       if (lacks(variant.audio, "AUDIO") || lacks(variant.video, "VIDEO") ||
-          lacks(variant.subtitles, "SUBTITLES") || lacks(variant.captions, "CLOSED-CAPTIONS"))
-        throw Met{variant.lines.from, "#EXT-X-STREAM-INF names a group that no #EXT-X-MEDIA has"};
+          lacks(variant.subtitles, "SUBTITLES") || lacks(variant.closed_captions, "CLOSED-CAPTIONS"))
+        throw ParseFailure{variant.lines.from,
+                           "#EXT-X-STREAM-INF refers to a rendition group that no #EXT-X-MEDIA defines"};
     }
-  } catch (const Met& met) {
-    return fault_of(met, made.text);
+  } catch (const ParseFailure& failure) {
+    return to_error(failure, playlist.text);
   }
-  return made;
+  return playlist;
 }
 
 }  // namespace violettide::hls
--- a/src/hls/tags.cpp
+++ b/src/hls/tags.cpp
@@ -9,140 +9,157 @@
 
 namespace {
 
-using enum Kind;
+using enum AttributeType;
 
-std::vector<TagRule> make_rules() {
-  using enum Takes;
-  using enum Stands;
+std::vector<TagRule> make_tag_rules() {
+  using enum ValueType;
+  using enum Placement;
   constexpr bool required = true;
-  const std::vector<AttributeRule> of_keys{{"METHOD", Kind::word, required},
-                                           {"URI", quoted},
-                                           {"IV", hexadecimal},
-                                           {"KEYFORMAT", quoted},
-                                           {"KEYFORMATVERSIONS", quoted}};
+  const std::vector<AttributeRule> key_attributes{{"METHOD", AttributeType::enumerated, required},
+                                                  {"URI", quoted},
+                                                  {"IV", hexadecimal},
+                                                  {"KEYFORMAT", quoted},
+                                                  {"KEYFORMATVERSIONS", quoted}};
   std::vector<TagRule> rules{
-      {Tag::m3u, "M3U", nothing, anywhere, true, {}},
-      {Tag::version, "-X-VERSION", Takes::whole, anywhere, true, {}},
+      {Tag::m3u, "M3U", none, anywhere, true, {}},
+      {Tag::version, "-X-VERSION", ValueType::integer, anywhere, true, {}},
       {Tag::define,
        "-X-DEFINE",
-       attributes,
+       attribute_list,
        anywhere,
        false,
        {{"NAME", quoted}, {"VALUE", quoted}, {"IMPORT", quoted}, {"QUERYPARAM", quoted}}},
-      {Tag::independent_segments, "-X-INDEPENDENT-SEGMENTS", nothing, anywhere, true, {}},
+      {Tag::independent_segments, "-X-INDEPENDENT-SEGMENTS", none, anywhere, true, {}},
       {Tag::start,
        "-X-START",
-       attributes,
+       attribute_list,
        anywhere,
        true,
-       {{"TIME-OFFSET", signed_number, required}, {"PRECISE", Kind::word}}},
-      {Tag::inf, "INF", duration, at_segment, false, {}},
-      {Tag::byte_range, "-X-BYTERANGE", byte_range, at_segment, false, {}},
-      {Tag::discontinuity, "-X-DISCONTINUITY", nothing, at_segment, false, {}},
-      {Tag::key, "-X-KEY", attributes, at_segment, false, of_keys},
-      {Tag::map, "-X-MAP", attributes, at_segment, false, {{"URI", quoted, required}, {"BYTERANGE", quoted}}},
-      {Tag::program_date_time, "-X-PROGRAM-DATE-TIME", date, at_segment, false, {}},
-      {Tag::gap, "-X-GAP", nothing, at_segment, false, {}},
-      {Tag::bitrate, "-X-BITRATE", Takes::whole, at_segment, false, {}},
+       {{"TIME-OFFSET", signed_decimal, required}, {"PRECISE", AttributeType::enumerated}}},
+      {Tag::inf, "INF", duration, segment, false, {}},
+      {Tag::byte_range, "-X-BYTERANGE", byte_range, segment, false, {}},
+      {Tag::discontinuity, "-X-DISCONTINUITY", none, segment, false, {}},
+      {Tag::key, "-X-KEY", attribute_list, segment, false, key_attributes},
+      {Tag::map,
+       "-X-MAP",
+       attribute_list,
+       segment,
+       false,
+       {{"URI", quoted, required}, {"BYTERANGE", quoted}}},
+      {Tag::program_date_time, "-X-PROGRAM-DATE-TIME", date_time, segment, false, {}},
+      {Tag::gap, "-X-GAP", none, segment, false, {}},
+      {Tag::bitrate, "-X-BITRATE", ValueType::integer, segment, false, {}},
       {Tag::part,
        "-X-PART",
-       attributes,
-       at_segment,
+       attribute_list,
+       segment,
        false,
        {{"URI", quoted, required},
-        {"DURATION", number, required},
-        {"INDEPENDENT", Kind::word},
+        {"DURATION", decimal, required},
+        {"INDEPENDENT", AttributeType::enumerated},
         {"BYTERANGE", quoted},
-        {"GAP", Kind::word}}},
+        {"GAP", AttributeType::enumerated}}},
       {Tag::date_range,
        "-X-DATERANGE",
-       attributes,
-       in_media,
+       attribute_list,
+       media_playlist,
        false,
        {{"ID", quoted, required},
         {"CLASS", quoted},
         {"START-DATE", quoted},
         {"CUE", quoted},
         {"END-DATE", quoted},
-        {"DURATION", number},
-        {"PLANNED-DURATION", number},
+        {"DURATION", decimal},
+        {"PLANNED-DURATION", decimal},
         {"SCTE35-CMD", hexadecimal},
         {"SCTE35-OUT", hexadecimal},
         {"SCTE35-IN", hexadecimal},
-        {"END-ON-NEXT", Kind::word}}},
+        {"END-ON-NEXT", AttributeType::enumerated}}},
       {Tag::skip,
        "-X-SKIP",
-       attributes,
-       in_media,
+       attribute_list,
+       media_playlist,
        true,
-       {{"SKIPPED-SEGMENTS", Kind::whole, required}, {"RECENTLY-REMOVED-DATERANGES", quoted}}},
+       {{"SKIPPED-SEGMENTS", AttributeType::integer, required}, {"RECENTLY-REMOVED-DATERANGES", quoted}}},
       {Tag::preload_hint,
        "-X-PRELOAD-HINT",
-       attributes,
-       in_media,
+       attribute_list,
+       media_playlist,
        false,
-       {{"TYPE", Kind::word, required},
+       {{"TYPE", AttributeType::enumerated, required},
         {"URI", quoted, required},
-        {"BYTERANGE-START", Kind::whole},
-        {"BYTERANGE-LENGTH", Kind::whole}}},
+        {"BYTERANGE-START", AttributeType::integer},
+        {"BYTERANGE-LENGTH", AttributeType::integer}}},
       {Tag::rendition_report,
        "-X-RENDITION-REPORT",
-       attributes,
-       in_media,
+       attribute_list,
+       media_playlist,
        false,
-       {{"URI", quoted, required}, {"LAST-MSN", Kind::whole}, {"LAST-PART", Kind::whole}}},
-      {Tag::target_duration, "-X-TARGETDURATION", Takes::whole, in_media, true, {}},
-      {Tag::media_sequence, "-X-MEDIA-SEQUENCE", Takes::whole, in_media, true, {}},
-      {Tag::discontinuity_sequence, "-X-DISCONTINUITY-SEQUENCE", Takes::whole, in_media, true, {}},
-      {Tag::end_list, "-X-ENDLIST", nothing, in_media, true, {}},
-      {Tag::playlist_type, "-X-PLAYLIST-TYPE", Takes::word, in_media, true, {}},
-      {Tag::i_frames_only, "-X-I-FRAMES-ONLY", nothing, in_media, true, {}},
-      {Tag::part_inf, "-X-PART-INF", attributes, in_media, true, {{"PART-TARGET", number, required}}},
+       {{"URI", quoted, required},
+        {"LAST-MSN", AttributeType::integer},
+        {"LAST-PART", AttributeType::integer}}},
+      {Tag::target_duration, "-X-TARGETDURATION", ValueType::integer, media_playlist, true, {}},
+      {Tag::media_sequence, "-X-MEDIA-SEQUENCE", ValueType::integer, media_playlist, true, {}},
+      {Tag::discontinuity_sequence,
+       "-X-DISCONTINUITY-SEQUENCE",
+       ValueType::integer,
+       media_playlist,
+       true,
+       {}},
+      {Tag::end_list, "-X-ENDLIST", none, media_playlist, true, {}},
+      {Tag::playlist_type, "-X-PLAYLIST-TYPE", ValueType::enumerated, media_playlist, true, {}},
+      {Tag::i_frames_only, "-X-I-FRAMES-ONLY", none, media_playlist, true, {}},
+      {Tag::part_inf,
+       "-X-PART-INF",
+       attribute_list,
+       media_playlist,
+       true,
+       {{"PART-TARGET", decimal, required}}},
       {Tag::server_control,
        "-X-SERVER-CONTROL",
-       attributes,
-       in_media,
+       attribute_list,
+       media_playlist,
        true,
-       {{"CAN-SKIP-UNTIL", number},
-        {"CAN-SKIP-DATERANGES", Kind::word},
-        {"HOLD-BACK", number},
-        {"PART-HOLD-BACK", number},
-        {"CAN-BLOCK-RELOAD", Kind::word}}},
+       {{"CAN-SKIP-UNTIL", decimal},
+        {"CAN-SKIP-DATERANGES", AttributeType::enumerated},
+        {"HOLD-BACK", decimal},
+        {"PART-HOLD-BACK", decimal},
+        {"CAN-BLOCK-RELOAD", AttributeType::enumerated}}},
       {Tag::media,
        "-X-MEDIA",
-       attributes,
-       in_multivariant,
+       attribute_list,
+       multivariant_playlist,
        false,
-       {{"TYPE", Kind::word, required},
+       {{"TYPE", AttributeType::enumerated, required},
         {"URI", quoted},
         {"GROUP-ID", quoted, required},
         {"LANGUAGE", quoted},
         {"ASSOC-LANGUAGE", quoted},
         {"NAME", quoted, required},
         {"STABLE-RENDITION-ID", quoted},
-        {"DEFAULT", Kind::word},
-        {"AUTOSELECT", Kind::word},
-        {"FORCED", Kind::word},
+        {"DEFAULT", AttributeType::enumerated},
+        {"AUTOSELECT", AttributeType::enumerated},
+        {"FORCED", AttributeType::enumerated},
         {"INSTREAM-ID", quoted},
-        {"BIT-DEPTH", Kind::whole},
-        {"SAMPLE-RATE", Kind::whole},
+        {"BIT-DEPTH", AttributeType::integer},
+        {"SAMPLE-RATE", AttributeType::integer},
         {"CHARACTERISTICS", quoted},
         {"CHANNELS", quoted}}},
       {Tag::stream_inf,
        "-X-STREAM-INF",
-       attributes,
-       in_multivariant,
+       attribute_list,
+       multivariant_playlist,
        false,
-       {{"BANDWIDTH", Kind::whole, required},
-        {"AVERAGE-BANDWIDTH", Kind::whole},
-        {"SCORE", number},
+       {{"BANDWIDTH", AttributeType::integer, required},
+        {"AVERAGE-BANDWIDTH", AttributeType::integer},
+        {"SCORE", decimal},
         {"CODECS", quoted},
         {"SUPPLEMENTAL-CODECS", quoted},
         {"RESOLUTION", resolution},
-        {"FRAME-RATE", number},
-        {"HDCP-LEVEL", Kind::word},
+        {"FRAME-RATE", decimal},
+        {"HDCP-LEVEL", AttributeType::enumerated},
         {"ALLOWED-CPC", quoted},
-        {"VIDEO-RANGE", Kind::word},
+        {"VIDEO-RANGE", AttributeType::enumerated},
         {"REQ-VIDEO-LAYOUT", quoted},
         {"STABLE-VARIANT-ID", quoted},
         {"AUDIO", quoted},
@@ -151,36 +168,36 @@
         {"PATHWAY-ID", quoted}}},  // CLOSED-CAPTIONS is a quoted string or the word NONE
       {Tag::i_frame_stream_inf,
        "-X-I-FRAME-STREAM-INF",
-       attributes,
-       in_multivariant,
+       attribute_list,
+       multivariant_playlist,
        false,
-       {{"BANDWIDTH", Kind::whole, required},
+       {{"BANDWIDTH", AttributeType::integer, required},
         {"URI", quoted, required},
-        {"AVERAGE-BANDWIDTH", Kind::whole},
-        {"SCORE", number},
+        {"AVERAGE-BANDWIDTH", AttributeType::integer},
+        {"SCORE", decimal},
         {"CODECS", quoted},
         {"RESOLUTION", resolution},
-        {"HDCP-LEVEL", Kind::word},
+        {"HDCP-LEVEL", AttributeType::enumerated},
         {"ALLOWED-CPC", quoted},
-        {"VIDEO-RANGE", Kind::word},
+        {"VIDEO-RANGE", AttributeType::enumerated},
         {"STABLE-VARIANT-ID", quoted},
         {"VIDEO", quoted},
         {"PATHWAY-ID", quoted}}},
       {Tag::session_data,
        "-X-SESSION-DATA",
-       attributes,
-       in_multivariant,
+       attribute_list,
+       multivariant_playlist,
        false,
        {{"DATA-ID", quoted, required},
         {"VALUE", quoted},
         {"URI", quoted},
-        {"FORMAT", Kind::word},
+        {"FORMAT", AttributeType::enumerated},
         {"LANGUAGE", quoted}}},
-      {Tag::session_key, "-X-SESSION-KEY", attributes, in_multivariant, false, of_keys},
+      {Tag::session_key, "-X-SESSION-KEY", attribute_list, multivariant_playlist, false, key_attributes},
       {Tag::content_steering,
        "-X-CONTENT-STEERING",
-       attributes,
-       in_multivariant,
+       attribute_list,
+       multivariant_playlist,
        true,
        {{"SERVER-URI", quoted, required}, {"PATHWAY-ID", quoted}}},
   };
@@ -188,30 +205,30 @@
 }
 
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
-bool is_name(char c) { return (c >= 'A' && c <= 'Z') || is_digit(c) || c == '-'; }
+bool is_name_character(char c) { return (c >= 'A' && c <= 'Z') || is_digit(c) || c == '-'; }
 
-bool of_kind(Kind kind, const Attribute& a) {
-  switch (kind) {
-    case Kind::quoted:
+bool has_type(AttributeType type, const Attribute& a) {
+  switch (type) {
+    case AttributeType::quoted:
       return a.quoted;
-    case Kind::word:
+    case AttributeType::enumerated:
       return !a.quoted && !a.value.empty();
-    case Kind::whole:
-      return !a.quoted && read_whole(a.value).has_value();
-    case Kind::hexadecimal:
+    case AttributeType::integer:
+      return !a.quoted && parse_integer(a.value).has_value();
+    case AttributeType::hexadecimal:
       return !a.quoted && a.value.size() > 2 && a.value[0] == '0' &&
              (a.value[1] == 'x' || a.value[1] == 'X') &&
              std::all_of(a.value.begin() + 2, a.value.end(), [](char c) {
                return is_digit(c) || (c >= 'A' && c <= 'F') || (c >= 'a' && c <= 'f');
              });
-    case Kind::number:
-      return !a.quoted && read_number(a.value).value_or(-1) >= 0;
-    case Kind::signed_number:
-      return !a.quoted && read_number(a.value).has_value();
-    case Kind::resolution: {
+    case AttributeType::decimal:
+      return !a.quoted && parse_decimal(a.value).value_or(-1) >= 0;
+    case AttributeType::signed_decimal:
+      return !a.quoted && parse_decimal(a.value).has_value();
+    case AttributeType::resolution: {
       const auto x = a.value.find('x');
-      return !a.quoted && x != std::string_view::npos && read_whole(a.value.substr(0, x)) &&
-             read_whole(a.value.substr(x + 1));
+      return !a.quoted && x != std::string_view::npos && parse_integer(a.value.substr(0, x)) &&
+             parse_integer(a.value.substr(x + 1));
     }
   }
   return false;
@@ -220,12 +237,12 @@
 }  // namespace
 
 const std::vector<TagRule>& tag_rules() {
-  static const auto rules = make_rules();
+  static const auto rules = make_tag_rules();
   return rules;
 }
 
-const TagRule* rule_of(std::string_view name) {
-  // A playlist is mostly EXTINF lines: they are not searched for.
+const TagRule* find_tag_rule(std::string_view name) {
+  // Skips the search for EXTINF, the most frequent tag.
   const auto& rules = tag_rules();
   if (name == "INF")
     return &rules[static_cast<std::size_t>(Tag::inf)];
@@ -236,7 +253,7 @@
   return nullptr;
 }
 
-std::optional<std::uint64_t> read_whole(std::string_view text) {
+std::optional<std::uint64_t> parse_integer(std::string_view text) {
   std::uint64_t value = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || text.size() > 20 || error != std::errc{} || stop != text.data() + text.size())
@@ -244,7 +261,7 @@
   return value;
 }
 
-std::optional<double> read_number(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
   double value = 0;
   const auto [stop, error] =
       std::from_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed);
@@ -254,7 +271,7 @@
   return value;
 }
 
-std::optional<std::int64_t> read_date(std::string_view text) {
+std::optional<std::int64_t> parse_date_time(std::string_view text) {
   const auto digits = [&](std::size_t at, std::size_t count) -> std::optional<int> {
     if (at + count > text.size())
       return std::nullopt;
@@ -301,91 +318,93 @@
   return (((days * 24 + *hour) * 60 + *minute - zone_minutes) * 60 + *second) * 1'000'000 + micros;
 }
 
-const Attribute* Attributes::find(std::string_view name) const {
+const Attribute* AttributeList::find(std::string_view name) const {
   for (const auto& attribute : all) {
     if (attribute.name == name)
       return &attribute;
   }
   return nullptr;
 }
-std::string_view Attributes::text(std::string_view name) const {
+std::string_view AttributeList::text(std::string_view name) const {
   const auto* found = find(name);
   return found ? found->value : std::string_view();
 }
-std::optional<std::uint64_t> Attributes::whole(std::string_view name) const {
+std::optional<std::uint64_t> AttributeList::integer(std::string_view name) const {
   const auto* found = find(name);
-  return found ? read_whole(found->value) : std::nullopt;
+  return found ? parse_integer(found->value) : std::nullopt;
 }
-std::optional<double> Attributes::number(std::string_view name) const {
+std::optional<double> AttributeList::decimal(std::string_view name) const {
   const auto* found = find(name);
-  return found ? read_number(found->value) : std::nullopt;
+  return found ? parse_decimal(found->value) : std::nullopt;
 }
-std::optional<std::pair<std::uint32_t, std::uint32_t>> Attributes::resolution(std::string_view name) const {
+std::optional<std::pair<std::uint32_t, std::uint32_t>> AttributeList::resolution(
+    std::string_view name) const {
   const auto* found = find(name);
   const auto x = found ? found->value.find('x') : std::string_view::npos;
   if (x == std::string_view::npos)
     return std::nullopt;
-  const auto width = read_whole(found->value.substr(0, x)), height = read_whole(found->value.substr(x + 1));
+  const auto width = parse_integer(found->value.substr(0, x)),
+             height = parse_integer(found->value.substr(x + 1));
   if (!width || !height || *width > 1'000'000 || *height > 1'000'000)
     return std::nullopt;
   return std::pair(static_cast<std::uint32_t>(*width), static_cast<std::uint32_t>(*height));
 }
 
-std::optional<std::string> read_attributes(std::string_view text, Attributes& into) {
-  into.all.clear();
+std::optional<std::string> parse_attributes(std::string_view text, AttributeList& list) {
+  list.all.clear();
   std::size_t at = 0;
   while (at < text.size()) {
-    // Some packagers put a space behind the comma; it is kept in the line and overlooked here.
+    // Some packagers put a space after the comma; it is ignored here and kept in the line.
     while (at < text.size() && text[at] == ' ')
       ++at;
     const auto name_from = at;
-    while (at < text.size() && is_name(text[at]))
+    while (at < text.size() && is_name_character(text[at]))
       ++at;
     if (at == name_from || at >= text.size() || text[at] != '=')
-      return "an attribute without a name or a value at column " + std::to_string(name_from + 1);
-    Attribute one;
-    one.name = text.substr(name_from, at - name_from);
-    if (into.find(one.name))
-      return "the attribute " + std::string(one.name) + " twice";
+      return "attribute without a name or value at column " + std::to_string(name_from + 1);
+    Attribute attribute;
+    attribute.name = text.substr(name_from, at - name_from);
+    if (list.find(attribute.name))
+      return "attribute " + std::string(attribute.name) + " appears twice";
     ++at;
     if (at < text.size() && text[at] == '"') {
       const auto end = text.find('"', at + 1);
       if (end == std::string_view::npos)
-        return "the value of " + std::string(one.name) + " is not closed";
-      one.value = text.substr(at + 1, end - at - 1);
-      one.quoted = true;
+        return "the quoted value of " + std::string(attribute.name) + " is not terminated";
+      attribute.value = text.substr(at + 1, end - at - 1);
+      attribute.quoted = true;
       at = end + 1;
     } else {
       const auto from = at;
       while (at < text.size() && text[at] != ',') {
         if (text[at] == '"')
-          return "a quote within the value of " + std::string(one.name);
+          return "quotation mark within the unquoted value of attribute " + std::string(attribute.name);
         ++at;
       }
-      one.value = text.substr(from, at - from);
-      while (!one.value.empty() && one.value.back() == ' ')
-        one.value.remove_suffix(1);
-      if (one.value.empty())
-        return "the attribute " + std::string(one.name) + " has no value";
+      attribute.value = text.substr(from, at - from);
+      while (!attribute.value.empty() && attribute.value.back() == ' ')
+        attribute.value.remove_suffix(1);
+      if (attribute.value.empty())
+        return "attribute " + std::string(attribute.name) + " has no value";
     }
-    into.all.push_back(one);
+    list.all.push_back(attribute);
     if (at == text.size())
       return std::nullopt;
     if (text[at] != ',')
-      return "expected a comma behind " + std::string(one.name);
+      return "expected a comma after attribute " + std::string(attribute.name);
     ++at;
   }
   return std::nullopt;
 }
 
-std::optional<std::string> check_attributes(const TagRule& rule, const Attributes& attributes) {
+std::optional<std::string> check_attributes(const TagRule& rule, const AttributeList& attributes) {
   for (const auto& known : rule.attributes) {
     const auto* found = attributes.find(known.name);
     if (!found) {
       if (known.required)
-        return "the attribute " + std::string(known.name) + " is missing";
-    } else if (!of_kind(known.kind, *found)) {
-      return "the attribute " + std::string(known.name) + " is not of its type";
+        return "required attribute " + std::string(known.name) + " is missing";
+    } else if (!has_type(known.type, *found)) {
+      return "attribute " + std::string(known.name) + " has a value of the wrong type";
     }
   }
   return std::nullopt;
--- a/src/hls/tags.h
+++ b/src/hls/tags.h
@@ -1,5 +1,5 @@
-// Every tag of RFC 8216 and of its second edition's draft (draft-pantos-hls-rfc8216bis): what it takes,
-// where it may stand, and the types of its attributes.
+// The tags of RFC 8216 and draft-pantos-hls-rfc8216bis: their values, where they may appear, and the types
+// of their attributes.
 #pragma once
 
 #include <cstdint>
@@ -44,52 +44,76 @@
   session_data,
   session_key,
   content_steering,
-  unknown,  // a tag of another's, or a comment: kept as it is
+  unknown,  // a vendor's tag or a comment; kept unchanged
 };
 
-enum class Takes : std::uint8_t { nothing, whole, duration, byte_range, date, word, attributes };
-enum class Stands : std::uint8_t { anywhere, in_media, at_segment, in_multivariant };
+// What follows the colon of a tag.
+enum class ValueType : std::uint8_t {
+  none,
+  integer,
+  duration,
+  byte_range,
+  date_time,
+  enumerated,
+  attribute_list
+};
+// Where a tag may appear. `segment`: in a media playlist, applying to the segments after it.
+enum class Placement : std::uint8_t { anywhere, media_playlist, segment, multivariant_playlist };
 
-enum class Kind : std::uint8_t { whole, hexadecimal, number, signed_number, quoted, word, resolution };
+// Attribute value types (RFC 8216, 4.2).
+enum class AttributeType : std::uint8_t {
+  integer,
+  hexadecimal,
+  decimal,
+  signed_decimal,
+  quoted,
+  enumerated,
+  resolution
+};
 struct AttributeRule {
   std::string_view name;
-  Kind kind = Kind::quoted;
+  AttributeType type = AttributeType::quoted;
   bool required = false;
 };
 struct TagRule {
   Tag tag;
-  std::string_view name;  // less "#EXT"
-  Takes takes;
-  Stands stands;
-  bool once = false;
-  std::vector<AttributeRule> attributes;  // known ones; others are kept
+  std::string_view name;  // without "#EXT"
+  ValueType value_type;
+  Placement placement;
+  bool at_most_once = false;
+  std::vector<AttributeRule> attributes;  // the known ones; others are accepted and kept
 };
-// In the order of Tag, `unknown` left out.
+// One rule per tag, in the order of Tag, without `unknown`.
 const std::vector<TagRule>& tag_rules();
-const TagRule* rule_of(std::string_view name);
+// The rule of the tag "#EXT" + name; null for an unknown tag.
+const TagRule* find_tag_rule(std::string_view name);
 
 struct Attribute {
-  std::string_view name, value;  // views into the line; a quoted value without its quotes
+  std::string_view name;   // a view into the line
+  std::string_view value;  // a view into the line, without quotation marks
   bool quoted = false;
 };
-// An attribute list (RFC 8216, 4.2), in the order sent.
-class Attributes {
+// An attribute list (RFC 8216, 4.2), in its original order. The accessors return nothing where the attribute
+// is absent or of another type.
+class AttributeList {
  public:
   std::vector<Attribute> all;
   const Attribute* find(std::string_view name) const;
   std::string_view text(std::string_view name) const;  // empty if absent
-  std::optional<std::uint64_t> whole(std::string_view name) const;
-  std::optional<double> number(std::string_view name) const;
+  std::optional<std::uint64_t> integer(std::string_view name) const;
+  std::optional<double> decimal(std::string_view name) const;
   std::optional<std::pair<std::uint32_t, std::uint32_t>> resolution(std::string_view name) const;
 };
-// Read into `into`, whose memory is used again; the cause if the text is no attribute list.
-std::optional<std::string> read_attributes(std::string_view text, Attributes& into);
-// Types and presence by the tag's rule; the cause of the first fault.
-std::optional<std::string> check_attributes(const TagRule& rule, const Attributes& attributes);
+// Parses into `list`, whose memory is reused. Returns the cause if the text is not an attribute list.
+std::optional<std::string> parse_attributes(std::string_view text, AttributeList& list);
+// Checks the types and the presence of a tag's attributes. Returns the cause of the first error.
+std::optional<std::string> check_attributes(const TagRule& rule, const AttributeList& attributes);
 
-std::optional<std::uint64_t> read_whole(std::string_view text);
-std::optional<double> read_number(std::string_view text);
-// ISO 8601 as RFC 8216 takes it: microseconds since 1970, UTC where no zone is told.
-std::optional<std::int64_t> read_date(std::string_view text);
+// A decimal integer; nothing if the text is anything else.
+std::optional<std::uint64_t> parse_integer(std::string_view text);
+// A decimal number of at most 1e12 either way, without an exponent; nothing if the text is anything else.
+std::optional<double> parse_decimal(std::string_view text);
+// An ISO 8601 date and time as RFC 8216 uses it, in microseconds since 1970; UTC if no time zone is given.
+std::optional<std::int64_t> parse_date_time(std::string_view text);
 
 }  // namespace violettide::hls
--- a/src/hls/address.cpp
+++ b/src/hls/uri.cpp
@@ -1,4 +1,4 @@
-#include "hls/address.h"
+#include "hls/uri.h"
 
 #include <algorithm>
 #include <vector>
@@ -11,23 +11,24 @@
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
 bool is_hex(char c) { return is_digit(c) || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
 
-// Every character is one that a URI may have (RFC 3986, 2), and percent signs begin an octet.
+// Whether every character may appear in a URI (RFC 3986, 2) and every percent sign begins an encoded octet.
 bool well_formed(std::string_view uri) {
-  constexpr std::string_view others = "-._~:/?#[]@!$&'()*+,;=";
+  constexpr std::string_view punctuation = "-._~:/?#[]@!$&'()*+,;=";
   for (std::size_t i = 0; i < uri.size(); ++i) {
     const char c = uri[i];
     if (c == '%') {
       if (i + 2 >= uri.size() || !is_hex(uri[i + 1]) || !is_hex(uri[i + 2]))
         return false;
       i += 2;
-    } else if (!is_letter(c) && !is_digit(c) && others.find(c) == std::string_view::npos) {
+    } else if (!is_letter(c) && !is_digit(c) && punctuation.find(c) == std::string_view::npos) {
       return false;
     }
   }
   return true;
 }
 
-std::string_view cut_scheme(std::string_view& uri) {
+// Removes the scheme and its colon from `uri` and returns the scheme; empty if there is none.
+std::string_view take_scheme(std::string_view& uri) {
   const auto colon = uri.find_first_of(":/?#");
   if (colon == std::string_view::npos || uri[colon] != ':' || colon == 0 || !is_letter(uri[0]))
     return {};
@@ -39,9 +40,9 @@
   return scheme;
 }
 
-// Dot segments out (RFC 3986, 5.2.4). Nothing where the path steps out of the root, or hides a slash, a
-// backslash or a zero in an octet: a box might read it as another place than the one decided on.
-std::optional<std::string> plain_path(std::string_view path) {
+// Removes dot segments (RFC 3986, 5.2.4). Returns nothing for a path that leaves the root, or that encodes a
+// slash, a backslash or a null byte: a video server might resolve it to another path than the one checked.
+std::optional<std::string> normalized_path(std::string_view path) {
   std::string text;
   for (std::size_t i = 0; i < path.size(); ++i) {
     if (path[i] != '%') {
@@ -76,21 +77,21 @@
       parts.push_back(part);
     }
   }
-  std::string made;
+  std::string result;
   for (const auto part : parts)
-    made.append("/").append(part);
-  if (directory || made.empty())
-    made += '/';
-  return made;
+    result.append("/").append(part);
+  if (directory || result.empty())
+    result += '/';
+  return result;
 }
 
 }  // namespace
 
-std::variant<Target, Elsewhere, Unreadable> resolve(std::string_view base, std::string_view uri) {
+std::variant<SameServerUri, ExternalUri, InvalidUri> resolve(std::string_view base, std::string_view uri) {
   if (!well_formed(uri) || !well_formed(base) || base.empty() || base[0] != '/')
-    return Unreadable{};
+    return InvalidUri{};
   auto rest = uri.substr(0, uri.find('#'));
-  const auto scheme = cut_scheme(rest);
+  const auto scheme = take_scheme(rest);
   const bool has_authority = rest.starts_with("//");
   if (!scheme.empty() || has_authority) {
     if (has_authority)
@@ -98,11 +99,11 @@
     const auto authority = has_authority ? rest.substr(0, rest.find_first_of("/?")) : std::string_view();
     rest.remove_prefix(authority.size());
     const auto path = rest.substr(0, rest.find('?'));
-    auto plain = plain_path(path.empty() ? "/" : path);
+    auto plain = normalized_path(path.empty() ? "/" : path);
     if (has_authority && !plain)
-      return Unreadable{};
-    return Elsewhere{scheme.empty() ? "http" : std::string(scheme), std::string(authority),
-                     has_authority ? *plain + std::string(rest.substr(path.size())) : std::string(rest)};
+      return InvalidUri{};
+    return ExternalUri{scheme.empty() ? "http" : std::string(scheme), std::string(authority),
+                       has_authority ? *plain + std::string(rest.substr(path.size())) : std::string(rest)};
   }
   const auto path = rest.substr(0, rest.find('?'));
   auto query = rest.substr(path.size());
@@ -115,10 +116,10 @@
   } else {
     merged = path[0] == '/' ? std::string(path) : std::string(directory_of(base)) + std::string(path);
   }
-  auto plain = plain_path(merged);
+  auto plain = normalized_path(merged);
   if (!plain)
-    return Unreadable{};
-  return Target{*plain + std::string(query)};
+    return InvalidUri{};
+  return SameServerUri{*plain + std::string(query)};
 }
 
 std::string_view directory_of(std::string_view target) {
@@ -127,7 +128,7 @@
   return slash == std::string_view::npos ? std::string_view() : path.substr(0, slash + 1);
 }
 
-bool plain_name(std::string_view uri) {
+bool is_plain_file_name(std::string_view uri) {
   if (uri.empty() || uri[0] == '.' || uri[0] == '?')
     return false;
   return std::all_of(uri.begin(), uri.end(), [](char c) {
@@ -135,19 +136,19 @@
   });
 }
 
-std::optional<std::string> substituted(std::string_view text, const Variables& variables) {
-  std::string made;
+std::optional<std::string> substitute_variables(std::string_view text, const Variables& variables) {
+  std::string result;
   for (std::size_t at = 0;;) {
     const auto from = text.find("{$", at);
     if (from == std::string_view::npos)
-      return made.append(text.substr(at));
+      return result.append(text.substr(at));
     const auto to = text.find('}', from);
     if (to == std::string_view::npos)
       return std::nullopt;
     const auto found = variables.find(text.substr(from + 2, to - from - 2));
     if (found == variables.end())
       return std::nullopt;
-    made.append(text.substr(at, from - at)).append(found->second);
+    result.append(text.substr(at, from - at)).append(found->second);
     at = to + 1;
   }
 }
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -140,7 +140,7 @@
     viewer.wants = ViewerLink::Wants::steering;
     if (const auto told = argument(query, "_HLS_throughput")) {
       // Bits a second, as the steering server is told (draft, 7.1).
-      if (const auto bits = hls::read_whole(*told))
+      if (const auto bits = hls::parse_integer(*told))
         viewer.hints.hints.measured_throughput =
             static_cast<std::int64_t>(std::min<std::uint64_t>(*bits, 1ull << 50) / 1000);
     }
@@ -161,7 +161,7 @@
     viewer.place = pass.place;
     viewer.delta = argument(query, "_HLS_skip").has_value();
     if (const auto number = argument(query, "_HLS_msn")) {
-      const auto asked = hls::read_whole(*number);
+      const auto asked = hls::parse_integer(*number);
       if (!asked)
         return refused(400, "_HLS_msn takes a media sequence number");
       viewer.blocks = true;
@@ -173,11 +173,11 @@
         if (const auto reader = readers.find(pass.reader); reader != readers.end()) {
           if (const auto course = reader->second.courses.find(pass.place);
               course != reader->second.courses.end())
-            there = course->second.at_box(there);
+            there = course->second.server_sequence(there);
         }
       }
       std::string directives = "_HLS_msn=" + std::to_string(there);
-      if (const auto part = argument(query, "_HLS_part"); part && hls::read_whole(*part))
+      if (const auto part = argument(query, "_HLS_part"); part && hls::parse_integer(*part))
         directives += "&_HLS_part=" + std::string(*part);
       viewer.place = more(viewer.place, directives);
     }
@@ -188,7 +188,7 @@
     return refused(403, "this address is not of that segment");
   const auto directory = hls::directory_of(pass.place);
   const auto resolved = hls::resolve(directory, tail);
-  const auto* place = std::get_if<hls::Target>(&resolved);
+  const auto* place = std::get_if<hls::SameServerUri>(&resolved);
   if (!place || !place->text.starts_with(directory) || place->text.size() == directory.size())
     return refused(403, "this address is not of that segment");
   viewer.wants = ViewerLink::Wants::segment;
@@ -419,14 +419,14 @@
   // The viewer it was asked for; if it left meanwhile, the playlist proves the set-up all the same.
   const auto first = viewers_.find(link.viewer);
   auto* viewer = first == viewers_.end() ? nullptr : first->second.get();
-  std::variant<std::string, hls::Fault> made;
+  std::variant<std::string, hls::PlaylistError> made;
   if (!viewer)
     made = std::string();
   else if (viewer->wants == ViewerLink::Wants::lists)
     made = lists_text(*viewer, playback, link.target, std::move(text));
   else
     made = media_text(*viewer, playback, link.server, link.target, std::move(text));
-  if (const auto* fault = std::get_if<hls::Fault>(&made))
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&made))
     return list_unusable(link, fault->text());
   if (link.use == Use::set_up)
     try_ran(link, nullptr);
@@ -501,42 +501,43 @@
   return address(std::move(pass));
 }
 
-std::variant<std::string, hls::Fault> Manager::lists_text(ViewerLink& viewer, Playback& playback,
-                                                          const std::string& target, std::string text) {
+std::variant<std::string, hls::PlaylistError> Manager::lists_text(ViewerLink& viewer, Playback& playback,
+                                                                  const std::string& target,
+                                                                  std::string text) {
   auto& side = *playback.hls;
-  auto read = hls::read_multivariant(std::move(text), terms_.hls.playlists, with_query({}, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read))
+  auto read = hls::parse_multivariant_playlist(std::move(text), terms_.hls.playlists, with_query({}, target));
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&read))
     return *fault;
-  const auto& lists = std::get<hls::Multivariant>(read);
+  const auto& lists = std::get<hls::MultivariantPlaylist>(read);
   // Where each playlist lies; those whose directory holds another's give no right to all that is in it.
   struct Placed {
     std::string place;
     bool flat = false;
   };
   std::map<std::string, Placed, std::less<>> places;  // by URI as written
-  const auto place_of = [&](std::string_view uri) -> std::optional<hls::Fault> {
+  const auto place_of = [&](std::string_view uri) -> std::optional<hls::PlaylistError> {
     if (places.contains(uri))
       return std::nullopt;
-    const auto plain = hls::substituted(uri, lists.variables);
-    const auto resolved = plain ? hls::resolve(target, *plain) : hls::Unreadable{};
-    const auto* at = std::get_if<hls::Target>(&resolved);
+    const auto plain = hls::substitute_variables(uri, lists.variables);
+    const auto resolved = plain ? hls::resolve(target, *plain) : hls::InvalidUri{};
+    const auto* at = std::get_if<hls::SameServerUri>(&resolved);
     if (!at)
-      return hls::Fault{0, "a rendition that is not at this box: " + std::string(uri)};
+      return hls::PlaylistError{0, "a rendition that is not at this box: " + std::string(uri)};
     places[std::string(uri)] = {at->text, false};
     return std::nullopt;
   };
   for (const auto& variant : lists.variants) {
-    if (auto fault = place_of(variant.uri.of(lists.text)))
+    if (auto fault = place_of(variant.uri.view_in(lists.text)))
       return *fault;
   }
   for (const auto& rendition : lists.renditions) {
     if (rendition.uri.from == rendition.uri.to)
       continue;
-    if (auto fault = place_of(rendition.uri.of(lists.text)))
+    if (auto fault = place_of(rendition.uri.view_in(lists.text)))
       return *fault;
   }
   for (const auto& frames : lists.i_frames) {
-    if (auto fault = place_of(frames.uri.of(lists.text)))
+    if (auto fault = place_of(frames.uri.view_in(lists.text)))
       return *fault;
   }
   std::vector<std::pair<std::string, Placed*>> directories;
@@ -552,12 +553,14 @@
   }
   const auto verdict = side.showing.handle(now_, hls::ListsAsked{});
   const auto range = std::get<hls::ListRungs>(verdict);
-  const auto pathway = !lists.first_pathway.empty() ? lists.first_pathway : lists.variants.front().pathway;
+  const auto pathway =
+      !lists.initial_pathway.empty() ? lists.initial_pathway : lists.variants.front().pathway;
   std::vector<int> rungs;
   int above = -1;  // where the box has none that may be shown: the least above the floor
   bool some = false;
   for (const auto& variant : lists.variants) {
-    const int rung = rung_of(playback, variant.average ? variant.average : variant.bandwidth);
+    const int rung =
+        rung_of(playback, variant.average_bandwidth ? variant.average_bandwidth : variant.bandwidth);
     rungs.push_back(rung);
     if (variant.pathway != pathway)
       continue;
@@ -566,15 +569,15 @@
       above = rung;
   }
   if (!some && above < 0)
-    return hls::Fault{0, "no variant that the plan may play"};
+    return hls::PlaylistError{0, "no variant that the plan may play"};
   const int low = range.low, high = some ? range.high : above;
-  hls::Shown shown;
+  hls::VariantSelection shown;
   std::uint64_t widest = 0;
   side.lists.clear();
   side.flat.clear();
   for (std::size_t i = 0; i < lists.variants.size(); ++i) {
     const auto& variant = lists.variants[i];
-    const auto& placed = places.find(variant.uri.of(lists.text))->second;
+    const auto& placed = places.find(variant.uri.view_in(lists.text))->second;
     const bool show = rungs[i] >= low && rungs[i] <= high && variant.pathway == pathway;
     shown.variants.push_back(show);
     if (show)
@@ -593,7 +596,7 @@
   // Given out now, whatever address the lists were read at.
   viewer.pass.expires = Span(0);
   viewer.pass.box.clear();
-  const auto address_for = [&](std::string_view uri, hls::Tag of, std::size_t index) -> hls::Address {
+  const auto address_for = [&](std::string_view uri, hls::Tag of, std::size_t index) -> hls::RewrittenUri {
     if (of == hls::Tag::session_data || of == hls::Tag::session_key)
       return address_of(viewer, playback, playback.server, 0, target, lists.variables, uri, of);
     const auto& placed = places.find(uri)->second;
@@ -613,13 +616,13 @@
     own = "#EXT-X-CONTENT-STEERING:SERVER-URI=\"" + std::string(pass_path) + keys_.write(wall(), pass) + "/" +
           std::string(steering_name) + "\"\n";
   }
-  return hls::write_multivariant(lists, shown, address_for, own);
+  return hls::write_multivariant_playlist(lists, shown, address_for, own);
 }
 
 // ---- media playlists ----
 
 // As the box had it, read once for all who ask: what has not changed since is not read again.
-std::variant<std::shared_ptr<const hls::Media>, hls::Fault> Manager::read_list(
+std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> Manager::read_list(
     ServerId server, const std::string& target, std::string text, const hls::Variables& variables) {
   const std::pair at(server, target);
   auto& kept = lists_read_[at];
@@ -633,18 +636,18 @@
     used();
     return kept.media;
   }
-  auto read = hls::read_media(std::move(text), terms_.hls.playlists, variables, kept.media.get());
-  if (auto* fault = std::get_if<hls::Fault>(&read)) {
+  auto read = hls::parse_media_playlist(std::move(text), terms_.hls.playlists, variables, kept.media.get());
+  if (auto* fault = std::get_if<hls::PlaylistError>(&read)) {
     if (!kept.media)
       lists_read_.erase(at);
     return *fault;
   }
-  const auto weight = [](const hls::Media& media) {
+  const auto weight = [](const hls::MediaPlaylist& media) {
     return media.text.size() + media.segments.size() * sizeof(hls::Segment);
   };
   if (kept.media)
     lists_bytes_ -= weight(*kept.media);
-  kept.media = std::make_shared<const hls::Media>(std::get<hls::Media>(std::move(read)));
+  kept.media = std::make_shared<const hls::MediaPlaylist>(std::get<hls::MediaPlaylist>(std::move(read)));
   lists_bytes_ += weight(*kept.media);
   auto media = kept.media;
   used();
@@ -659,30 +662,30 @@
 }
 
 // Where at the box a URI of its playlist leads; nothing: to another service, whose it stays.
-hls::Address Manager::place_at(const hls::Variables& variables, ServerId server, const std::string& base,
-                               std::string_view uri, hls::Tag of) const {
+hls::RewrittenUri Manager::place_at(const hls::Variables& variables, ServerId server, const std::string& base,
+                                    std::string_view uri, hls::Tag of) const {
   const auto& box = list_.box(server);
-  const auto plain = hls::substituted(uri, variables);
+  const auto plain = hls::substitute_variables(uri, variables);
   if (!plain)
-    return hls::NoAddress{"a variable without a value"};
+    return hls::RewriteError{"a variable without a value"};
   const auto resolved = hls::resolve(base, *plain);
-  if (const auto* target = std::get_if<hls::Target>(&resolved))
+  if (const auto* target = std::get_if<hls::SameServerUri>(&resolved))
     return target->text;
-  const auto* other = std::get_if<hls::Elsewhere>(&resolved);
+  const auto* other = std::get_if<hls::ExternalUri>(&resolved);
   if (!other)
-    return hls::NoAddress{"an address that can't be read"};
+    return hls::RewriteError{"an address that can't be read"};
   // Keys and data of other services are theirs to give; media that lead away from the box are not.
   if (other->scheme == "http" && other->authority == box.address + ":" + std::to_string(box.port))
     return other->target;
   if (of == hls::Tag::key || of == hls::Tag::session_key || of == hls::Tag::session_data ||
       other->scheme == "data")
     return {};
-  return hls::NoAddress{"an address that leads away from the box"};
+  return hls::RewriteError{"an address that leads away from the box"};
 }
 
-hls::Address Manager::address_of(const ViewerLink& viewer, const Playback& playback, ServerId server,
-                                 int rung, const std::string& base, const hls::Variables& variables,
-                                 std::string_view uri, hls::Tag of) {
+hls::RewrittenUri Manager::address_of(const ViewerLink& viewer, const Playback& playback, ServerId server,
+                                      int rung, const std::string& base, const hls::Variables& variables,
+                                      std::string_view uri, hls::Tag of) {
   const auto& box = list_.box(server);
   auto placed = place_at(variables, server, base, uri, of);
   if (!std::holds_alternative<std::string>(placed))
@@ -714,21 +717,22 @@
   return std::string(pass_path) + keys_.write(at, std::move(pass)) + "/" + name;
 }
 
-std::variant<std::string, hls::Fault> Manager::media_text(const ViewerLink& viewer, Playback& playback,
-                                                          ServerId server, const std::string& target,
-                                                          std::string text) {
+std::variant<std::string, hls::PlaylistError> Manager::media_text(const ViewerLink& viewer,
+                                                                  Playback& playback, ServerId server,
+                                                                  const std::string& target,
+                                                                  std::string text) {
   auto& side = *playback.hls;
   auto read = read_list(server, target, std::move(text), with_query(side.variables, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read))
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&read))
     return *fault;
-  const auto media = std::get<std::shared_ptr<const hls::Media>>(read);
-  side.target = media->target;
+  const auto media = std::get<std::shared_ptr<const hls::MediaPlaylist>>(read);
+  side.target = media->target_duration;
   const int rung = viewer.fill_rung;
   // Guards against one bad list staying in a player's course: it is looked through before it is taken.
-  for (const auto& uri : media->uris) {
-    const auto placed = place_at(media->variables, server, target, uri.at.of(media->text), uri.of);
-    if (const auto* none = std::get_if<hls::NoAddress>(&placed))
-      return hls::fault_at(media->text, uri.at.from, none->cause);
+  for (const auto& uri : media->non_plain_uris) {
+    const auto placed = place_at(media->variables, server, target, uri.range.view_in(media->text), uri.tag);
+    if (const auto* none = std::get_if<hls::RewriteError>(&placed))
+      return hls::error_at(media->text, uri.range.from, none->cause);
   }
   auto& courses = side.readers[viewer.pass.reader].courses;
   const auto known = courses.find(viewer.pass.place);
@@ -736,33 +740,35 @@
   const hls::Window* window = &whole;
   // What was whole from the beginning follows nothing that was shown.
   if (media->ended && known == courses.end()) {
-    whole.pieces.push_back(
+    whole.slices.push_back(
         {media, 0, static_cast<std::uint32_t>(media->segments.size()), server, rung, false});
     whole.media_sequence = media->media_sequence;
     whole.discontinuity_sequence = media->discontinuity_sequence;
-    side.showing.handle(now_, hls::TargetIs{media->target, false});
+    side.showing.handle(now_, hls::TargetIs{media->target_duration, false});
   } else {
-    side.showing.handle(now_, hls::TargetIs{media->target, true});
+    side.showing.handle(now_, hls::TargetIs{media->target_duration, true});
     const auto beside = std::find_if(courses.begin(), courses.end(),
                                      [&](const auto& other) { return other.first != viewer.pass.place; });
     const hls::Continuity* other = beside == courses.end() ? nullptr : &beside->second;
     auto& course = courses[viewer.pass.place];
-    const auto went = course.take(now_, {media, server, rung}, other);
+    const auto went = course.apply(now_, {media, server, rung}, other);
     window = &course.window();
-    if (went.step == hls::Course::Step::stood && went.stood_for > stands_for * media->target)
+    if (went.step == hls::ContinuityResult::Step::unchanged &&
+        went.unchanged_for > stands_for * media->target_duration)
       say("playlist_stands", {{"playback", said_id(playback.id)},
                               {"box", list_.box(server).name},
-                              {"ms", went.stood_for.count() / 1000}});
-    if (went.step == hls::Course::Step::skipped || went.step == hls::Course::Step::began_anew)
+                              {"ms", went.unchanged_for.count() / 1000}});
+    if (went.step == hls::ContinuityResult::Step::skipped ||
+        went.step == hls::ContinuityResult::Step::restarted)
       say("playlist_broke", {{"playback", said_id(playback.id)},
                              {"box", list_.box(server).name},
-                             {"cause", std::string(went.step == hls::Course::Step::skipped
+                             {"cause", std::string(went.step == hls::ContinuityResult::Step::skipped
                                                        ? "segments that no box shows lie between"
                                                        : "nothing says how it follows")}});
-    if (window->pieces.empty())
+    if (window->slices.empty())
       return media->text;
   }
-  const auto base_of = [&](const hls::Piece& piece) -> const std::string& {
+  const auto base_of = [&](const hls::PlaylistSlice& piece) -> const std::string& {
     if (piece.rung != viewer.pass.rung && !viewer.pass.steady) {
       if (const auto found = side.lists.find(piece.rung); found != side.lists.end())
         return found->second;
@@ -771,16 +777,17 @@
   };
   // A rendition's own address for segments of another rung: one for all of a piece.
   std::map<int, std::string> others;
-  hls::WriteTerms terms;
-  terms.delta = viewer.delta;
-  terms.moved = [&](const hls::Piece& piece) {
+  hls::WriteOptions terms;
+  terms.delta_update = viewer.delta;
+  terms.is_relocated = [&](const hls::PlaylistSlice& piece) {
     return terms_.hls.direct || viewer.pass.flat || piece.rung != viewer.pass.rung;
   };
-  terms.address = [&](const hls::Piece& piece, std::string_view uri, hls::Tag of) -> hls::Address {
+  terms.rewrite_uri = [&](const hls::PlaylistSlice& piece, std::string_view uri,
+                          hls::Tag of) -> hls::RewrittenUri {
     const auto& base = base_of(piece);
     const auto flat = side.flat.find(piece.rung);
     if (!terms_.hls.direct && !viewer.pass.flat && piece.rung != viewer.pass.rung &&
-        (flat == side.flat.end() || !flat->second) && hls::plain_name(uri)) {
+        (flat == side.flat.end() || !flat->second) && hls::is_plain_file_name(uri)) {
       auto& prefix = others[piece.rung];
       if (prefix.empty()) {
         prefix = rendition_address(viewer, playback, piece.rung, viewer.pass.steady, false, base);
@@ -788,9 +795,9 @@
       }
       return prefix + std::string(uri);
     }
-    return address_of(viewer, playback, piece.source, piece.rung, base, piece.from->variables, uri, of);
+    return address_of(viewer, playback, piece.source, piece.rung, base, piece.playlist->variables, uri, of);
   };
-  return hls::write_window(*window, terms);
+  return hls::write_media_playlist(*window, terms);
 }
 
 }  // namespace violettide::manager
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -23,7 +23,7 @@
 #include "entitlement/ledger/ledger.h"
 #include "hints/weighing/weighing.h"
 #include "hls/showing/showing.h"
-#include "hls/writing.h"
+#include "hls/writer.h"
 #include "http/http.h"
 #include "manager/terms.h"
 #include "passes/passes.h"
@@ -163,20 +163,18 @@
   void collect(BoxLink& link, http::ResponseReader::Part& part);
   void list_whole(BoxLink& link);
   void list_unusable(BoxLink& link, const std::string& cause);
-  std::variant<std::string, hls::Fault> lists_text(ViewerLink& viewer, Playback& playback,
-                                                   const std::string& target, std::string text);
-  std::variant<std::string, hls::Fault> media_text(const ViewerLink& viewer, Playback& playback,
-                                                   ServerId server, const std::string& target,
-                                                   std::string text);
-  std::variant<std::shared_ptr<const hls::Media>, hls::Fault> read_list(ServerId server,
-                                                                        const std::string& target,
-                                                                        std::string text,
-                                                                        const hls::Variables& variables);
-  hls::Address place_at(const hls::Variables& variables, ServerId server, const std::string& base,
-                        std::string_view uri, hls::Tag of) const;
-  hls::Address address_of(const ViewerLink& viewer, const Playback& playback, ServerId server, int rung,
-                          const std::string& base, const hls::Variables& variables, std::string_view uri,
-                          hls::Tag of);
+  std::variant<std::string, hls::PlaylistError> lists_text(ViewerLink& viewer, Playback& playback,
+                                                           const std::string& target, std::string text);
+  std::variant<std::string, hls::PlaylistError> media_text(const ViewerLink& viewer, Playback& playback,
+                                                           ServerId server, const std::string& target,
+                                                           std::string text);
+  std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> read_list(
+      ServerId server, const std::string& target, std::string text, const hls::Variables& variables);
+  hls::RewrittenUri place_at(const hls::Variables& variables, ServerId server, const std::string& base,
+                             std::string_view uri, hls::Tag of) const;
+  hls::RewrittenUri address_of(const ViewerLink& viewer, const Playback& playback, ServerId server, int rung,
+                               const std::string& base, const hls::Variables& variables, std::string_view uri,
+                               hls::Tag of);
   std::string rendition_address(const ViewerLink& viewer, const Playback& playback, int rung, bool steady,
                                 bool flat, const std::string& place);
   std::string address(passes::Pass pass);
@@ -264,7 +262,7 @@
       parted_;  // by key; what a player that comes back goes on from
   std::deque<std::string> parted_order_;
   struct KeptList {
-    std::shared_ptr<const hls::Media> media;
+    std::shared_ptr<const hls::MediaPlaylist> media;
     std::uint64_t used = 0;
   };
   std::map<std::pair<ServerId, std::string>, KeptList> lists_read_;
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -39,7 +39,7 @@
   passes::PassTerms passes;
   bool direct = false;  // segments straight from the box; playlists by this front in any case
   hls::ShowTerms show;  // `silence` is the front's own
-  hls::Limits playlists;
+  hls::PlaylistLimits playlists;
   int most_readers = 4;            // players that may share one session id
   std::size_t parted_kept = 4096;  // playbacks that are over, remembered for their old addresses
   std::size_t lists_kept_bytes = 64 * 1024 * 1024;  // of boxes' playlists as read last
--- a/tests/fuzz/playlist_fuzz.cpp
+++ b/tests/fuzz/playlist_fuzz.cpp
@@ -1,5 +1,6 @@
-// Coverage-guided: any bytes are a fault or playlists that go out as they came, read on as they are read
-// whole, and cut anywhere without a crash. An input may hold two readings of one list, parted by a 0x1e.
+// Coverage-guided fuzz target: any input is refused or written back unchanged, parsing after an earlier
+// version of the playlist gives the same result as parsing in full, and windows may start at any segment. An
+// input may hold two versions of a playlist, separated by the byte 0x1e.
 #include <cstdlib>
 #include <cstring>
 
@@ -9,26 +10,26 @@
 
 namespace {
 
-void must(bool held) {
+void require_true(bool held) {
   if (!held)
     std::abort();
 }
 
-std::shared_ptr<const Media> media_of(const std::string& text, const Media* before) {
-  Limits limits;
+std::shared_ptr<const MediaPlaylist> parse(const std::string& text, const MediaPlaylist* before) {
+  PlaylistLimits limits;
   limits.bytes = 1 << 16;
   limits.segments = 500;
-  auto read = read_media(text, limits, {}, before);
-  if (const auto* fault = std::get_if<Fault>(&read)) {
-    must(!fault->cause.empty());
+  auto read = parse_media_playlist(text, limits, {}, before);
+  if (const auto* error = std::get_if<PlaylistError>(&read)) {
+    require_true(!error->cause.empty());
     return nullptr;
   }
-  return std::make_shared<const Media>(std::get<Media>(std::move(read)));
+  return std::make_shared<const MediaPlaylist>(std::get<MediaPlaylist>(std::move(read)));
 }
 
-Window whole(const std::shared_ptr<const Media>& media) {
+Window whole_window(const std::shared_ptr<const MediaPlaylist>& media) {
   Window window{{}, media->media_sequence, media->discontinuity_sequence, false};
-  window.pieces.push_back({media, 0, static_cast<std::uint32_t>(media->segments.size()), 0, 0, false});
+  window.slices.push_back({media, 0, static_cast<std::uint32_t>(media->segments.size()), 0, 0, false});
   return window;
 }
 
@@ -36,69 +37,73 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string input(reinterpret_cast<const char*>(data), size);
-  const auto part = input.find('\x1e');
-  const auto first = input.substr(0, part);
-  const auto one = media_of(first, nullptr);
-  WriteTerms terms;
-  terms.address = [](const Piece&, std::string_view uri, Tag) -> Address {
-    const auto made = resolve("/p/t/r1/index.m3u8", uri);
-    if (std::holds_alternative<Unreadable>(made))
-      return NoAddress{"unreadable"};
-    if (const auto* target = std::get_if<Target>(&made))
+  const auto separator = input.find('\x1e');
+  const auto first = input.substr(0, separator);
+  const auto previous = parse(first, nullptr);
+  WriteOptions options;
+  options.rewrite_uri = [](const PlaylistSlice&, std::string_view uri, Tag) -> RewrittenUri {
+    const auto result = resolve("/p/t/r1/index.m3u8", uri);
+    if (std::holds_alternative<InvalidUri>(result))
+      return RewriteError{"invalid URI"};
+    if (const auto* target = std::get_if<SameServerUri>(&result))
       return target->text;
     return {};
   };
-  if (one) {
-    must(std::get<std::string>(write_window(whole(one), {})) == first);
-    write_window(whole(one), terms);
-    if (!one->segments.empty()) {
-      // Numbered anew and begun later, it is still a playlist.
-      auto cut = whole(one);
-      cut.media_sequence += 1;
-      cut.pieces[0].first += 1;
-      cut.pieces[0].count -= 1;
-      if (cut.pieces[0].count > 0) {
-        terms.moved = [](const Piece&) { return true; };
-        const auto made = write_window(cut, terms);
-        if (const auto* text = std::get_if<std::string>(&made))
-          must(text->starts_with("#EXTM3U"));
-        terms.moved = {};
-        terms.delta = true;
-        write_window(whole(one), terms);
+  if (previous) {
+    require_true(std::get<std::string>(write_media_playlist(whole_window(previous), {})) == first);
+    write_media_playlist(whole_window(previous), options);
+    if (!previous->segments.empty()) {
+      // With other sequence numbers and a later first segment, the output is still a playlist.
+      auto window = whole_window(previous);
+      window.media_sequence += 1;
+      window.slices[0].first += 1;
+      window.slices[0].count -= 1;
+      if (window.slices[0].count > 0) {
+        options.is_relocated = [](const PlaylistSlice&) { return true; };
+        const auto result = write_media_playlist(window, options);
+        if (const auto* text = std::get_if<std::string>(&result))
+          require_true(text->starts_with("#EXTM3U"));
+        options.is_relocated = {};
+        options.delta_update = true;
+        write_media_playlist(whole_window(previous), options);
       }
     }
   }
-  if (part != std::string::npos) {
-    const auto second = input.substr(part + 1);
-    const auto plain = media_of(second, nullptr);
-    const auto read_on = media_of(second, one.get());
-    must(!plain == !read_on);
-    if (plain) {
-      must(plain->segments.size() == read_on->segments.size() && plain->ended == read_on->ended);
-      for (std::size_t i = 0; i < plain->segments.size(); ++i) {
-        const auto &a = plain->segments[i], &b = read_on->segments[i];
-        must(a.lines == b.lines && a.uri == b.uri && a.wall == b.wall && a.range_offset == b.range_offset &&
-             a.gap == b.gap && plain->states[a.state] == read_on->states[b.state]);
+  if (separator != std::string::npos) {
+    const auto second = input.substr(separator + 1);
+    const auto full = parse(second, nullptr);
+    const auto incremental = parse(second, previous.get());
+    require_true(!full == !incremental);
+    if (full) {
+      require_true(full->segments.size() == incremental->segments.size() &&
+                   full->ended == incremental->ended);
+      for (std::size_t i = 0; i < full->segments.size(); ++i) {
+        const auto &a = full->segments[i], &b = incremental->segments[i];
+        require_true(a.lines == b.lines && a.uri == b.uri && a.date_time_us == b.date_time_us &&
+                     a.byte_range_offset == b.byte_range_offset && a.gap == b.gap &&
+                     full->states[a.state] == incremental->states[b.state]);
       }
-      Continuity course;
-      if (one)
-        course.take(Span(0), {one, 1, 0});
-      const auto before = course.window().media_sequence + course.window().size();
-      course.take(Span(1), {read_on, 2, 1});
-      if (!course.window().pieces.empty()) {
-        must(course.window().media_sequence + course.window().size() >= before);
-        write_window(course.window(), terms);
+      Continuity continuity;
+      if (previous)
+        continuity.apply(Span(0), {previous, 1, 0});
+      const auto before = continuity.window().media_sequence + continuity.window().size();
+      continuity.apply(Span(1), {incremental, 2, 1});
+      if (!continuity.window().slices.empty()) {
+        require_true(continuity.window().media_sequence + continuity.window().size() >= before);
+        write_media_playlist(continuity.window(), options);
       }
     }
   }
-  const auto lists = read_multivariant(first);
-  if (const auto* made = std::get_if<Multivariant>(&lists)) {
-    const Shown all{std::vector<bool>(made->variants.size(), true),
-                    std::vector<bool>(made->i_frames.size(), true)};
-    write_multivariant(*made, all,
-                       [](std::string_view, Tag, std::size_t) { return Address{std::string("/x")}; });
-    const Shown none{std::vector<bool>(made->variants.size()), std::vector<bool>(made->i_frames.size())};
-    write_multivariant(*made, none, [](std::string_view, Tag, std::size_t) { return Address{}; });
+  const auto multivariant = parse_multivariant_playlist(first);
+  if (const auto* result = std::get_if<MultivariantPlaylist>(&multivariant)) {
+    const VariantSelection all{std::vector<bool>(result->variants.size(), true),
+                               std::vector<bool>(result->i_frames.size(), true)};
+    write_multivariant_playlist(
+        *result, all, [](std::string_view, Tag, std::size_t) { return RewrittenUri{std::string("/x")}; });
+    const VariantSelection none{std::vector<bool>(result->variants.size()),
+                                std::vector<bool>(result->i_frames.size())};
+    write_multivariant_playlist(*result, none,
+                                [](std::string_view, Tag, std::size_t) { return RewrittenUri{}; });
   }
   return 0;
 }
--- a/tests/program/hls_decisions_test.cpp
+++ b/tests/program/hls_decisions_test.cpp
@@ -25,7 +25,7 @@
   bool ended = false;
   std::string type = {};
 };
-std::shared_ptr<const Media> list(const Listed& listed) {
+std::shared_ptr<const MediaPlaylist> list(const Listed& listed) {
   std::string text = "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:" +
                      std::to_string(listed.number.value_or(static_cast<std::uint64_t>(listed.from))) + "\n";
   if (!listed.type.empty())
@@ -43,12 +43,12 @@
   }
   if (listed.ended)
     text += "#EXT-X-ENDLIST\n";
-  auto read = read_media(text);
-  if (auto* fault = std::get_if<Fault>(&read))
+  auto read = parse_media_playlist(text);
+  if (auto* fault = std::get_if<PlaylistError>(&read))
     throw std::runtime_error(fault->text());
-  return std::make_shared<const Media>(std::get<Media>(std::move(read)));
+  return std::make_shared<const MediaPlaylist>(std::get<MediaPlaylist>(std::move(read)));
 }
-std::string text_of(const Window& window) { return std::get<std::string>(write_window(window, {})); }
+std::string text_of(const Window& window) { return std::get<std::string>(write_media_playlist(window, {})); }
 
 // What a player makes of the playlists it is shown, one after another: it checks what RFC 8216 forbids.
 struct Reader {
@@ -95,125 +95,129 @@
 };
 
 TEST(Continuity, OneBoxIsCopiedAsItIs) {
-  Continuity course;
-  EXPECT_EQ(course.take(0s, {list({10, 14}), 1, 0}).step, Course::Step::began);
-  EXPECT_TRUE(as_it_is(course.window()));
-  EXPECT_EQ(course.take(2s, {list({11, 15}), 1, 0}).step, Course::Step::went_on);
-  EXPECT_TRUE(as_it_is(course.window()));
-  EXPECT_EQ(course.take(4s, {list({11, 15}), 1, 0}).step, Course::Step::stood);
-  EXPECT_EQ(course.take(7s, {list({11, 15}), 1, 0}).stood_for, 5s);
-  EXPECT_EQ(text_of(course.window()), list({11, 15})->text);
+  Continuity continuity;
+  EXPECT_EQ(continuity.apply(0s, {list({10, 14}), 1, 0}).step, ContinuityResult::Step::started);
+  EXPECT_TRUE(is_unchanged(continuity.window()));
+  EXPECT_EQ(continuity.apply(2s, {list({11, 15}), 1, 0}).step, ContinuityResult::Step::continued);
+  EXPECT_TRUE(is_unchanged(continuity.window()));
+  EXPECT_EQ(continuity.apply(4s, {list({11, 15}), 1, 0}).step, ContinuityResult::Step::unchanged);
+  EXPECT_EQ(continuity.apply(7s, {list({11, 15}), 1, 0}).unchanged_for, 5s);
+  EXPECT_EQ(text_of(continuity.window()), list({11, 15})->text);
 }
 
 TEST(Continuity, ABoxBehindShowsWhatWasShown) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({10, 15}), 1, 0});
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(2s, {list({8, 13}), 2, 0}).step, Course::Step::stood);
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(4s, {list({9, 14}), 2, 0}).step, Course::Step::stood);
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(8s, {list({11, 16}), 2, 0}).step, Course::Step::went_on);
-  reader.see(text_of(course.window()));
+  continuity.apply(0s, {list({10, 15}), 1, 0});
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(2s, {list({8, 13}), 2, 0}).step, ContinuityResult::Step::unchanged);
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(4s, {list({9, 14}), 2, 0}).step, ContinuityResult::Step::unchanged);
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(8s, {list({11, 16}), 2, 0}).step, ContinuityResult::Step::continued);
+  reader.see(text_of(continuity.window()));
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
   EXPECT_EQ(reader.in_order(), "s10.m4s s11.m4s s12.m4s s13.m4s s14.m4s s15.m4s s16.m4s");
-  EXPECT_TRUE(as_it_is(course.window())) << "older lists are let go once the new box says the same";
+  EXPECT_TRUE(is_unchanged(continuity.window())) << "older lists are let go once the new box says the same";
 }
 
 TEST(Continuity, OtherNumbersAtTheNextBoxGoOnAsTheyWere) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({10, 15}), 1, 0});
-  reader.see(text_of(course.window()));
-  course.take(2s, {list({12, 17, {}, 900}), 2, 0});
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.window().media_sequence, 12u);
-  EXPECT_EQ(course.at_box(18), 906u) << "what the player calls 18 is 906 there";
-  course.take(4s, {list({13, 18, {}, 901}), 2, 0});
-  reader.see(text_of(course.window()));
+  continuity.apply(0s, {list({10, 15}), 1, 0});
+  reader.see(text_of(continuity.window()));
+  continuity.apply(2s, {list({12, 17, {}, 900}), 2, 0});
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.window().media_sequence, 12u);
+  EXPECT_EQ(continuity.server_sequence(18), 906u) << "what the player calls 18 is 906 there";
+  continuity.apply(4s, {list({13, 18, {}, 901}), 2, 0});
+  reader.see(text_of(continuity.window()));
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
   EXPECT_EQ(reader.in_order(), "s10.m4s s11.m4s s12.m4s s13.m4s s14.m4s s15.m4s s16.m4s s17.m4s s18.m4s");
 }
 
 TEST(Continuity, AGapAtTheNextBoxIsABreakOnlyWhereMediaIsMissing) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({10, 15}), 1, 0});
-  reader.see(text_of(course.window()));
+  continuity.apply(0s, {list({10, 15}), 1, 0});
+  reader.see(text_of(continuity.window()));
   // It lacks 14, which was shown, and 17, which was not.
-  EXPECT_EQ(course.take(6s, {list({12, 18, {14, 17}}), 2, 0}).step, Course::Step::went_on);
-  const auto text = text_of(course.window());
+  EXPECT_EQ(continuity.apply(6s, {list({12, 18, {14, 17}}), 2, 0}).step, ContinuityResult::Step::continued);
+  const auto text = text_of(continuity.window());
   reader.see(text);
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
   EXPECT_EQ(reader.in_order(), "s10.m4s s11.m4s s12.m4s s13.m4s s14.m4s s15.m4s s16.m4s !s18.m4s");
   // And one that lacks what was shown last.
   Continuity other;
   Reader second;
-  other.take(0s, {list({10, 15}), 1, 0});
+  other.apply(0s, {list({10, 15}), 1, 0});
   second.see(text_of(other.window()));
-  EXPECT_EQ(other.take(2s, {list({12, 17, {15}}), 2, 0}).step, Course::Step::went_on);
+  EXPECT_EQ(other.apply(2s, {list({12, 17, {15}}), 2, 0}).step, ContinuityResult::Step::continued);
   second.see(text_of(other.window()));
   EXPECT_EQ(second.in_order(), "s10.m4s s11.m4s s12.m4s s13.m4s s14.m4s s15.m4s s16.m4s s17.m4s");
 }
 
 TEST(Continuity, WhatNoBoxShowsAnyMoreIsABreak) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({10, 15}), 1, 0});
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(60s, {list({40, 45}), 2, 0}).step, Course::Step::skipped);
-  reader.see(text_of(course.window()));
+  continuity.apply(0s, {list({10, 15}), 1, 0});
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(60s, {list({40, 45}), 2, 0}).step, ContinuityResult::Step::skipped);
+  reader.see(text_of(continuity.window()));
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
   EXPECT_TRUE(reader.in_order().ends_with("s15.m4s !s40.m4s s41.m4s s42.m4s s43.m4s s44.m4s s45.m4s"));
   // What was left out is counted once it is gone.
-  course.take(62s, {list({47, 52}), 2, 0});
-  course.take(64s, {list({49, 54}), 2, 0});
-  EXPECT_EQ(course.window().discontinuity_sequence, 2u);
+  continuity.apply(62s, {list({47, 52}), 2, 0});
+  continuity.apply(64s, {list({49, 54}), 2, 0});
+  EXPECT_EQ(continuity.window().discontinuity_sequence, 2u);
 }
 
 TEST(Continuity, AnotherRungIsABreakInTheMediaAndNoneInItsCourse) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({10, 15, {}, {}, true, "high"}), 1, 2});
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(2s, {list({11, 16, {}, {}, true, "low"}), 1, 0}).step, Course::Step::went_on);
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.take(4s, {list({12, 17, {}, {}, true, "low"}), 1, 0}).step, Course::Step::went_on);
-  reader.see(text_of(course.window()));
+  continuity.apply(0s, {list({10, 15, {}, {}, true, "high"}), 1, 2});
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(2s, {list({11, 16, {}, {}, true, "low"}), 1, 0}).step,
+            ContinuityResult::Step::continued);
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.apply(4s, {list({12, 17, {}, {}, true, "low"}), 1, 0}).step,
+            ContinuityResult::Step::continued);
+  reader.see(text_of(continuity.window()));
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
   EXPECT_EQ(reader.in_order(),
             "high10.m4s high11.m4s high12.m4s high13.m4s high14.m4s high15.m4s !low16.m4s low17.m4s");
-  EXPECT_EQ(course.window().pieces.size(), 2u);
+  EXPECT_EQ(continuity.window().slices.size(), 2u);
   for (int i = 3; i < 10; ++i)
-    course.take(2s * i, {list({10 + i, 15 + i, {}, {}, true, "low"}), 1, 0});
-  EXPECT_EQ(course.window().pieces.size(), 1u) << "the older rung's list is let go";
-  EXPECT_EQ(course.window().discontinuity_sequence, 1u);
+    continuity.apply(2s * i, {list({10 + i, 15 + i, {}, {}, true, "low"}), 1, 0});
+  EXPECT_EQ(continuity.window().slices.size(), 1u) << "the older rung's list is let go";
+  EXPECT_EQ(continuity.window().discontinuity_sequence, 1u);
   // Without times, numbers of the same box serve.
   Continuity untimed;
-  untimed.take(0s, {list({10, 15, {}, {}, false, "high"}), 1, 2});
-  EXPECT_EQ(untimed.take(2s, {list({11, 16, {}, {}, false, "low"}), 1, 0}).step, Course::Step::went_on);
+  untimed.apply(0s, {list({10, 15, {}, {}, false, "high"}), 1, 2});
+  EXPECT_EQ(untimed.apply(2s, {list({11, 16, {}, {}, false, "low"}), 1, 0}).step,
+            ContinuityResult::Step::continued);
 }
 
 TEST(Continuity, NothingThatTellsBeginsAnewNearTheEnd) {
-  Continuity course;
-  course.take(0s, {list({10, 15, {}, {}, false}), 1, 0});
-  EXPECT_EQ(course.take(2s, {list({0, 5, {}, {}, false, "x"}), 2, 0}).step, Course::Step::began_anew);
-  const auto text = text_of(course.window());
+  Continuity continuity;
+  continuity.apply(0s, {list({10, 15, {}, {}, false}), 1, 0});
+  EXPECT_EQ(continuity.apply(2s, {list({0, 5, {}, {}, false, "x"}), 2, 0}).step,
+            ContinuityResult::Step::restarted);
+  const auto text = text_of(continuity.window());
   EXPECT_NE(text.find("#EXT-X-DISCONTINUITY\n#EXTINF:2,\nx3.m4s"), std::string::npos) << text;
 }
 
 TEST(Continuity, AnEventLosesNothingAndAnEndIsTold) {
-  Continuity course;
+  Continuity continuity;
   Reader reader;
-  course.take(0s, {list({0, 4, {}, {}, true, "s", false, "EVENT"}), 1, 0});
-  reader.see(text_of(course.window()));
-  course.take(2s, {list({0, 5, {}, {}, true, "t", false, "EVENT"}), 2, 1});
-  reader.see(text_of(course.window()));
-  EXPECT_EQ(course.window().media_sequence, 0u);
-  EXPECT_EQ(course.window().size(), 6u);
-  course.take(4s, {list({0, 5, {}, {}, true, "s", true, "EVENT"}), 1, 0});
-  EXPECT_TRUE(text_of(course.window()).ends_with("#EXT-X-ENDLIST\n"));
+  continuity.apply(0s, {list({0, 4, {}, {}, true, "s", false, "EVENT"}), 1, 0});
+  reader.see(text_of(continuity.window()));
+  continuity.apply(2s, {list({0, 5, {}, {}, true, "t", false, "EVENT"}), 2, 1});
+  reader.see(text_of(continuity.window()));
+  EXPECT_EQ(continuity.window().media_sequence, 0u);
+  EXPECT_EQ(continuity.window().size(), 6u);
+  continuity.apply(4s, {list({0, 5, {}, {}, true, "s", true, "EVENT"}), 1, 0});
+  EXPECT_TRUE(text_of(continuity.window()).ends_with("#EXT-X-ENDLIST\n"));
   EXPECT_TRUE(reader.wrongs.empty()) << reader.wrongs[0];
 }
 
@@ -221,7 +225,7 @@
 TEST(Continuity, WhateverTheBoxesNothingGoesBackAndNothingComesTwice) {
   for (unsigned seed = 1; seed <= 1000; ++seed) {
     std::minstd_rand chance(seed);
-    Continuity course;
+    Continuity continuity;
     Reader reader;
     struct Box {
       int lag;
@@ -254,12 +258,12 @@
       const auto media = list({to - 7, to, box.lacks, number, true, rung ? "h" : "l"});
       if (media->segments.empty())
         continue;
-      course.take(2s * edge, {media, static_cast<std::uint32_t>(at), rung});
-      reader.see(text_of(course.window()));
+      continuity.apply(2s * edge, {media, static_cast<std::uint32_t>(at), rung});
+      reader.see(text_of(continuity.window()));
       ASSERT_TRUE(reader.wrongs.empty()) << "seed " << seed << ": " << reader.wrongs[0];
-      ASSERT_LE(course.window().pieces.size(), 12u) << "seed " << seed;
+      ASSERT_LE(continuity.window().slices.size(), 12u) << "seed " << seed;
     }
-    // Media never goes back, and where it leaps the break is told.
+    // MediaPlaylist never goes back, and where it leaps the break is told.
     int last = -1;
     for (const auto& [number, uri] : reader.seen) {
       const bool broke = uri[0] == '!';
--- a/tests/program/hls_test.cpp
+++ b/tests/program/hls_test.cpp
@@ -1,54 +1,54 @@
-// Playlists: a vector for every tag, what is kept byte for byte, what is a fault and where, and that a
-// list read on from the one before is the list read whole.
+// Playlist parsing and writing: valid and invalid values of every tag, what is kept byte for byte, which
+// errors are reported at which line, and that incremental parsing equals full parsing.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <set>
 
-#include "hls/writing.h"
+#include "hls/writer.h"
 
 namespace violettide::hls {
 namespace {
 
 using namespace std::chrono_literals;
 
-Media media_of(const std::string& text, const Media* before = nullptr) {
-  auto read = read_media(text, {}, {}, before);
-  if (auto* fault = std::get_if<Fault>(&read))
-    throw std::runtime_error(fault->text() + "\n" + text);
-  return std::get<Media>(std::move(read));
+MediaPlaylist parse(const std::string& text, const MediaPlaylist* before = nullptr) {
+  auto read = parse_media_playlist(text, {}, {}, before);
+  if (auto* error = std::get_if<PlaylistError>(&read))
+    throw std::runtime_error(error->text() + "\n" + text);
+  return std::get<MediaPlaylist>(std::move(read));
 }
-std::string fault_of(const std::string& text, const Limits& limits = {}) {
-  const auto read = read_media(text, limits);
-  const auto* fault = std::get_if<Fault>(&read);
-  return fault ? fault->text() : "";
+std::string parse_error(const std::string& text, const PlaylistLimits& limits = {}) {
+  const auto read = parse_media_playlist(text, limits);
+  const auto* error = std::get_if<PlaylistError>(&read);
+  return error ? error->text() : "";
 }
-Multivariant lists_of(const std::string& text) {
-  auto read = read_multivariant(text);
-  if (auto* fault = std::get_if<Fault>(&read))
-    throw std::runtime_error(fault->text());
-  return std::get<Multivariant>(std::move(read));
+MultivariantPlaylist parse_multivariant(const std::string& text) {
+  auto read = parse_multivariant_playlist(text);
+  if (auto* error = std::get_if<PlaylistError>(&read))
+    throw std::runtime_error(error->text());
+  return std::get<MultivariantPlaylist>(std::move(read));
 }
-std::string lists_fault(const std::string& text) {
-  const auto read = read_multivariant(text);
-  const auto* fault = std::get_if<Fault>(&read);
-  return fault ? fault->text() : "";
+std::string multivariant_error(const std::string& text) {
+  const auto read = parse_multivariant_playlist(text);
+  const auto* error = std::get_if<PlaylistError>(&read);
+  return error ? error->text() : "";
 }
-Window whole(std::shared_ptr<const Media> media) {
+Window whole_window(std::shared_ptr<const MediaPlaylist> media) {
   Window window{{}, media->media_sequence, media->discontinuity_sequence};
-  window.pieces.push_back({media, 0, static_cast<std::uint32_t>(media->segments.size())});
+  window.slices.push_back({media, 0, static_cast<std::uint32_t>(media->segments.size())});
   return window;
 }
 const std::string head = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n";
 
-// Each tag with a value that it takes, and some that it doesn't.
-struct Vector {
+// A tag with a valid value and some invalid ones.
+struct TagExample {
   Tag tag;
-  const char* good;
-  std::vector<const char*> bad;
+  const char* valid;
+  std::vector<const char*> invalid;
   bool multivariant = false;
 };
-const std::vector<Vector> vectors{
+const std::vector<TagExample> tag_examples{
     {Tag::version, "#EXT-X-VERSION:7", {"#EXT-X-VERSION:x", "#EXT-X-VERSION", "#EXT-X-VERSION:-1"}},
     {Tag::define,
      "#EXT-X-DEFINE:NAME=\"a\",VALUE=\"b\"",
@@ -127,134 +127,134 @@
      true},
 };
 
-TEST(Playlists, EveryTagIsTakenAndKept) {
+TEST(HlsPlaylist, AcceptsAndKeepsEveryTag) {
   std::set<Tag> seen{Tag::m3u, Tag::target_duration};
-  for (const auto& vector : vectors) {
-    seen.insert(vector.tag);
-    const std::string good = vector.good;
-    if (vector.multivariant) {
-      const auto text = "#EXTM3U\n" + good + "\n#EXT-X-STREAM-INF:BANDWIDTH=1\nw.m3u8\n";
-      EXPECT_EQ(lists_fault(text), "") << good;
+  for (const auto& example : tag_examples) {
+    seen.insert(example.tag);
+    const std::string valid = example.valid;
+    if (example.multivariant) {
+      const auto text = "#EXTM3U\n" + valid + "\n#EXT-X-STREAM-INF:BANDWIDTH=1\nw.m3u8\n";
+      EXPECT_EQ(multivariant_error(text), "") << valid;
     } else {
-      // Twice over: what a delta may not have is only refused.
-      const auto text = head + good + "\n#EXTINF:4,\ns.ts\n";
-      if (vector.tag == Tag::inf) {
-        EXPECT_EQ(media_of(head + good + "\ns.ts\n").segments.at(0).duration, 3'003'000us);
-      } else if (!good.empty()) {
-        auto media = std::make_shared<Media>(media_of(text));
-        EXPECT_EQ(std::get<std::string>(write_window(whole(media), {})), text);
-        // Composed from its parts, every line is still there.
-        auto pieces = whole(media);
-        pieces.media_sequence += 1;
-        const auto made = std::get<std::string>(write_window(pieces, {}));
-        if (vector.tag != Tag::media_sequence && vector.tag != Tag::rendition_report) {
-          EXPECT_NE(made.find(good), std::string::npos) << made;
+      // EXT-X-SKIP has no valid example: a delta update that was not requested is always refused.
+      const auto text = head + valid + "\n#EXTINF:4,\ns.ts\n";
+      if (example.tag == Tag::inf) {
+        EXPECT_EQ(parse(head + valid + "\ns.ts\n").segments.at(0).duration, 3'003'000us);
+      } else if (!valid.empty()) {
+        auto media = std::make_shared<MediaPlaylist>(parse(text));
+        EXPECT_EQ(std::get<std::string>(write_media_playlist(whole_window(media), {})), text);
+        // Composed from slices, the output still has every line.
+        auto slices = whole_window(media);
+        slices.media_sequence += 1;
+        const auto output = std::get<std::string>(write_media_playlist(slices, {}));
+        if (example.tag != Tag::media_sequence && example.tag != Tag::rendition_report) {
+          EXPECT_NE(output.find(valid), std::string::npos) << output;
         }
       }
     }
-    for (const auto* bad : vector.bad) {
-      const auto fault =
-          vector.multivariant
-              ? lists_fault("#EXTM3U\n" + std::string(bad) + "\n#EXT-X-STREAM-INF:BANDWIDTH=1\nw\n")
-              : fault_of(head + bad + "\n#EXTINF:4,\ns.ts\n");
-      EXPECT_NE(fault, "") << bad;
-      EXPECT_TRUE(fault.starts_with("line ")) << fault;
+    for (const auto* invalid : example.invalid) {
+      const auto error = example.multivariant ? multivariant_error("#EXTM3U\n" + std::string(invalid) +
+                                                                   "\n#EXT-X-STREAM-INF:BANDWIDTH=1\nw\n")
+                                              : parse_error(head + invalid + "\n#EXTINF:4,\ns.ts\n");
+      EXPECT_NE(error, "") << invalid;
+      EXPECT_TRUE(error.starts_with("line ")) << error;
     }
   }
-  EXPECT_EQ(seen.size(), tag_rules().size()) << "a tag without a vector";
+  EXPECT_EQ(seen.size(), tag_rules().size()) << "a tag without an example";
 }
 
-TEST(Playlists, FaultsSayTheirLine) {
-  EXPECT_EQ(fault_of(""), "line 1: no playlist: it does not begin with #EXTM3U");
-  EXPECT_EQ(fault_of("\xEF\xBB\xBF#EXTM3U\n"), "line 1: no playlist: it does not begin with #EXTM3U");
-  EXPECT_EQ(fault_of("#EXTM3U\n"), "line 1: #EXT-X-TARGETDURATION is missing");
-  EXPECT_EQ(fault_of(head + "a.ts\n"), "line 3: a URI without #EXTINF");
-  EXPECT_EQ(fault_of(head + "#EXTINF:4,\n#EXTINF:4,\na.ts\n"), "line 4: two #EXTINF for one segment");
-  EXPECT_EQ(fault_of(head + "#EXTINF:4,\n"), "line 4: #EXTINF without the URI of its segment");
-  EXPECT_EQ(fault_of(head + "#EXT-X-TARGETDURATION:4\n"), "line 3: #EXT-X-TARGETDURATION twice");
-  EXPECT_EQ(fault_of(head + "#EXT-X-STREAM-INF:BANDWIDTH=1\n"),
-            "line 3: #EXT-X-STREAM-INF in a media playlist");
-  EXPECT_EQ(fault_of(head + "#EXTINF:4,\na\x01.ts\n"), "line 4: a control character");
-  EXPECT_EQ(fault_of(head + "#EXTINF:4,\na.ts\n#EXT-X-MEDIA-SEQUENCE:3\n"),
-            "line 5: #EXT-X-MEDIA-SEQUENCE behind the first segment");
-  EXPECT_EQ(fault_of(head + "#EXT-X-KEY:METHOD=AES-128,URI=\"open\n"),
-            "line 3: #EXT-X-KEY: the value of URI is not closed");
-  EXPECT_EQ(fault_of(head + "#EXT-X-KEY:METHOD=NONE,METHOD=NONE\n"),
-            "line 3: #EXT-X-KEY: the attribute METHOD twice");
-  Limits small;
+TEST(HlsPlaylist, ErrorsNameTheirLine) {
+  EXPECT_EQ(parse_error(""), "line 1: not a playlist: the first line is not #EXTM3U");
+  EXPECT_EQ(parse_error("\xEF\xBB\xBF#EXTM3U\n"), "line 1: not a playlist: the first line is not #EXTM3U");
+  EXPECT_EQ(parse_error("#EXTM3U\n"), "line 1: #EXT-X-TARGETDURATION is missing");
+  EXPECT_EQ(parse_error(head + "a.ts\n"), "line 3: URI without #EXTINF");
+  EXPECT_EQ(parse_error(head + "#EXTINF:4,\n#EXTINF:4,\na.ts\n"), "line 4: two #EXTINF for one segment");
+  EXPECT_EQ(parse_error(head + "#EXTINF:4,\n"), "line 4: #EXTINF without a segment URI");
+  EXPECT_EQ(parse_error(head + "#EXT-X-TARGETDURATION:4\n"), "line 3: #EXT-X-TARGETDURATION appears twice");
+  EXPECT_EQ(parse_error(head + "#EXT-X-STREAM-INF:BANDWIDTH=1\n"),
+            "line 3: #EXT-X-STREAM-INF is not allowed in a media playlist");
+  EXPECT_EQ(parse_error(head + "#EXTINF:4,\na\x01.ts\n"), "line 4: contains a control character");
+  EXPECT_EQ(parse_error(head + "#EXTINF:4,\na.ts\n#EXT-X-MEDIA-SEQUENCE:3\n"),
+            "line 5: #EXT-X-MEDIA-SEQUENCE after the first segment");
+  EXPECT_EQ(parse_error(head + "#EXT-X-KEY:METHOD=AES-128,URI=\"open\n"),
+            "line 3: #EXT-X-KEY: the quoted value of URI is not terminated");
+  EXPECT_EQ(parse_error(head + "#EXT-X-KEY:METHOD=NONE,METHOD=NONE\n"),
+            "line 3: #EXT-X-KEY: attribute METHOD appears twice");
+  PlaylistLimits small;
   small.segments = 2;
   small.line = 100;
   small.bytes = 400;
   std::string many = head;
   for (int i = 0; i < 3; ++i)
     many += "#EXTINF:4,\ns.ts\n";
-  EXPECT_EQ(fault_of(many, small), "line 8: more than 2 segments");
-  EXPECT_EQ(fault_of(head + std::string(101, '#'), small), "line 3: a line of more than 100 bytes");
-  EXPECT_EQ(fault_of(head + std::string(400, '#'), small), "line 1: a playlist of more than 400 bytes");
-  EXPECT_EQ(lists_fault("#EXTM3U\n"), "line 1: a multivariant playlist without variants");
-  EXPECT_EQ(lists_fault("#EXTM3U\nv.m3u8\n"), "line 2: a URI without #EXT-X-STREAM-INF");
-  EXPECT_EQ(lists_fault("#EXTM3U\n#EXTINF:4,\n"), "line 2: #EXTINF in a multivariant playlist");
+  EXPECT_EQ(parse_error(many, small), "line 8: more than 2 segments");
+  EXPECT_EQ(parse_error(head + std::string(101, '#'), small), "line 3: longer than 100 bytes");
+  EXPECT_EQ(parse_error(head + std::string(400, '#'), small), "line 1: playlist exceeds 400 bytes");
+  EXPECT_EQ(multivariant_error("#EXTM3U\n"), "line 1: multivariant playlist without variants");
+  EXPECT_EQ(multivariant_error("#EXTM3U\nv.m3u8\n"), "line 2: URI without #EXT-X-STREAM-INF");
+  EXPECT_EQ(multivariant_error("#EXTM3U\n#EXTINF:4,\n"),
+            "line 2: #EXTINF is not allowed in a multivariant playlist");
 }
 
-TEST(Playlists, SegmentsKnowTheirTimesRangesAndKeys) {
-  const auto media = media_of(head +
-                              "#EXT-X-KEY:METHOD=AES-128,URI=\"k1\"\n#EXT-X-PROGRAM-DATE-TIME:1970-01-01T00:"
-                              "00:10Z\n#EXT-X-BYTERANGE:10@5\n"
-                              "#EXTINF:4,\na.ts\n#EXT-X-BYTERANGE:20\n#EXTINF:3.5,\na.ts\n#EXT-X-KEY:METHOD="
-                              "NONE\n#EXT-X-DISCONTINUITY\n"
-                              "#EXTINF:4,\nb.ts\n");
+TEST(HlsPlaylist, SegmentsHaveTimesByteRangesAndKeys) {
+  const auto media = parse(head +
+                           "#EXT-X-KEY:METHOD=AES-128,URI=\"k1\"\n#EXT-X-PROGRAM-DATE-TIME:1970-01-01T00:"
+                           "00:10Z\n#EXT-X-BYTERANGE:10@5\n"
+                           "#EXTINF:4,\na.ts\n#EXT-X-BYTERANGE:20\n#EXTINF:3.5,\na.ts\n#EXT-X-KEY:METHOD="
+                           "NONE\n#EXT-X-DISCONTINUITY\n"
+                           "#EXTINF:4,\nb.ts\n");
   ASSERT_EQ(media.segments.size(), 3u);
-  EXPECT_EQ(media.segments[0].wall, 10'000'000);
-  EXPECT_EQ(media.segments[1].wall, 14'000'000);
-  EXPECT_FALSE(media.segments[1].own_wall);
-  EXPECT_EQ(media.segments[2].wall, no_wall) << "behind a discontinuity time begins anew";
-  EXPECT_EQ(media.segments[1].range_offset, 15u);
+  EXPECT_EQ(media.segments[0].date_time_us, 10'000'000);
+  EXPECT_EQ(media.segments[1].date_time_us, 14'000'000);
+  EXPECT_FALSE(media.segments[1].has_own_date_time);
+  EXPECT_EQ(media.segments[2].date_time_us, no_date_time) << "times do not carry over a discontinuity";
+  EXPECT_EQ(media.segments[1].byte_range_offset, 15u);
   EXPECT_TRUE(media.states[media.segments[1].state].implicit_iv);
   EXPECT_TRUE(media.states[media.segments[2].state].keys.empty());
-  EXPECT_EQ(media.length(), 11'500'000us);
+  EXPECT_EQ(media.duration(), 11'500'000us);
 }
 
-TEST(Playlists, UnknownLinesAndLineEndsStay) {
+TEST(HlsPlaylist, KeepsUnknownLinesAndLineEnds) {
   const std::string text =
       "#EXTM3U\r\n# a comment\r\n#EXT-X-TARGETDURATION:4\r\n#EXT-X-OTHERS:x=1\r\n\r\n#EXTINF:4,\r\na.ts  \r\n"
       "#EXT-X-ENDLISTING\r\n#EXT-X-ENDLIST";
-  const auto media = std::make_shared<Media>(media_of(text));
+  const auto media = std::make_shared<MediaPlaylist>(parse(text));
   EXPECT_TRUE(media->ended);
   EXPECT_EQ(media->uri(0), "a.ts");
-  EXPECT_EQ(std::get<std::string>(write_window(whole(media), {})), text);
+  EXPECT_EQ(std::get<std::string>(write_media_playlist(whole_window(media), {})), text);
 }
 
-TEST(Playlists, AWindowNumberedAnewTellsItsKeysVectors) {
-  const auto media = std::make_shared<Media>(media_of(
+TEST(HlsPlaylist, RenumberedWindowHasExplicitIvs) {
+  const auto media = std::make_shared<MediaPlaylist>(parse(
       head +
       "#EXT-X-MEDIA-SEQUENCE:7\n#EXT-X-KEY:METHOD=AES-128,URI=\"k\"\n#EXTINF:4,\na.ts\n#EXTINF:4,\nb.ts\n"));
-  auto window = whole(media);
+  auto window = whole_window(media);
   window.media_sequence = 107;
-  const auto text = std::get<std::string>(write_window(window, {}));
+  const auto text = std::get<std::string>(write_media_playlist(window, {}));
   EXPECT_NE(text.find("#EXT-X-MEDIA-SEQUENCE:107\n"), std::string::npos);
   EXPECT_NE(text.find("URI=\"k\",IV=0x00000000000000000000000000000007\n#EXTINF:4,\na.ts"), std::string::npos)
       << text;
   EXPECT_NE(text.find("IV=0x00000000000000000000000000000008\n#EXTINF:4,\nb.ts"), std::string::npos) << text;
 }
 
-TEST(Playlists, ADeltaLeavesOutWhatLiesFarBack) {
+TEST(HlsPlaylist, DeltaUpdateSkipsOlderSegments) {
   std::string text =
       head + "#EXT-X-VERSION:6\n#EXT-X-SERVER-CONTROL:CAN-SKIP-UNTIL=24\n#EXT-X-MEDIA-SEQUENCE:50\n";
   for (int i = 0; i < 20; ++i)
     text += "#EXTINF:4,\ns" + std::to_string(i) + ".ts\n";
-  const auto media = std::make_shared<Media>(media_of(text));
-  WriteTerms terms;
-  terms.delta = true;
-  const auto made = std::get<std::string>(write_window(whole(media), terms));
-  EXPECT_NE(made.find("#EXT-X-SKIP:SKIPPED-SEGMENTS=14\n"), std::string::npos) << made;
-  EXPECT_NE(made.find("#EXT-X-VERSION:9\n"), std::string::npos);
-  EXPECT_EQ(made.find("s13.ts"), std::string::npos);
-  EXPECT_NE(made.find("s14.ts"), std::string::npos);
-  terms.delta = false;
-  EXPECT_EQ(std::get<std::string>(write_window(whole(media), terms)), text);
+  const auto media = std::make_shared<MediaPlaylist>(parse(text));
+  WriteOptions options;
+  options.delta_update = true;
+  const auto output = std::get<std::string>(write_media_playlist(whole_window(media), options));
+  EXPECT_NE(output.find("#EXT-X-SKIP:SKIPPED-SEGMENTS=14\n"), std::string::npos) << output;
+  EXPECT_NE(output.find("#EXT-X-VERSION:9\n"), std::string::npos);
+  EXPECT_EQ(output.find("s13.ts"), std::string::npos);
+  EXPECT_NE(output.find("s14.ts"), std::string::npos);
+  options.delta_update = false;
+  EXPECT_EQ(std::get<std::string>(write_media_playlist(whole_window(media), options)), text);
 }
 
-TEST(Playlists, AMultivariantListLosesWhatIsNotShownAndWhatOnlyThatNeeds) {
+TEST(HlsPlaylist, MultivariantPlaylistDropsUnselectedVariantsAndTheirRenditions) {
   const std::string text =
       "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-CONTENT-STEERING:SERVER-URI=\"/s\"\n"
       "#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"low\",NAME=\"n\",URI=\"al.m3u8\"\n"
@@ -262,64 +262,65 @@
       "#EXT-X-STREAM-INF:BANDWIDTH=100,AUDIO=\"low\"\nv0.m3u8\n"
       "#EXT-X-STREAM-INF:BANDWIDTH=200,AUDIO=\"high\"\nv1.m3u8\n"
       "#EXT-X-I-FRAME-STREAM-INF:BANDWIDTH=10,URI=\"i.m3u8\"\n# kept\n";
-  const auto lists = lists_of(text);
-  const auto made = std::get<std::string>(write_multivariant(
-      lists, {{true, false}, {true}},
-      [](std::string_view uri, Tag, std::size_t) -> Address { return "/x/" + std::string(uri); }, "#OWN\n"));
-  EXPECT_EQ(made,
+  const auto playlist = parse_multivariant(text);
+  const auto output = std::get<std::string>(write_multivariant_playlist(
+      playlist, {{true, false}, {true}},
+      [](std::string_view uri, Tag, std::size_t) -> RewrittenUri { return "/x/" + std::string(uri); },
+      "#OWN\n"));
+  EXPECT_EQ(output,
             "#EXTM3U\n#EXT-X-VERSION:6\n#OWN\n"
             "#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"low\",NAME=\"n\",URI=\"/x/al.m3u8\"\n"
             "#EXT-X-STREAM-INF:BANDWIDTH=100,AUDIO=\"low\"\n/x/v0.m3u8\n"
             "#EXT-X-I-FRAME-STREAM-INF:BANDWIDTH=10,URI=\"/x/i.m3u8\"\n# kept\n");
 }
 
-TEST(Addresses, LeadWhereRfc3986Says) {
+TEST(HlsUri, ResolvesByRfc3986) {
   const auto to = [](const char* uri) {
-    const auto made = resolve("/p/t/r1/index.m3u8?x=1", uri);
-    if (const auto* target = std::get_if<Target>(&made))
+    const auto output = resolve("/p/t/r1/index.m3u8?x=1", uri);
+    if (const auto* target = std::get_if<SameServerUri>(&output))
       return target->text;
-    if (const auto* other = std::get_if<Elsewhere>(&made))
+    if (const auto* other = std::get_if<ExternalUri>(&output))
       return other->scheme + " " + other->authority;
-    return std::string("unreadable");
+    return std::string("invalid");
   };
   EXPECT_EQ(to("s.ts"), "/p/t/r1/s.ts");
   EXPECT_EQ(to("../r2/./s.ts?y"), "/p/t/r2/s.ts?y");
   EXPECT_EQ(to("/other"), "/other");
-  EXPECT_EQ(to("../../../../../etc"), "unreadable");
+  EXPECT_EQ(to("../../../../../etc"), "invalid");
   EXPECT_EQ(to("http://10.0.0.1:80/s.ts"), "http 10.0.0.1:80");
   EXPECT_EQ(to("//host/s.ts"), "http host");
   EXPECT_EQ(to("data:text/plain,x"), "data ");
   EXPECT_EQ(to("%2e%2e/s.ts"), "/p/t/s.ts");
-  EXPECT_EQ(to("a%2fb"), "unreadable");
-  EXPECT_EQ(to("a b"), "unreadable");
-  EXPECT_EQ(*substituted("{$a}/x{$b}", Variables{{"a", "1"}, {"b", "2"}}), "1/x2");
-  EXPECT_FALSE(substituted("{$c}", {}).has_value());
-  EXPECT_FALSE(substituted("{$c", {}).has_value());
+  EXPECT_EQ(to("a%2fb"), "invalid");
+  EXPECT_EQ(to("a b"), "invalid");
+  EXPECT_EQ(*substitute_variables("{$a}/x{$b}", Variables{{"a", "1"}, {"b", "2"}}), "1/x2");
+  EXPECT_FALSE(substitute_variables("{$c}", {}).has_value());
+  EXPECT_FALSE(substitute_variables("{$c", {}).has_value());
 }
 
-// A live list that slides on: read on from the one before it is what it is when read whole.
-struct Live {
-  std::vector<std::string> spans;
+// A live playlist with a sliding window.
+struct LivePlaylist {
+  std::vector<std::string> segments_text;
   std::uint64_t first = 0;
   std::string text(std::size_t window) const {
-    const auto from = spans.size() > window ? spans.size() - window : 0;
-    auto made = head + "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(first + from) + "\n";
-    for (auto i = from; i < spans.size(); ++i)
-      made += spans[i];
-    return made;
+    const auto from = segments_text.size() > window ? segments_text.size() - window : 0;
+    auto output = head + "#EXT-X-MEDIA-SEQUENCE:" + std::to_string(first + from) + "\n";
+    for (auto i = from; i < segments_text.size(); ++i)
+      output += segments_text[i];
+    return output;
   }
 };
 
-TEST(Playlists, ReadOnIsReadWhole) {
-  rc::check("incremental reading", [] {
-    Live live;
-    std::optional<Media> before;
+TEST(HlsPlaylist, IncrementalParsingEqualsFullParsing) {
+  rc::check("incremental parsing", [] {
+    LivePlaylist live;
+    std::optional<MediaPlaylist> before;
     const auto steps = *rc::gen::inRange(2, 12);
-    std::size_t taken_over = 0;
+    std::size_t reused_segments = 0;
     for (int step = 0; step < steps; ++step) {
       const auto more = *rc::gen::inRange(0, 4);
       for (int i = 0; i < more; ++i) {
-        const auto n = std::to_string(live.spans.size());
+        const auto n = std::to_string(live.segments_text.size());
         std::string span;
         switch (*rc::gen::inRange(0, 8)) {
           case 0:
@@ -332,8 +333,8 @@
             span = "#EXT-X-DISCONTINUITY\n";
             break;
           case 3:
-            span = "#EXT-X-PROGRAM-DATE-TIME:2026-01-01T00:00:0" + std::to_string(live.spans.size() % 10) +
-                   "Z\n";
+            span = "#EXT-X-PROGRAM-DATE-TIME:2026-01-01T00:00:0" +
+                   std::to_string(live.segments_text.size() % 10) + "Z\n";
             break;
           case 4:
             span = "#EXT-X-PART:DURATION=1,URI=\"/p" + n + "\"\n";
@@ -341,38 +342,37 @@
           default:
             break;
         }
-        live.spans.push_back(span + "#EXTINF:4,\ns" + n + ".ts\n");
+        live.segments_text.push_back(span + "#EXTINF:4,\ns" + n + ".ts\n");
       }
       const auto text = live.text(6);
-      const auto whole_read = media_of(text);
-      const auto read_on = media_of(text, before ? &*before : nullptr);
-      taken_over += read_on.taken_over;
-      RC_ASSERT(read_on.segments.size() == whole_read.segments.size());
-      const auto uris = [](const std::vector<UriAt>& all, const Media& media) {
+      const auto full = parse(text);
+      const auto incremental = parse(text, before ? &*before : nullptr);
+      reused_segments += incremental.reused_segments;
+      RC_ASSERT(incremental.segments.size() == full.segments.size());
+      const auto uris = [](const std::vector<UriReference>& all, const MediaPlaylist& media) {
         std::vector<std::string> texts;
         for (const auto& uri : all)
-          texts.emplace_back(uri.at.of(media.text));
+          texts.emplace_back(uri.range.view_in(media.text));
         return texts;
       };
-      RC_ASSERT(uris(read_on.uris, read_on) == uris(whole_read.uris, whole_read));
-      RC_ASSERT(uris(read_on.attribute_uris, read_on) == uris(whole_read.attribute_uris, whole_read));
-      for (std::size_t i = 0; i < whole_read.segments.size(); ++i) {
-        const auto& a = read_on.segments[i];
-        const auto& b = whole_read.segments[i];
+      RC_ASSERT(uris(incremental.non_plain_uris, incremental) == uris(full.non_plain_uris, full));
+      RC_ASSERT(uris(incremental.attribute_uris, incremental) == uris(full.attribute_uris, full));
+      for (std::size_t i = 0; i < full.segments.size(); ++i) {
+        const auto& a = incremental.segments[i];
+        const auto& b = full.segments[i];
         RC_ASSERT(a.lines == b.lines);
         RC_ASSERT(a.uri == b.uri);
-        RC_ASSERT(a.wall == b.wall);
+        RC_ASSERT(a.date_time_us == b.date_time_us);
         RC_ASSERT(a.discontinuity == b.discontinuity);
-        RC_ASSERT(read_on.states[a.state] == whole_read.states[b.state]);
+        RC_ASSERT(incremental.states[a.state] == full.states[b.state]);
       }
-      before = read_on;
+      before = incremental;
     }
-    RC_TAG(taken_over > 0 ? "something taken over" : "nothing taken over");
+    RC_TAG(reused_segments > 0 ? "some segments reused" : "no segments reused");
   });
 }
 
-// Whatever the bytes: a fault or a playlist that goes out as it came.
-TEST(Playlists, AnyBytesAreAFaultOrComeOutAsTheyWere) {
+TEST(HlsPlaylist, AnyInputIsRefusedOrWrittenBackUnchanged) {
   const std::vector<std::string> words{"#EXTM3U\n",
                                        "#EXT-X-TARGETDURATION:4\n",
                                        "#EXTINF:4,\n",
@@ -392,13 +392,13 @@
     std::string text = *rc::gen::element<std::string>("", head);
     for (const auto& word : *rc::gen::container<std::vector<std::string>>(rc::gen::elementOf(words)))
       text += word;
-    const auto read = read_media(text);
-    if (std::holds_alternative<Fault>(read)) {
-      RC_ASSERT(!std::get<Fault>(read).cause.empty());
+    const auto read = parse_media_playlist(text);
+    if (std::holds_alternative<PlaylistError>(read)) {
+      RC_ASSERT(!std::get<PlaylistError>(read).cause.empty());
       return;
     }
-    const auto media = std::make_shared<Media>(std::get<Media>(read));
-    RC_ASSERT(std::get<std::string>(write_window(whole(media), {})) == text);
+    const auto media = std::make_shared<MediaPlaylist>(std::get<MediaPlaylist>(read));
+    RC_ASSERT(std::get<std::string>(write_media_playlist(whole_window(media), {})) == text);
   });
 }
 
