--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -41,7 +41,7 @@
 std::optional<std::string> octets(const json& key, const char* name) {
   if (!key.contains(name) || !key[name].is_string())
     return std::nullopt;
-  return signing::from_base64url(key[name].get<std::string>());
+  return signing::base64url_decode(key[name].get<std::string>());
 }
 
 std::string pem_of(const char* type, OSSL_PARAM* parameters) {
@@ -207,7 +207,7 @@
 std::variant<Unsigned, TokenFault> read_unsigned(std::string_view token) {
   if (token.empty() || token.size() > most_token_bytes || std::count(token.begin(), token.end(), '.') != 2)
     return TokenFault::malformed;
-  const auto header = signing::from_base64url(token.substr(0, token.find('.')));
+  const auto header = signing::base64url_decode(token.substr(0, token.find('.')));
   if (!header)
     return TokenFault::malformed;
   const auto read = json::parse(*header, nullptr, false);
--- a/src/gzip/gzip.cpp
+++ b/src/gzip/gzip.cpp
@@ -9,38 +9,38 @@
 
 namespace {
 
-constexpr int gzip_window = 15 + 16;  // zlib's way of asking for gzip
+constexpr int gzip_window_bits = 15 + 16;  // adding 16 selects the gzip format in zlib
 
 }  // namespace
 
-std::optional<std::string> unpacked(std::string_view bytes, std::size_t most) {
+std::optional<std::string> decompress(std::string_view bytes, std::size_t max_bytes) {
   z_stream stream{};
-  if (inflateInit2(&stream, gzip_window) != Z_OK)
+  if (inflateInit2(&stream, gzip_window_bits) != Z_OK)
     return std::nullopt;
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
   stream.avail_in = static_cast<uInt>(bytes.size());
   std::string text;
-  int code = Z_OK;
-  while (code == Z_OK && text.size() <= most) {
+  int status = Z_OK;
+  while (status == Z_OK && text.size() <= max_bytes) {
     const auto before = text.size();
-    text.resize(std::min(most + 1, std::max<std::size_t>(before * 2, 16 * 1024)));
+    text.resize(std::min(max_bytes + 1, std::max<std::size_t>(before * 2, 16 * 1024)));
     stream.next_out = reinterpret_cast<Bytef*>(text.data() + before);
     stream.avail_out = static_cast<uInt>(text.size() - before);
-    code = inflate(&stream, Z_NO_FLUSH);
+    status = inflate(&stream, Z_NO_FLUSH);
     text.resize(text.size() - stream.avail_out);
     if (text.size() == before && stream.avail_in == 0)
       break;
   }
   const bool all_read = stream.avail_in == 0;
   inflateEnd(&stream);
-  if (code != Z_STREAM_END || !all_read || text.size() > most)
+  if (status != Z_STREAM_END || !all_read || text.size() > max_bytes)
     return std::nullopt;
   return text;
 }
 
-std::string packed(std::string_view text) {
+std::string compress(std::string_view text) {
   z_stream stream{};
-  deflateInit2(&stream, Z_BEST_SPEED, Z_DEFLATED, gzip_window, 8, Z_DEFAULT_STRATEGY);
+  deflateInit2(&stream, Z_BEST_SPEED, Z_DEFLATED, gzip_window_bits, 8, Z_DEFAULT_STRATEGY);
   std::string bytes(deflateBound(&stream, static_cast<uLong>(text.size())), '\0');
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(text.data()));
   stream.avail_in = static_cast<uInt>(text.size());
@@ -52,7 +52,7 @@
   return bytes;
 }
 
-bool accepted(std::string_view accept_encoding) {
+bool is_accepted(std::string_view accept_encoding) {
   for (std::size_t from = 0; from < accept_encoding.size();) {
     const auto end = std::min(accept_encoding.find(',', from), accept_encoding.size());
     auto coding = accept_encoding.substr(from, end - from);
@@ -65,9 +65,9 @@
       name.remove_suffix(1);
     if (name != "gzip" && name != "x-gzip" && name != "*")
       continue;
-    const auto weight = semicolon == std::string_view::npos ? std::string_view::npos : coding.find("q=");
-    return weight == std::string_view::npos ||
-           std::strtod(std::string(coding.substr(weight + 2)).c_str(), nullptr) > 0;
+    const auto quality = semicolon == std::string_view::npos ? std::string_view::npos : coding.find("q=");
+    return quality == std::string_view::npos ||
+           std::strtod(std::string(coding.substr(quality + 2)).c_str(), nullptr) > 0;
   }
   return false;
 }
--- a/src/gzip/gzip.h
+++ b/src/gzip/gzip.h
@@ -1,4 +1,4 @@
-// gzip by zlib, whole texts at a time, with a limit on what comes out.
+// Compresses and decompresses whole texts with gzip (zlib), with a limit on the decompressed size.
 #pragma once
 
 #include <optional>
@@ -7,10 +7,11 @@
 
 namespace violettide::gzip {
 
-// Nothing where the bytes are no whole gzip, or would come out longer than `most` bytes.
-std::optional<std::string> unpacked(std::string_view bytes, std::size_t most);
-std::string packed(std::string_view text);
-// What Accept-Encoding says of gzip (RFC 9110, 12.5.3).
-bool accepted(std::string_view accept_encoding);
+// Nothing if the bytes are not exactly one complete gzip stream, or exceed `max_bytes` when decompressed.
+std::optional<std::string> decompress(std::string_view bytes, std::size_t max_bytes);
+// Compresses for speed rather than size.
+std::string compress(std::string_view text);
+// Whether an Accept-Encoding field accepts gzip (RFC 9110, 12.5.3).
+bool is_accepted(std::string_view accept_encoding);
 
 }  // namespace violettide::gzip
--- a/src/hls/playlist.h
+++ b/src/hls/playlist.h
@@ -60,9 +60,11 @@
   bool operator==(const PersistentTags&) const = default;
 };
 
+// Stand for an unknown time and an unknown byte offset.
 constexpr std::int64_t no_date_time = std::numeric_limits<std::int64_t>::min();
 constexpr std::uint64_t no_offset = std::numeric_limits<std::uint64_t>::max();
 
+// A media segment of a media playlist.
 struct Segment {
   TextRange lines;  // from the end of the previous segment to the end of its URI line
   TextRange uri;
--- a/src/hls/tags.h
+++ b/src/hls/tags.h
@@ -11,6 +11,7 @@
 
 namespace violettide::hls {
 
+// In the order of tag_rules().
 enum class Tag : std::uint8_t {
   m3u,
   version,
@@ -70,11 +71,13 @@
   enumerated,
   resolution
 };
+// An attribute that a tag is known to have.
 struct AttributeRule {
   std::string_view name;
   AttributeType type = AttributeType::quoted;
   bool required = false;
 };
+// What a tag may look like.
 struct TagRule {
   Tag tag;
   std::string_view name;  // without "#EXT"
@@ -88,6 +91,7 @@
 // The rule of the tag "#EXT" + name; null for an unknown tag.
 const TagRule* find_tag_rule(std::string_view name);
 
+// One attribute of a line.
 struct Attribute {
   std::string_view name;   // a view into the line
   std::string_view value;  // a view into the line, without quotation marks
--- a/src/hls/uri.h
+++ b/src/hls/uri.h
@@ -20,6 +20,7 @@
   std::string authority;  // host and port as written; empty if there is none
   std::string target;     // path and query; with no authority, all that follows the scheme
 };
+// A URI that is malformed or leaves the root directory.
 struct InvalidUri {};
 // Resolves `uri` against `base`, the absolute path (and query) of the playlist.
 std::variant<SameServerUri, ExternalUri, InvalidUri> resolve(std::string_view base, std::string_view uri);
--- a/src/hls/writer.h
+++ b/src/hls/writer.h
@@ -39,6 +39,7 @@
 using RewrittenUri = std::variant<std::monostate, std::string, RewriteError>;
 using UriRewriter = std::function<RewrittenUri(const PlaylistSlice& slice, std::string_view uri, Tag tag)>;
 
+// How write_media_playlist() writes a window.
 struct WriteOptions {
   UriRewriter rewrite_uri;
   // Whether the slice's files are not in the directory of the playlist that the viewer reads, so that its
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -118,15 +118,15 @@
   const auto slash = path.find('/');
   if (slash == std::string_view::npos)
     return refused(404, "no address of this front");
-  auto read = keys_.read(wall(), path.substr(0, slash));
+  auto read = keys_.verify(wall(), path.substr(0, slash));
   viewer.pass_expired = false;
-  if (auto* no = std::get_if<passes::Refused>(&read)) {
-    if (no->why != passes::Refusal::expired)
+  if (auto* no = std::get_if<signed_url::InvalidToken>(&read)) {
+    if (no->error != signed_url::TokenError::expired)
       return refused(403, "this address was not given out by this service");
     viewer.pass_expired = true;
-    viewer.pass = std::move(*no->pass);
+    viewer.pass = std::move(*no->claims);
   } else {
-    viewer.pass = std::move(std::get<passes::Pass>(read));
+    viewer.pass = std::move(std::get<signed_url::Claims>(read));
   }
   const auto& pass = viewer.pass;
   // Guards against a pass of other settings: the numbers in it are places in these.
@@ -136,7 +136,7 @@
   const auto tail = path.substr(slash + 1);
   viewer.path = {pass.plan, pass.title, pass.rung, std::string(tail)};
   viewer.hints.hints.session_id = pass.sid;
-  if (pass.names == passes::Pass::Names::steering) {
+  if (pass.scope == signed_url::Claims::Scope::steering) {
     viewer.wants = ViewerLink::Wants::steering;
     if (const auto told = argument(query, "_HLS_throughput")) {
       // Bits a second, as the steering server is told (draft, 7.1).
@@ -146,19 +146,19 @@
     }
     return Read::taken;
   }
-  if (pass.names == passes::Pass::Names::lists) {
+  if (pass.scope == signed_url::Claims::Scope::multivariant) {
     viewer.wants = ViewerLink::Wants::lists;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     return Read::taken;
   }
-  if (pass.names == passes::Pass::Names::resource) {
+  if (pass.scope == signed_url::Claims::Scope::resource) {
     viewer.wants = ViewerLink::Wants::segment;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     return Read::taken;
   }
-  if (tail == file_of(pass.place)) {
+  if (tail == file_of(pass.path)) {
     viewer.wants = ViewerLink::Wants::media_list;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     viewer.delta = argument(query, "_HLS_skip").has_value();
     if (const auto number = argument(query, "_HLS_msn")) {
       const auto asked = hls::parse_integer(*number);
@@ -170,8 +170,8 @@
       const auto known = by_key_.find(key_of(pass.plan, pass.title, "s" + pass.sid));
       if (known != by_key_.end() && playbacks_.at(known->second)->hls) {
         auto& readers = playbacks_.at(known->second)->hls->readers;
-        if (const auto reader = readers.find(pass.reader); reader != readers.end()) {
-          if (const auto course = reader->second.courses.find(pass.place);
+        if (const auto reader = readers.find(pass.player); reader != readers.end()) {
+          if (const auto course = reader->second.courses.find(pass.path);
               course != reader->second.courses.end())
             there = course->second.server_sequence(there);
         }
@@ -184,9 +184,9 @@
     return Read::taken;
   }
   // Something in the rendition's directory; a name that leads out of it has another's address, or none.
-  if (pass.flat)
+  if (pass.shared_directory)
     return refused(403, "this address is not of that segment");
-  const auto directory = hls::directory_of(pass.place);
+  const auto directory = hls::directory_of(pass.path);
   const auto resolved = hls::resolve(directory, tail);
   const auto* place = std::get_if<hls::SameServerUri>(&resolved);
   if (!place || !place->text.starts_with(directory) || place->text.size() == directory.size())
@@ -204,29 +204,29 @@
   if (by_key_.contains(key))
     return true;
   const auto& plan = terms_.site.plans[pass.plan];
-  hls::Orphan orphan;
-  using Asks = hls::Orphan::Asks;
-  orphan.asks = viewer.wants == ViewerLink::Wants::steering     ? Asks::steering
-                : viewer.wants == ViewerLink::Wants::media_list ? Asks::media_playlist
-                                                                : Asks::segment;
+  hls::OrphanedRequest orphan;
+  using Resource = hls::OrphanedRequest::Resource;
+  orphan.resource = viewer.wants == ViewerLink::Wants::steering     ? Resource::steering
+                    : viewer.wants == ViewerLink::Wants::media_list ? Resource::media_playlist
+                                                                    : Resource::segment;
   orphan.expired = viewer.pass_expired;
   orphan.paid_at_setup = plan.pay_at_setup;
   orphan.counted_seats = plan.seats > 0 || ledger_ != nullptr;
-  orphan.departed = departures_.find(now_, key);
+  orphan.ended = departures_.find(now_, key);
   const auto server = list_.find(pass.box);
-  orphan.box_ready = server && list_.box(*server).standing == Standing::ready;
-  const auto verdict = hls::judge(now_, orphan);
-  if (const auto* over = std::get_if<hls::Over>(&verdict)) {
+  orphan.server_ready = server && list_.box(*server).standing == Standing::ready;
+  const auto verdict = hls::judge_orphaned_request(now_, orphan);
+  if (const auto* over = std::get_if<hls::Gone>(&verdict)) {
     say("address_orphaned", {{"sid", pass.sid}, {"cause", over->cause}});
     answer(viewer, 410, over->cause + "\n");
     return false;
   }
-  if (const auto* later = std::get_if<hls::ComeBack>(&verdict)) {
-    const auto whole = std::max<std::int64_t>(1, (later->in.count() + 999'999) / 1'000'000);
+  if (const auto* later = std::get_if<hls::RetryLater>(&verdict)) {
+    const auto whole = std::max<std::int64_t>(1, (later->after.count() + 999'999) / 1'000'000);
     answer(viewer, 503, "rejected: no box has room\n", {{"Retry-After", std::to_string(whole)}});
     return false;
   }
-  if (std::holds_alternative<hls::BeginAnew>(verdict))
+  if (std::holds_alternative<hls::StartAnew>(verdict))
     return true;
   auto& playback = admit(viewer);
   playback.asked_at = now_;
@@ -240,7 +240,7 @@
   playback.server = *server;
   // What its address says it was shown, until the module says otherwise.
   playback.rung = std::max(plan.floor, pass.rung);
-  playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
+  playback.hls->showing.handle(now_, hls::RungDecided{playback.rung});
   if (playback.recording) {
     if (auto asking = asking_.find(*playback.recording); asking != asking_.end())
       asking->second.erase(playback.id);
@@ -267,14 +267,14 @@
   }
   // Before it plays the module's word is still to come.
   if (playback.playing)
-    playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
+    playback.hls->showing.handle(now_, hls::RungDecided{playback.rung});
 }
 
 // The playback is over here, but its player may not know: its numbers and its address are remembered.
-void Manager::part(Playback& playback, hls::Ending how, Span come_back) {
+void Manager::part(Playback& playback, hls::EndReason how, Span come_back) {
   if (!playback.hls)
     return;
-  departures_.note(now_, playback.key, how, come_back);
+  departures_.record(now_, playback.key, how, come_back);
   if (!playback.token.empty())
     playback.hls->token = playback.token;
   while (parted_order_.size() >= terms_.hls.parted_kept) {
@@ -291,7 +291,7 @@
 std::string Manager::box_target(ViewerLink& viewer, Playback& playback, BoxLink& link) {
   using Wants = ViewerLink::Wants;
   link.collects = viewer.wants == Wants::lists || viewer.wants == Wants::media_list;
-  link.off_ladder = link.collects || (viewer.wants == Wants::segment && viewer.pass.steady);
+  link.off_ladder = link.collects || (viewer.wants == Wants::segment && viewer.pass.off_ladder);
   if (viewer.wants == Wants::object) {
     link.rung = rung_for(playback, viewer.path.rung);
     return path_text(terms_, viewer.path, link.rung);
@@ -299,9 +299,9 @@
   link.rung = viewer.wants == Wants::segment ? viewer.pass.rung : playback.rung;
   if (viewer.wants == Wants::media_list) {
     viewer.fill_rung = viewer.pass.rung;
-    if (!viewer.pass.steady && playback.hls) {
-      const auto verdict = playback.hls->showing.handle(now_, hls::MediaAsked{viewer.pass.rung});
-      const int rung = std::get<hls::FillFrom>(verdict).rung;
+    if (!viewer.pass.off_ladder && playback.hls) {
+      const auto verdict = playback.hls->showing.handle(now_, hls::MediaPlaylistRequested{viewer.pass.rung});
+      const int rung = std::get<hls::UseRung>(verdict).rung;
       if (const auto found = playback.hls->lists.find(rung);
           rung != viewer.pass.rung && found != playback.hls->lists.end()) {
         viewer.fill_rung = rung;
@@ -309,7 +309,7 @@
         return found->second;
       }
     }
-    link.target = viewer.pass.place;
+    link.target = viewer.pass.path;
     return viewer.place;
   }
   link.target = viewer.place;
@@ -323,9 +323,9 @@
   auto& readers = side.readers;
   const auto told = viewer.hints.hints.buffer_length;
   const Span buffer = std::chrono::milliseconds(std::clamp<std::int64_t>(told.value_or(0), 0, 600'000));
-  if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.reader)) {
+  if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.player)) {
     std::erase_if(readers,
-                  [&](const auto& entry) { return now_ - entry.second.seen > side.showing.silence(); });
+                  [&](const auto& entry) { return now_ - entry.second.seen > side.showing.idle_timeout(); });
     // Guards against one session id, and its one seat, being shared by players without end.
     if (readers.size() >= static_cast<std::size_t>(terms_.hls.most_readers)) {
       say("readers_too_many", {{"playback", said_id(playback.id)}});
@@ -337,28 +337,28 @@
   }
   if (viewer.wants == Wants::lists)
     return true;
-  if (!readers.contains(viewer.pass.reader) &&
+  if (!readers.contains(viewer.pass.player) &&
       readers.size() >= 2 * static_cast<std::size_t>(terms_.hls.most_readers)) {
     readers.erase(std::min_element(readers.begin(), readers.end(),
                                    [](auto& a, auto& b) { return a.second.seen < b.second.seen; }));
   }
-  readers[viewer.pass.reader].seen = now_;
-  side.next_reader = std::max(side.next_reader, viewer.pass.reader % 250 + 1);
+  readers[viewer.pass.player].seen = now_;
+  side.next_reader = std::max(side.next_reader, viewer.pass.player % 250 + 1);
   if (viewer.wants == Wants::steering) {
     viewer.playback.reset();
     rest(playback);
     const nlohmann::ordered_json manifest{
         {"VERSION", 1},
-        {"TTL", std::max<std::int64_t>(1, side.showing.silence().count() / 1'000'000 / steering_asks)},
+        {"TTL", std::max<std::int64_t>(1, side.showing.idle_timeout().count() / 1'000'000 / steering_asks)},
         {"PATHWAY-PRIORITY", {"."}}};
     answer(viewer, 200, manifest.dump() + "\n",
            {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}});
     return false;
   }
-  if (viewer.wants != Wants::segment || viewer.pass.steady)
+  if (viewer.wants != Wants::segment || viewer.pass.off_ladder)
     return true;
-  const auto verdict = side.showing.handle(now_, hls::SegmentAsked{viewer.pass.rung, buffer});
-  const auto* high = std::get_if<hls::TooHigh>(&verdict);
+  const auto verdict = side.showing.handle(now_, hls::SegmentRequested{viewer.pass.rung, buffer});
+  const auto* high = std::get_if<hls::RungTooHigh>(&verdict);
   if (!high)
     return true;
   say("segment_too_high", {{"playback", said_id(playback.id)},
@@ -406,7 +406,7 @@
   link.body.clear();
   if (!link.coding.empty() && link.coding != "identity") {
     auto plain = link.coding == "gzip" || link.coding == "x-gzip"
-                     ? gzip::unpacked(text, terms_.hls.playlists.bytes)
+                     ? gzip::decompress(text, terms_.hls.playlists.bytes)
                      : std::nullopt;
     if (!plain)
       return list_unusable(link, "a body that is no " + link.coding + " within the limits");
@@ -443,28 +443,28 @@
   hints::CmsdDynamic own;
   own.server = terms_.name;
   own.response_delay = (now_ - viewer.asked_at).count() / 1000;
-  own.max_suggested_bitrate = std::llround(rate_kb(playback, playback.hls->showing.shown()) * kbit_per_kb);
+  own.max_suggested_bitrate = std::llround(rate_kb(playback, playback.hls->showing.listed()) * kbit_per_kb);
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
                       {"Cache-Control", "no-store"},
                       {"Vary", "Accept-Encoding"},
                       {"Via", "1.1 " + terms_.name},
                       {"CMSD-Dynamic", hints::cmsd_entry(own)}};
-  const bool pack =
-      text.size() >= worth_packing && gzip::accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
+  const bool pack = text.size() >= worth_packing &&
+                    gzip::is_accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
   if (pack)
     fields.emplace_back("Content-Encoding", "gzip");
   if (viewer.wants == ViewerLink::Wants::lists) {
     // Read again there, it is known to be the same player; CMSD's mb tells when that is worth it.
     auto pass = viewer.pass;
-    pass.names = passes::Pass::Names::lists;
+    pass.scope = signed_url::Claims::Scope::multivariant;
     pass.plan = playback.plan;
     pass.title = playback.title;
     pass.sid = playback.sid;
     pass.box = list_.box(playback.server).name;
-    pass.place = viewer.place;
+    pass.path = viewer.place;
     fields.emplace_back("Content-Location", address(std::move(pass)));
   }
-  const auto body = pack ? gzip::packed(text) : text;
+  const auto body = pack ? gzip::compress(text) : text;
   viewer.box = 0;  // its link is free: what this viewer is slow to read must not hold another's
   send_to_viewer(viewer, http::head_text(200, fields, body.size(), !viewer.close_after) + body);
   done_with(viewer);
@@ -488,16 +488,16 @@
 std::string Manager::rendition_address(const ViewerLink& viewer, const Playback& playback, int rung,
                                        bool steady, bool flat, const std::string& place) {
   auto pass = viewer.pass;
-  pass.names = passes::Pass::Names::rendition;
-  pass.flat = flat;
-  pass.steady = steady;
+  pass.scope = signed_url::Claims::Scope::rendition;
+  pass.shared_directory = flat;
+  pass.off_ladder = steady;
   pass.plan = playback.plan;
   pass.rung = rung;
   pass.title = playback.title;
   pass.sid = playback.sid;
   if (pass.box.empty())
     pass.box = list_.box(playback.server).name;
-  pass.place = place;
+  pass.path = place;
   return address(std::move(pass));
 }
 
@@ -551,7 +551,7 @@
     if (directories[i + 1].first == directories[i].first)
       directories[i + 1].second->flat = true;
   }
-  const auto verdict = side.showing.handle(now_, hls::ListsAsked{});
+  const auto verdict = side.showing.handle(now_, hls::MultivariantRequested{});
   const auto range = std::get<hls::ListRungs>(verdict);
   const auto pathway =
       !lists.initial_pathway.empty() ? lists.initial_pathway : lists.variants.front().pathway;
@@ -590,9 +590,9 @@
   for (const auto& frames : lists.i_frames)
     shown.i_frames.push_back(frames.bandwidth <= widest && frames.pathway == pathway);
   side.variables = lists.variables;
-  if (viewer.pass.reader == 0)
-    viewer.pass.reader = std::exchange(side.next_reader, side.next_reader % 250 + 1);
-  side.readers[viewer.pass.reader].seen = now_;
+  if (viewer.pass.player == 0)
+    viewer.pass.player = std::exchange(side.next_reader, side.next_reader % 250 + 1);
+  side.readers[viewer.pass.player].seen = now_;
   // Given out now, whatever address the lists were read at.
   viewer.pass.expires = Span(0);
   viewer.pass.box.clear();
@@ -606,14 +606,14 @@
   };
   std::string own;
   if (terms_.hls.direct) {
-    passes::Pass pass;
-    pass.names = passes::Pass::Names::steering;
+    signed_url::Claims pass;
+    pass.scope = signed_url::Claims::Scope::steering;
     pass.plan = playback.plan;
-    pass.reader = viewer.pass.reader;
+    pass.player = viewer.pass.player;
     pass.title = playback.title;
     pass.sid = playback.sid;
     pass.box = list_.box(playback.server).name;
-    own = "#EXT-X-CONTENT-STEERING:SERVER-URI=\"" + std::string(pass_path) + keys_.write(wall(), pass) + "/" +
+    own = "#EXT-X-CONTENT-STEERING:SERVER-URI=\"" + std::string(pass_path) + keys_.sign(wall(), pass) + "/" +
           std::string(steering_name) + "\"\n";
   }
   return hls::write_multivariant_playlist(lists, shown, address_for, own);
@@ -695,26 +695,27 @@
     return "http://" + box.address + ":" + std::to_string(box.port) + place;
   const bool own_rung = viewer.wants == ViewerLink::Wants::media_list && rung == viewer.pass.rung;
   const auto directory = hls::directory_of(base);
-  if (own_rung && !viewer.pass.flat && place.starts_with(directory) && place.size() > directory.size())
+  if (own_rung && !viewer.pass.shared_directory && place.starts_with(directory) &&
+      place.size() > directory.size())
     return place.substr(directory.size());
   // Signed as the playlist's own address was: what is listed once is listed the same way each time.
   auto pass = viewer.pass;
-  pass.names = passes::Pass::Names::resource;
-  pass.steady = viewer.wants == ViewerLink::Wants::media_list && viewer.pass.steady;
-  pass.flat = false;
+  pass.scope = signed_url::Claims::Scope::resource;
+  pass.off_ladder = viewer.wants == ViewerLink::Wants::media_list && viewer.pass.off_ladder;
+  pass.shared_directory = false;
   pass.plan = playback.plan;
   pass.rung = rung;
   pass.title = playback.title;
   pass.sid = playback.sid;
-  pass.place = place;
+  pass.path = place;
   return address(pass);
 }
 
 // Signed as of now, or as the pass says that it was copied from.
-std::string Manager::address(passes::Pass pass) {
+std::string Manager::address(signed_url::Claims pass) {
   const Span at = pass.expires > Span(0) ? pass.expires - terms_.hls.passes.lifetime : wall();
-  const auto name = std::string(file_of(pass.place));
-  return std::string(pass_path) + keys_.write(at, std::move(pass)) + "/" + name;
+  const auto name = std::string(file_of(pass.path));
+  return std::string(pass_path) + keys_.sign(at, std::move(pass)) + "/" + name;
 }
 
 std::variant<std::string, hls::PlaylistError> Manager::media_text(const ViewerLink& viewer,
@@ -734,8 +735,8 @@
     if (const auto* none = std::get_if<hls::RewriteError>(&placed))
       return hls::error_at(media->text, uri.range.from, none->cause);
   }
-  auto& courses = side.readers[viewer.pass.reader].courses;
-  const auto known = courses.find(viewer.pass.place);
+  auto& courses = side.readers[viewer.pass.player].courses;
+  const auto known = courses.find(viewer.pass.path);
   hls::Window whole;
   const hls::Window* window = &whole;
   // What was whole from the beginning follows nothing that was shown.
@@ -744,13 +745,13 @@
         {media, 0, static_cast<std::uint32_t>(media->segments.size()), server, rung, false});
     whole.media_sequence = media->media_sequence;
     whole.discontinuity_sequence = media->discontinuity_sequence;
-    side.showing.handle(now_, hls::TargetIs{media->target_duration, false});
+    side.showing.handle(now_, hls::TargetDurationRead{media->target_duration, false});
   } else {
-    side.showing.handle(now_, hls::TargetIs{media->target_duration, true});
+    side.showing.handle(now_, hls::TargetDurationRead{media->target_duration, true});
     const auto beside = std::find_if(courses.begin(), courses.end(),
-                                     [&](const auto& other) { return other.first != viewer.pass.place; });
+                                     [&](const auto& other) { return other.first != viewer.pass.path; });
     const hls::Continuity* other = beside == courses.end() ? nullptr : &beside->second;
-    auto& course = courses[viewer.pass.place];
+    auto& course = courses[viewer.pass.path];
     const auto went = course.apply(now_, {media, server, rung}, other);
     window = &course.window();
     if (went.step == hls::ContinuityResult::Step::unchanged &&
@@ -769,28 +770,28 @@
       return media->text;
   }
   const auto base_of = [&](const hls::PlaylistSlice& piece) -> const std::string& {
-    if (piece.rung != viewer.pass.rung && !viewer.pass.steady) {
+    if (piece.rung != viewer.pass.rung && !viewer.pass.off_ladder) {
       if (const auto found = side.lists.find(piece.rung); found != side.lists.end())
         return found->second;
     }
-    return viewer.pass.place;
+    return viewer.pass.path;
   };
   // A rendition's own address for segments of another rung: one for all of a piece.
   std::map<int, std::string> others;
   hls::WriteOptions terms;
   terms.delta_update = viewer.delta;
   terms.is_relocated = [&](const hls::PlaylistSlice& piece) {
-    return terms_.hls.direct || viewer.pass.flat || piece.rung != viewer.pass.rung;
+    return terms_.hls.direct || viewer.pass.shared_directory || piece.rung != viewer.pass.rung;
   };
   terms.rewrite_uri = [&](const hls::PlaylistSlice& piece, std::string_view uri,
                           hls::Tag of) -> hls::RewrittenUri {
     const auto& base = base_of(piece);
     const auto flat = side.flat.find(piece.rung);
-    if (!terms_.hls.direct && !viewer.pass.flat && piece.rung != viewer.pass.rung &&
+    if (!terms_.hls.direct && !viewer.pass.shared_directory && piece.rung != viewer.pass.rung &&
         (flat == side.flat.end() || !flat->second) && hls::is_plain_file_name(uri)) {
       auto& prefix = others[piece.rung];
       if (prefix.empty()) {
-        prefix = rendition_address(viewer, playback, piece.rung, viewer.pass.steady, false, base);
+        prefix = rendition_address(viewer, playback, piece.rung, viewer.pass.off_ladder, false, base);
         prefix.resize(prefix.rfind('/') + 1);
       }
       return prefix + std::string(uri);
--- a/src/manager/inside.h
+++ b/src/manager/inside.h
@@ -10,7 +10,7 @@
   // What its request is for; all but `object` are HLS.
   enum class Wants { object, lists, media_list, segment, steering };
   Wants wants = Wants::object;
-  passes::Pass pass;
+  signed_url::Claims pass;
   bool pass_expired = false, delta = false, blocks = false;
   std::string place;  // at the box, of what is no plain object
   int fill_rung = 0;  // of the media playlist that fills the one asked for
@@ -55,12 +55,12 @@
 
 // What a playback has beyond that when players read it by playlists.
 struct Manager::HlsSide {
-  HlsSide(const hls::ShowTerms& terms, int floor) : showing(terms, floor) {}
+  HlsSide(const hls::RungPolicyOptions& terms, int floor) : showing(terms, floor) {}
   struct Reader {
     Span seen{0};
     std::map<std::string, hls::Continuity> courses;  // by the place of the media playlist
   };
-  hls::Showing showing;
+  hls::RungPolicy showing;
   std::string token;                 // shown last: a box lost needs no new one
   std::map<int, std::string> lists;  // by rung: where its media playlist is at a box
   std::map<int, bool> flat;
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -68,7 +68,7 @@
       demand_(terms_.demand_kept, terms_.demand_half_life),
       gate_(terms_.entitlement.gate),
       keys_(terms_.hls.passes) {
-  terms_.hls.show.silence = terms_.silence;
+  terms_.hls.show.idle_timeout = terms_.silence;
   chance_.seed(static_cast<std::minstd_rand::result_type>(seed % std::minstd_rand::modulus));
 }
 Manager::~Manager() = default;
@@ -176,7 +176,7 @@
         return;
       say("playback_over", {{"playback", said_id(bell.of)}, {"cause", std::string("silence")}});
       tell(TryEnded{bell.of, found->second->server, Outcome::served, true, {}});
-      part(*found->second, hls::Ending::silent);
+      part(*found->second, hls::EndReason::idle);
       return forget(bell.of);
     }
     case Ring::viewer_stuck:
@@ -305,7 +305,7 @@
   if (stopping_)
     return answer(viewer, 503, "this front is stopping\n", come_back_soon());
   const bool by_address =
-      viewer.wants > ViewerLink::Wants::lists || viewer.pass.names == passes::Pass::Names::lists;
+      viewer.wants > ViewerLink::Wants::lists || viewer.pass.scope == signed_url::Claims::Scope::multivariant;
   if (viewer.wants != ViewerLink::Wants::object && by_address && !adopt(viewer))
     return;
   auto& playback = admit(viewer);
@@ -591,7 +591,7 @@
   if (viewer.playback) {
     if (const auto found = playbacks_.find(*viewer.playback); found != playbacks_.end()) {
       const auto& of = *found->second;
-      const int rung = of.hls ? of.hls->showing.shown() : of.rung;
+      const int rung = of.hls ? of.hls->showing.listed() : of.rung;
       own.max_suggested_bitrate = std::llround(rate_kb(of, rung) * kbit_per_kb);
     }
   }
@@ -684,7 +684,7 @@
 // request is a new one.
 void Manager::lost(Playback& playback, Outcome outcome) {
   say("playback_lost", {{"playback", said_id(playback.id)}, {"box", list_.box(playback.server).name}});
-  part(playback, hls::Ending::lost);
+  part(playback, hls::EndReason::lost);
   tell(TryEnded{playback.id, playback.server, outcome, true, {}});
   forget(playback.id);
 }
@@ -694,7 +694,7 @@
   bells_.disarm(playback.silence);
   if (playback.objects_out > 0)
     return;
-  const Span silence = playback.hls ? playback.hls->showing.silence()
+  const Span silence = playback.hls ? playback.hls->showing.idle_timeout()
                                     : std::max(terms_.silence, playback.buffered + 2 * terms_.object_length);
   playback.silence = arm(silence, Ring::silence, playback.id);
 }
@@ -1377,7 +1377,7 @@
                                       {"to", std::int64_t{o.rung}}});
                    playback.rung = o.rung;
                    if (playback.hls)
-                     playback.hls->showing.handle(now_, hls::RungIs{o.rung});
+                     playback.hls->showing.handle(now_, hls::RungDecided{o.rung});
                  },
                  [this](const Reject& o) {
                    const auto found = playbacks_.find(o.playback);
@@ -1388,7 +1388,7 @@
                    const auto whole = (spread(o.come_back).count() + 999'999) / 1'000'000;
                    if (whole > 0)
                      more.emplace_back("Retry-After", std::to_string(whole));
-                   part(*found->second, hls::Ending::refused, o.come_back);
+                   part(*found->second, hls::EndReason::rejected, o.come_back);
                    if (found->second->recording)
                      demand_.turned_away(now_, *found->second->recording);
                    settle(*found->second, 503, "rejected: no box has room\n", more);
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -22,13 +22,13 @@
 #include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
 #include "hints/weighing/weighing.h"
-#include "hls/showing/showing.h"
+#include "hls/playback_policy/playback_policy.h"
 #include "hls/writer.h"
 #include "http/http.h"
 #include "manager/terms.h"
-#include "passes/passes.h"
 #include "peers/peers.h"
 #include "seams/seams.h"
+#include "signed_url/signed_url.h"
 #include "wheel/wheel.h"
 
 namespace violettide::manager {
@@ -156,7 +156,7 @@
   Read read_hls(ViewerLink& viewer);
   Read read_pass(ViewerLink& viewer, std::string_view path, std::string_view query);
   bool adopt(ViewerLink& viewer);
-  void part(Playback& playback, hls::Ending how, Span come_back = Span(0));
+  void part(Playback& playback, hls::EndReason how, Span come_back = Span(0));
   void hls_side(Playback& playback);
   std::string box_target(ViewerLink& viewer, Playback& playback, BoxLink& link);
   bool steer(ViewerLink& viewer, Playback& playback);
@@ -177,7 +177,7 @@
                                hls::Tag of);
   std::string rendition_address(const ViewerLink& viewer, const Playback& playback, int rung, bool steady,
                                 bool flat, const std::string& place);
-  std::string address(passes::Pass pass);
+  std::string address(signed_url::Claims pass);
   int rung_of(const Playback& playback, std::uint64_t bandwidth) const;
   void answer_list(ViewerLink& viewer, const Playback& playback, const std::string& text);
   Span wall() const { return terms_.wall_at_zero + now_; }
@@ -256,8 +256,8 @@
   std::map<entitlement::SeatKey, PlaybackId> by_seat_;
   std::set<PlaybackId> wait_for_keys_;
   bool seats_disk_failed_ = false;
-  passes::KeyRing keys_;
-  hls::Departures departures_;
+  signed_url::KeyRing keys_;
+  hls::EndedPlaybacks departures_;
   std::map<std::string, std::unique_ptr<HlsSide>>
       parted_;  // by key; what a player that comes back goes on from
   std::deque<std::string> parted_order_;
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -153,7 +153,7 @@
                                                          : "its token is past its time";
     say("seat_refused",
         {{"playback", said_id(playback->id)}, {"team", away->key.team}, {"cause", std::string(cause)}});
-    part(*playback, hls::Ending::refused, come_back);
+    part(*playback, hls::EndReason::rejected, come_back);
     settle(*playback, 503, std::string("rejected: ") + cause + "\n",
            {{"Retry-After", std::to_string((come_back.count() + 999'999) / 1'000'000)}});
   } else if (const auto* end = std::get_if<entitlement::EndPlayback>(&act)) {
@@ -166,7 +166,7 @@
                        {"cause", std::string(lapsed ? "its token's time" : "at another manager")}});
     if (playback->playing) {
       tell(TryEnded{id, playback->server, Outcome::served, true, {}});
-      part(*playback, hls::Ending::silent);
+      part(*playback, hls::EndReason::idle);
       return forget(id);
     }
     tell(Withdrawn{id});
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -10,11 +10,11 @@
 #include "catalogue/keeper.h"
 #include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
+#include "hls/playback_policy/playback_policy.h"
 #include "hls/playlist.h"
-#include "hls/showing/showing.h"
 #include "http/http.h"
-#include "passes/passes.h"
 #include "peers/peers.h"
+#include "signed_url/signed_url.h"
 
 namespace violettide::manager {
 
@@ -36,9 +36,9 @@
 
 // The second front: HLS. Without a secret there is none.
 struct HlsTerms {
-  passes::PassTerms passes;
-  bool direct = false;  // segments straight from the box; playlists by this front in any case
-  hls::ShowTerms show;  // `silence` is the front's own
+  signed_url::KeyRingOptions passes;
+  bool direct = false;          // segments straight from the box; playlists by this front in any case
+  hls::RungPolicyOptions show;  // `idle_timeout` is the front's own `silence`
   hls::PlaylistLimits playlists;
   int most_readers = 4;            // players that may share one session id
   std::size_t parted_kept = 4096;  // playbacks that are over, remembered for their old addresses
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -38,7 +38,7 @@
 }  // namespace
 
 std::string Peers::mac(std::string_view challenge, std::string_view body) const {
-  return signing::hmac(terms_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
+  return signing::hmac_sha256(terms_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
 }
 
 void Peers::send(Span now, PeerIndex to, std::uint32_t kind, std::string payload,
@@ -93,10 +93,10 @@
 void Peers::accepted(Span now, Link link, std::vector<Action>& actions) {
   auto& in = came_[link];
   // Never the same twice, nor to be told before: by the key, the time and a count.
-  in.challenge =
-      signing::hmac(terms_.key, "challenge " + terms_.all[terms_.own].name + std::to_string(now.count()) +
-                                    "." + std::to_string(link) + "." + std::to_string(++challenges_))
-          .substr(0, challenge_bytes);
+  in.challenge = signing::hmac_sha256(
+                     terms_.key, "challenge " + terms_.all[terms_.own].name + std::to_string(now.count()) +
+                                     "." + std::to_string(link) + "." + std::to_string(++challenges_))
+                     .substr(0, challenge_bytes);
   actions.push_back(Send{link, framed(in.challenge)});
 }
 
@@ -140,7 +140,7 @@
     if (!frame.ParseFromString(*bytes_of) || frame.mac().size() != mac_bytes)
       return refuse(link, "no frame" + whom, actions), heard;
     const auto own = mac(in.challenge, frame.body());
-    if (!signing::same(own, frame.mac()))
+    if (!signing::equal_constant_time(own, frame.mac()))
       return refuse(link, "a frame that is not signed with the hall's key" + whom, actions), heard;
     if (!body.ParseFromString(frame.body()))
       return refuse(link, "no body" + whom, actions), heard;
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -266,13 +266,13 @@
       }
       terms.direct = call.flag("direct");
       terms.passes.lifetime = call.span("lifetime");
-      terms.passes.period = call.span("period");
+      terms.passes.key_period = call.span("period");
       terms.most_readers = static_cast<int>(call.whole("players"));
       terms.playlists.bytes = static_cast<std::size_t>(call.whole("list_bytes"));
       terms.playlists.segments = static_cast<std::size_t>(call.whole("list_segments"));
       terms.lists_kept_bytes = static_cast<std::size_t>(call.whole("kept_bytes"));
-      terms.show.steady_targets = call.number("steady");
-      terms.show.grace_targets = call.number("grace");
+      terms.show.raise_delay_targets = call.number("steady");
+      terms.show.unlisted_grace_targets = call.number("grace");
     } else if (call.name == "entitlement") {
       auto& terms = front.entitlement;
       terms.on = true;
--- a/src/signing/signing.cpp
+++ b/src/signing/signing.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr std::string_view letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+constexpr std::string_view base64url_alphabet =
+    "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
 }  // namespace
 
-std::string hmac(std::string_view key, std::string_view bytes) {
+std::string hmac_sha256(std::string_view key, std::string_view bytes) {
   unsigned char out[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
   HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
@@ -22,11 +23,11 @@
   return {reinterpret_cast<const char*>(out), size};
 }
 
-bool same(std::string_view a, std::string_view b) {
+bool equal_constant_time(std::string_view a, std::string_view b) {
   return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::string base64url(std::string_view bytes) {
+std::string base64url_encode(std::string_view bytes) {
   std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
   const int size =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
@@ -39,9 +40,10 @@
   return text;
 }
 
-std::optional<std::string> from_base64url(std::string_view text) {
-  if (text.size() % 4 == 1 || !std::all_of(text.begin(), text.end(),
-                                           [](char c) { return letters.find(c) != std::string_view::npos; }))
+std::optional<std::string> base64url_decode(std::string_view text) {
+  if (text.size() % 4 == 1 || !std::all_of(text.begin(), text.end(), [](char c) {
+        return base64url_alphabet.find(c) != std::string_view::npos;
+      }))
     return std::nullopt;
   std::string padded(text);
   std::replace(padded.begin(), padded.end(), '-', '+');
@@ -54,8 +56,8 @@
                       static_cast<int>(padded.size())) < 0)
     return std::nullopt;
   bytes.resize(bytes.size() - padding);
-  // Guards against two texts for the same bytes: one pass has one name.
-  if (base64url(bytes) != text)
+  // Guards against two texts for the same bytes: each signed address has exactly one spelling.
+  if (base64url_encode(bytes) != text)
     return std::nullopt;
   return bytes;
 }
--- a/src/signing/signing.h
+++ b/src/signing/signing.h
@@ -1,4 +1,4 @@
-// What signed things share: HMAC-SHA256 by OpenSSL, and base64url (RFC 4648, 5) without padding.
+// Primitives for signatures: HMAC-SHA256 by OpenSSL, and base64url (RFC 4648, section 5) without padding.
 #pragma once
 
 #include <optional>
@@ -7,11 +7,13 @@
 
 namespace violettide::signing {
 
-std::string hmac(std::string_view key, std::string_view bytes);
-// Takes as long whatever differs, so that nobody learns a signature by trying.
-bool same(std::string_view a, std::string_view b);
-std::string base64url(std::string_view bytes);
-// One text for the same bytes: bits behind the last byte must be zero.
-std::optional<std::string> from_base64url(std::string_view text);
+// The 32 bytes of the HMAC.
+std::string hmac_sha256(std::string_view key, std::string_view bytes);
+// Compares in constant time, so that timing does not reveal a signature.
+bool equal_constant_time(std::string_view a, std::string_view b);
+// Encodes without padding.
+std::string base64url_encode(std::string_view bytes);
+// Accepts only the canonical text of the bytes: unused trailing bits must be zero.
+std::optional<std::string> base64url_decode(std::string_view text);
 
 }  // namespace violettide::signing
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -358,7 +358,7 @@
   const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
   if (!media || media->rung >= static_cast<int>(day_.deployment.front.site.rung_kb.size()))
     return answer(link, peer, 404, {}, "", actions);
-  peer.packs = gzip::accepted(http::joined(request.fields, "Accept-Encoding"));
+  peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
   const auto hints = hints::read_cmcd(request.fields, request.target).hints;
   const auto* trace = http::find(request.fields, "traceparent");
   peer.trace = trace && trace->size() >= 35 ? trace->substr(3, 32) : "";
@@ -469,7 +469,7 @@
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
                       {"CMSD-Dynamic", cmsd_of(peer.door)}};
   if (peer.packs && peer.door % 2 == 1) {
-    text = gzip::packed(text);
+    text = gzip::compress(text);
     fields.emplace_back("Content-Encoding", "gzip");
   }
   peer.busy = false;
--- a/src/standins/issuer.cpp
+++ b/src/standins/issuer.cpp
@@ -26,7 +26,7 @@
   std::string text(static_cast<std::size_t>(bytes), '\0');
   BN_bn2binpad(number, reinterpret_cast<unsigned char*>(text.data()), bytes);
   BN_free(number);
-  return signing::base64url(text);
+  return signing::base64url_encode(text);
 }
 
 }  // namespace
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -471,7 +471,7 @@
   viewer.ever_played = true;
   auto body = viewer.body;
   if (viewer.packed)
-    body = gzip::unpacked(body, 64 << 20).value_or("");
+    body = gzip::decompress(body, 64 << 20).value_or("");
   const bool segment = viewer.hls->took(seconds(now_), viewer.hls_ask, body);
   tell_wrongs(viewer);
   if (segment) {
--- a/tests/program/gate_test.cpp
+++ b/tests/program/gate_test.cpp
@@ -63,7 +63,7 @@
 TEST_F(Gated, EveryBadTokenIsRefusedWithItsCause) {
   const auto good = issuer.token(says());
   const auto parts = [&](const std::string& header, const std::string& claims, const std::string& signature) {
-    return signing::base64url(header) + "." + signing::base64url(claims) + "." + signature;
+    return signing::base64url_encode(header) + "." + signing::base64url_encode(claims) + "." + signature;
   };
   const auto signature = good.substr(good.rfind('.') + 1);
   EXPECT_EQ(fault(""), "malformed");
@@ -85,8 +85,8 @@
   EXPECT_EQ(fault(issuer.forged(says())), "its signature does not fit");
   auto other = says();
   other.seats = 100;
-  EXPECT_EQ(fault(good.substr(0, good.find('.')) + "." + signing::base64url(issuer.claims(other)) + "." +
-                  signature),
+  EXPECT_EQ(fault(good.substr(0, good.find('.')) + "." + signing::base64url_encode(issuer.claims(other)) +
+                  "." + signature),
             "its signature does not fit");
   for (std::size_t i = good.find('.') + 2; i < good.size(); i += 7) {
     auto changed = good;
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -270,7 +270,7 @@
   net.run(net.now() + 100ms);
   for (int i = 0; i < 3; ++i)
     endless += "2710\r\n" + std::string(10'000, '#') + "\r\n";
-  const auto bomb = gzip::packed(std::string(1 << 20, '#'));
+  const auto bomb = gzip::compress(std::string(1 << 20, '#'));
   const std::vector<std::string> bad{
       "not a playlist",
       "#EXTM3U\n",
@@ -502,7 +502,7 @@
 
 TEST_F(Front, ExpiredAddressesKeepWhatPlaysAndBringNothingBack) {
   terms.hls.passes.lifetime = 10s;
-  terms.hls.passes.skew = 0s;
+  terms.hls.passes.clock_skew = 0s;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -567,7 +567,7 @@
 
 TEST_F(Front, PackedListsAndAHugeOne) {
   const auto text = recorded(20'000);
-  const auto packed = gzip::packed(text);
+  const auto packed = gzip::compress(text);
   put("/a/t/index.m3u8", master());
   put("/a/t/r0/index.m3u8", "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: " +
                                 std::to_string(packed.size()) + "\r\n\r\n" + packed);
@@ -577,7 +577,7 @@
   const auto made = get(media, "Accept-Encoding: br, gzip\r\n");
   EXPECT_NE(made.head.find("Content-Encoding: gzip"), std::string::npos)
       << made.status << made.head << made.body.size();
-  EXPECT_TRUE(gzip::unpacked(made.body, 1 << 24) == text);
+  EXPECT_TRUE(gzip::decompress(made.body, 1 << 24) == text);
   EXPECT_GT(front->held().lists_bytes, text.size()) << "read once, kept for the next who asks";
 }
 
