--- a/src/entitlement/tokens/tokens.cpp
+++ b/src/entitlement/tokens/tokens.cpp
@@ -42,7 +42,7 @@
 std::optional<std::string> decode_octets(const json& key, const char* name) {
   if (!key.contains(name) || !key[name].is_string())
     return std::nullopt;
-  return signing::from_base64url(key[name].get<std::string>());
+  return signing::base64url_decode(key[name].get<std::string>());
 }
 
 std::string public_key_pem(const char* type, OSSL_PARAM* parameters) {
@@ -210,7 +210,7 @@
 std::variant<UnverifiedHeader, TokenError> read_unverified_header(std::string_view token) {
   if (token.empty() || token.size() > max_token_bytes || std::count(token.begin(), token.end(), '.') != 2)
     return TokenError::malformed;
-  const auto header = signing::from_base64url(token.substr(0, token.find('.')));
+  const auto header = signing::base64url_decode(token.substr(0, token.find('.')));
   if (!header)
     return TokenError::malformed;
   const auto fields = json::parse(*header, nullptr, false);
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -118,15 +118,15 @@
   const auto slash = path.find('/');
   if (slash == std::string_view::npos)
     return refused(404, "no address of this front");
-  auto read = keys_.read(wall(), path.substr(0, slash));
+  auto read = keys_.verify(wall(), path.substr(0, slash));
   viewer.pass_expired = false;
-  if (auto* no = std::get_if<passes::Refused>(&read)) {
-    if (no->why != passes::Refusal::expired)
+  if (auto* no = std::get_if<signed_url::InvalidToken>(&read)) {
+    if (no->error != signed_url::TokenError::expired)
       return refused(403, "this address was not given out by this service");
     viewer.pass_expired = true;
-    viewer.pass = std::move(*no->pass);
+    viewer.pass = std::move(*no->claims);
   } else {
-    viewer.pass = std::move(std::get<passes::Pass>(read));
+    viewer.pass = std::move(std::get<signed_url::Claims>(read));
   }
   const auto& pass = viewer.pass;
   // Guards against a pass of other settings: the numbers in it are places in these.
@@ -136,32 +136,32 @@
   const auto tail = path.substr(slash + 1);
   viewer.path = {pass.plan, pass.title, pass.rung, std::string(tail)};
   viewer.hints.hints.session_id = pass.sid;
-  if (pass.names == passes::Pass::Names::steering) {
+  if (pass.scope == signed_url::Claims::Scope::steering) {
     viewer.wants = ViewerLink::Wants::steering;
     if (const auto told = argument(query, "_HLS_throughput")) {
       // Bits a second, as the steering server is told (draft, 7.1).
-      if (const auto bits = hls::read_whole(*told))
+      if (const auto bits = hls::parse_integer(*told))
         viewer.hints.hints.measured_throughput =
             static_cast<std::int64_t>(std::min<std::uint64_t>(*bits, 1ull << 50) / 1000);
     }
     return Read::taken;
   }
-  if (pass.names == passes::Pass::Names::lists) {
+  if (pass.scope == signed_url::Claims::Scope::multivariant) {
     viewer.wants = ViewerLink::Wants::lists;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     return Read::taken;
   }
-  if (pass.names == passes::Pass::Names::resource) {
+  if (pass.scope == signed_url::Claims::Scope::resource) {
     viewer.wants = ViewerLink::Wants::segment;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     return Read::taken;
   }
-  if (tail == file_of(pass.place)) {
+  if (tail == file_of(pass.path)) {
     viewer.wants = ViewerLink::Wants::media_list;
-    viewer.place = pass.place;
+    viewer.place = pass.path;
     viewer.delta = argument(query, "_HLS_skip").has_value();
     if (const auto number = argument(query, "_HLS_msn")) {
-      const auto asked = hls::read_whole(*number);
+      const auto asked = hls::parse_integer(*number);
       if (!asked)
         return refused(400, "_HLS_msn takes a media sequence number");
       viewer.blocks = true;
@@ -170,25 +170,25 @@
       const auto known = by_key_.find(key_of(pass.plan, pass.title, "s" + pass.sid));
       if (known != by_key_.end() && playbacks_.at(known->second)->hls) {
         auto& readers = playbacks_.at(known->second)->hls->readers;
-        if (const auto reader = readers.find(pass.reader); reader != readers.end()) {
-          if (const auto course = reader->second.courses.find(pass.place);
+        if (const auto reader = readers.find(pass.player); reader != readers.end()) {
+          if (const auto course = reader->second.courses.find(pass.path);
               course != reader->second.courses.end())
-            there = course->second.at_box(there);
+            there = course->second.server_sequence(there);
         }
       }
       std::string directives = "_HLS_msn=" + std::to_string(there);
-      if (const auto part = argument(query, "_HLS_part"); part && hls::read_whole(*part))
+      if (const auto part = argument(query, "_HLS_part"); part && hls::parse_integer(*part))
         directives += "&_HLS_part=" + std::string(*part);
       viewer.place = more(viewer.place, directives);
     }
     return Read::taken;
   }
   // Something in the rendition's directory; a name that leads out of it has another's address, or none.
-  if (pass.flat)
+  if (pass.shared_directory)
     return refused(403, "this address is not of that segment");
-  const auto directory = hls::directory_of(pass.place);
+  const auto directory = hls::directory_of(pass.path);
   const auto resolved = hls::resolve(directory, tail);
-  const auto* place = std::get_if<hls::Target>(&resolved);
+  const auto* place = std::get_if<hls::SameServerUri>(&resolved);
   if (!place || !place->text.starts_with(directory) || place->text.size() == directory.size())
     return refused(403, "this address is not of that segment");
   viewer.wants = ViewerLink::Wants::segment;
@@ -204,29 +204,29 @@
   if (by_key_.contains(key))
     return true;
   const auto& plan = terms_.site.plans[pass.plan];
-  hls::Orphan orphan;
-  using Asks = hls::Orphan::Asks;
-  orphan.asks = viewer.wants == ViewerLink::Wants::steering     ? Asks::steering
-                : viewer.wants == ViewerLink::Wants::media_list ? Asks::media_playlist
-                                                                : Asks::segment;
+  hls::OrphanedRequest orphan;
+  using Resource = hls::OrphanedRequest::Resource;
+  orphan.resource = viewer.wants == ViewerLink::Wants::steering     ? Resource::steering
+                    : viewer.wants == ViewerLink::Wants::media_list ? Resource::media_playlist
+                                                                    : Resource::segment;
   orphan.expired = viewer.pass_expired;
   orphan.paid_at_setup = plan.pay_at_setup;
   orphan.counted_seats = plan.seats > 0 || ledger_ != nullptr;
-  orphan.departed = departures_.find(now_, key);
+  orphan.ended = departures_.find(now_, key);
   const auto server = list_.find(pass.box);
-  orphan.box_ready = server && list_.box(*server).state == ServerState::ready;
-  const auto verdict = hls::judge(now_, orphan);
-  if (const auto* over = std::get_if<hls::Over>(&verdict)) {
+  orphan.server_ready = server && list_.box(*server).state == ServerState::ready;
+  const auto verdict = hls::judge_orphaned_request(now_, orphan);
+  if (const auto* over = std::get_if<hls::Gone>(&verdict)) {
     say("address_orphaned", {{"sid", pass.sid}, {"cause", over->cause}});
     answer(viewer, 410, over->cause + "\n");
     return false;
   }
-  if (const auto* later = std::get_if<hls::ComeBack>(&verdict)) {
-    const auto whole = std::max<std::int64_t>(1, (later->in.count() + 999'999) / 1'000'000);
+  if (const auto* later = std::get_if<hls::RetryLater>(&verdict)) {
+    const auto whole = std::max<std::int64_t>(1, (later->after.count() + 999'999) / 1'000'000);
     answer(viewer, 503, "rejected: no box has room\n", {{"Retry-After", std::to_string(whole)}});
     return false;
   }
-  if (std::holds_alternative<hls::BeginAnew>(verdict))
+  if (std::holds_alternative<hls::StartAnew>(verdict))
     return true;
   auto& playback = admit(viewer);
   playback.asked_at = now_;
@@ -240,7 +240,7 @@
   playback.server = *server;
   // What its address says it was shown, until the module says otherwise.
   playback.rung = std::max(plan.floor, pass.rung);
-  playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
+  playback.hls->showing.handle(now_, hls::RungDecided{playback.rung});
   if (playback.recording) {
     if (auto asking = asking_.find(*playback.recording); asking != asking_.end())
       asking->second.erase(playback.id);
@@ -267,14 +267,14 @@
   }
   // Before it plays the module's word is still to come.
   if (playback.playing)
-    playback.hls->showing.handle(now_, hls::RungIs{playback.rung});
+    playback.hls->showing.handle(now_, hls::RungDecided{playback.rung});
 }
 
 // The playback is over here, but its player may not know: its numbers and its address are remembered.
-void Manager::part(Playback& playback, hls::Ending how, Duration come_back) {
+void Manager::part(Playback& playback, hls::EndReason how, Duration come_back) {
   if (!playback.hls)
     return;
-  departures_.note(now_, playback.key, how, come_back);
+  departures_.record(now_, playback.key, how, come_back);
   if (!playback.token.empty())
     playback.hls->token = playback.token;
   while (parted_order_.size() >= terms_.hls.parted_kept) {
@@ -291,7 +291,7 @@
 std::string Manager::box_target(ViewerLink& viewer, Playback& playback, BoxLink& link) {
   using Wants = ViewerLink::Wants;
   link.collects = viewer.wants == Wants::lists || viewer.wants == Wants::media_list;
-  link.off_ladder = link.collects || (viewer.wants == Wants::segment && viewer.pass.steady);
+  link.off_ladder = link.collects || (viewer.wants == Wants::segment && viewer.pass.off_ladder);
   if (viewer.wants == Wants::object) {
     link.rung = rung_for(playback, viewer.path.rung);
     return path_text(terms_, viewer.path, link.rung);
@@ -299,9 +299,9 @@
   link.rung = viewer.wants == Wants::segment ? viewer.pass.rung : playback.rung;
   if (viewer.wants == Wants::media_list) {
     viewer.fill_rung = viewer.pass.rung;
-    if (!viewer.pass.steady && playback.hls) {
-      const auto verdict = playback.hls->showing.handle(now_, hls::MediaAsked{viewer.pass.rung});
-      const int rung = std::get<hls::FillFrom>(verdict).rung;
+    if (!viewer.pass.off_ladder && playback.hls) {
+      const auto verdict = playback.hls->showing.handle(now_, hls::MediaPlaylistRequested{viewer.pass.rung});
+      const int rung = std::get<hls::UseRung>(verdict).rung;
       if (const auto found = playback.hls->lists.find(rung);
           rung != viewer.pass.rung && found != playback.hls->lists.end()) {
         viewer.fill_rung = rung;
@@ -309,7 +309,7 @@
         return found->second;
       }
     }
-    link.target = viewer.pass.place;
+    link.target = viewer.pass.path;
     return viewer.place;
   }
   link.target = viewer.place;
@@ -323,9 +323,9 @@
   auto& readers = side.readers;
   const auto told = viewer.hints.hints.buffer_length;
   const Duration buffer = std::chrono::milliseconds(std::clamp<std::int64_t>(told.value_or(0), 0, 600'000));
-  if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.reader)) {
+  if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.player)) {
     std::erase_if(readers,
-                  [&](const auto& entry) { return now_ - entry.second.seen > side.showing.silence(); });
+                  [&](const auto& entry) { return now_ - entry.second.seen > side.showing.idle_timeout(); });
     // Guards against one session id, and its one seat, being shared by players without end.
     if (readers.size() >= static_cast<std::size_t>(terms_.hls.most_readers)) {
       say("readers_too_many", {{"playback", said_id(playback.id)}});
@@ -337,28 +337,28 @@
   }
   if (viewer.wants == Wants::lists)
     return true;
-  if (!readers.contains(viewer.pass.reader) &&
+  if (!readers.contains(viewer.pass.player) &&
       readers.size() >= 2 * static_cast<std::size_t>(terms_.hls.most_readers)) {
     readers.erase(std::min_element(readers.begin(), readers.end(),
                                    [](auto& a, auto& b) { return a.second.seen < b.second.seen; }));
   }
-  readers[viewer.pass.reader].seen = now_;
-  side.next_reader = std::max(side.next_reader, viewer.pass.reader % 250 + 1);
+  readers[viewer.pass.player].seen = now_;
+  side.next_reader = std::max(side.next_reader, viewer.pass.player % 250 + 1);
   if (viewer.wants == Wants::steering) {
     viewer.playback.reset();
     rest(playback);
     const nlohmann::ordered_json manifest{
         {"VERSION", 1},
-        {"TTL", std::max<std::int64_t>(1, side.showing.silence().count() / 1'000'000 / steering_asks)},
+        {"TTL", std::max<std::int64_t>(1, side.showing.idle_timeout().count() / 1'000'000 / steering_asks)},
         {"PATHWAY-PRIORITY", {"."}}};
     answer(viewer, 200, manifest.dump() + "\n",
            {{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}});
     return false;
   }
-  if (viewer.wants != Wants::segment || viewer.pass.steady)
+  if (viewer.wants != Wants::segment || viewer.pass.off_ladder)
     return true;
-  const auto verdict = side.showing.handle(now_, hls::SegmentAsked{viewer.pass.rung, buffer});
-  const auto* high = std::get_if<hls::TooHigh>(&verdict);
+  const auto verdict = side.showing.handle(now_, hls::SegmentRequested{viewer.pass.rung, buffer});
+  const auto* high = std::get_if<hls::RungTooHigh>(&verdict);
   if (!high)
     return true;
   say("segment_too_high", {{"playback", said_id(playback.id)},
@@ -406,7 +406,7 @@
   link.body.clear();
   if (!link.coding.empty() && link.coding != "identity") {
     auto plain = link.coding == "gzip" || link.coding == "x-gzip"
-                     ? gzip::unpacked(text, terms_.hls.playlists.bytes)
+                     ? gzip::decompress(text, terms_.hls.playlists.bytes)
                      : std::nullopt;
     if (!plain)
       return list_unusable(link, "a body that is no " + link.coding + " within the limits");
@@ -419,14 +419,14 @@
   // The viewer it was asked for; if it left meanwhile, the playlist proves the set-up all the same.
   const auto first = viewers_.find(link.viewer);
   auto* viewer = first == viewers_.end() ? nullptr : first->second.get();
-  std::variant<std::string, hls::Fault> made;
+  std::variant<std::string, hls::PlaylistError> made;
   if (!viewer)
     made = std::string();
   else if (viewer->wants == ViewerLink::Wants::lists)
     made = lists_text(*viewer, playback, link.target, std::move(text));
   else
     made = media_text(*viewer, playback, link.server, link.target, std::move(text));
-  if (const auto* fault = std::get_if<hls::Fault>(&made))
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&made))
     return list_unusable(link, fault->text());
   if (link.use == Use::set_up)
     try_ran(link, nullptr);
@@ -443,28 +443,28 @@
   hints::CmsdDynamic own;
   own.server = terms_.name;
   own.response_delay = (now_ - viewer.asked_at).count() / 1000;
-  own.max_suggested_bitrate = std::llround(rate_kb(playback, playback.hls->showing.shown()) * kbit_per_kb);
+  own.max_suggested_bitrate = std::llround(rate_kb(playback, playback.hls->showing.listed()) * kbit_per_kb);
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
                       {"Cache-Control", "no-store"},
                       {"Vary", "Accept-Encoding"},
                       {"Via", "1.1 " + terms_.name},
                       {"CMSD-Dynamic", hints::cmsd_entry(own)}};
-  const bool pack =
-      text.size() >= worth_packing && gzip::accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
+  const bool pack = text.size() >= worth_packing &&
+                    gzip::is_accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
   if (pack)
     fields.emplace_back("Content-Encoding", "gzip");
   if (viewer.wants == ViewerLink::Wants::lists) {
     // Read again there, it is known to be the same player; CMSD's mb tells when that is worth it.
     auto pass = viewer.pass;
-    pass.names = passes::Pass::Names::lists;
+    pass.scope = signed_url::Claims::Scope::multivariant;
     pass.plan = playback.plan;
     pass.title = playback.title;
     pass.sid = playback.sid;
     pass.box = list_.box(playback.server).name;
-    pass.place = viewer.place;
+    pass.path = viewer.place;
     fields.emplace_back("Content-Location", address(std::move(pass)));
   }
-  const auto body = pack ? gzip::packed(text) : text;
+  const auto body = pack ? gzip::compress(text) : text;
   viewer.box = 0;  // its link is free: what this viewer is slow to read must not hold another's
   send_to_viewer(viewer, http::head_text(200, fields, body.size(), !viewer.close_after) + body);
   done_with(viewer);
@@ -488,55 +488,56 @@
 std::string Manager::rendition_address(const ViewerLink& viewer, const Playback& playback, int rung,
                                        bool steady, bool flat, const std::string& place) {
   auto pass = viewer.pass;
-  pass.names = passes::Pass::Names::rendition;
-  pass.flat = flat;
-  pass.steady = steady;
+  pass.scope = signed_url::Claims::Scope::rendition;
+  pass.shared_directory = flat;
+  pass.off_ladder = steady;
   pass.plan = playback.plan;
   pass.rung = rung;
   pass.title = playback.title;
   pass.sid = playback.sid;
   if (pass.box.empty())
     pass.box = list_.box(playback.server).name;
-  pass.place = place;
+  pass.path = place;
   return address(std::move(pass));
 }
 
-std::variant<std::string, hls::Fault> Manager::lists_text(ViewerLink& viewer, Playback& playback,
-                                                          const std::string& target, std::string text) {
+std::variant<std::string, hls::PlaylistError> Manager::lists_text(ViewerLink& viewer, Playback& playback,
+                                                                  const std::string& target,
+                                                                  std::string text) {
   auto& side = *playback.hls;
-  auto read = hls::read_multivariant(std::move(text), terms_.hls.playlists, with_query({}, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read))
+  auto read = hls::parse_multivariant_playlist(std::move(text), terms_.hls.playlists, with_query({}, target));
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&read))
     return *fault;
-  const auto& lists = std::get<hls::Multivariant>(read);
+  const auto& lists = std::get<hls::MultivariantPlaylist>(read);
   // Where each playlist lies; those whose directory holds another's give no right to all that is in it.
   struct Placed {
     std::string place;
     bool flat = false;
   };
   std::map<std::string, Placed, std::less<>> places;  // by URI as written
-  const auto place_of = [&](std::string_view uri) -> std::optional<hls::Fault> {
+  const auto place_of = [&](std::string_view uri) -> std::optional<hls::PlaylistError> {
     if (places.contains(uri))
       return std::nullopt;
-    const auto plain = hls::substituted(uri, lists.variables);
-    const auto resolved = plain ? hls::resolve(target, *plain) : hls::Unreadable{};
-    const auto* at = std::get_if<hls::Target>(&resolved);
+    const auto plain = hls::substitute_variables(uri, lists.variables);
+    const auto resolved = plain ? hls::resolve(target, *plain) : hls::InvalidUri{};
+    const auto* at = std::get_if<hls::SameServerUri>(&resolved);
     if (!at)
-      return hls::Fault{0, "a rendition that is not at this box: " + std::string(uri)};
+      return hls::PlaylistError{0, "a rendition that is not at this box: " + std::string(uri)};
     places[std::string(uri)] = {at->text, false};
     return std::nullopt;
   };
   for (const auto& variant : lists.variants) {
-    if (auto fault = place_of(variant.uri.of(lists.text)))
+    if (auto fault = place_of(variant.uri.view_in(lists.text)))
       return *fault;
   }
   for (const auto& rendition : lists.renditions) {
     if (rendition.uri.from == rendition.uri.to)
       continue;
-    if (auto fault = place_of(rendition.uri.of(lists.text)))
+    if (auto fault = place_of(rendition.uri.view_in(lists.text)))
       return *fault;
   }
   for (const auto& frames : lists.i_frames) {
-    if (auto fault = place_of(frames.uri.of(lists.text)))
+    if (auto fault = place_of(frames.uri.view_in(lists.text)))
       return *fault;
   }
   std::vector<std::pair<std::string, Placed*>> directories;
@@ -550,14 +551,16 @@
     if (directories[i + 1].first == directories[i].first)
       directories[i + 1].second->flat = true;
   }
-  const auto verdict = side.showing.handle(now_, hls::ListsAsked{});
+  const auto verdict = side.showing.handle(now_, hls::MultivariantRequested{});
   const auto range = std::get<hls::ListRungs>(verdict);
-  const auto pathway = !lists.first_pathway.empty() ? lists.first_pathway : lists.variants.front().pathway;
+  const auto pathway =
+      !lists.initial_pathway.empty() ? lists.initial_pathway : lists.variants.front().pathway;
   std::vector<int> rungs;
   int above = -1;  // where the box has none that may be shown: the least above the floor
   bool some = false;
   for (const auto& variant : lists.variants) {
-    const int rung = rung_of(playback, variant.average ? variant.average : variant.bandwidth);
+    const int rung =
+        rung_of(playback, variant.average_bandwidth ? variant.average_bandwidth : variant.bandwidth);
     rungs.push_back(rung);
     if (variant.pathway != pathway)
       continue;
@@ -566,15 +569,15 @@
       above = rung;
   }
   if (!some && above < 0)
-    return hls::Fault{0, "no variant that the plan may play"};
+    return hls::PlaylistError{0, "no variant that the plan may play"};
   const int low = range.low, high = some ? range.high : above;
-  hls::Shown shown;
+  hls::VariantSelection shown;
   std::uint64_t widest = 0;
   side.lists.clear();
   side.flat.clear();
   for (std::size_t i = 0; i < lists.variants.size(); ++i) {
     const auto& variant = lists.variants[i];
-    const auto& placed = places.find(variant.uri.of(lists.text))->second;
+    const auto& placed = places.find(variant.uri.view_in(lists.text))->second;
     const bool show = rungs[i] >= low && rungs[i] <= high && variant.pathway == pathway;
     shown.variants.push_back(show);
     if (show)
@@ -587,13 +590,13 @@
   for (const auto& frames : lists.i_frames)
     shown.i_frames.push_back(frames.bandwidth <= widest && frames.pathway == pathway);
   side.variables = lists.variables;
-  if (viewer.pass.reader == 0)
-    viewer.pass.reader = std::exchange(side.next_reader, side.next_reader % 250 + 1);
-  side.readers[viewer.pass.reader].seen = now_;
+  if (viewer.pass.player == 0)
+    viewer.pass.player = std::exchange(side.next_reader, side.next_reader % 250 + 1);
+  side.readers[viewer.pass.player].seen = now_;
   // Given out now, whatever address the lists were read at.
   viewer.pass.expires = Duration(0);
   viewer.pass.box.clear();
-  const auto address_for = [&](std::string_view uri, hls::Tag of, std::size_t index) -> hls::Address {
+  const auto address_for = [&](std::string_view uri, hls::Tag of, std::size_t index) -> hls::RewrittenUri {
     if (of == hls::Tag::session_data || of == hls::Tag::session_key)
       return address_of(viewer, playback, playback.server, 0, target, lists.variables, uri, of);
     const auto& placed = places.find(uri)->second;
@@ -603,23 +606,23 @@
   };
   std::string own;
   if (terms_.hls.direct) {
-    passes::Pass pass;
-    pass.names = passes::Pass::Names::steering;
+    signed_url::Claims pass;
+    pass.scope = signed_url::Claims::Scope::steering;
     pass.plan = playback.plan;
-    pass.reader = viewer.pass.reader;
+    pass.player = viewer.pass.player;
     pass.title = playback.title;
     pass.sid = playback.sid;
     pass.box = list_.box(playback.server).name;
-    own = "#EXT-X-CONTENT-STEERING:SERVER-URI=\"" + std::string(pass_path) + keys_.write(wall(), pass) + "/" +
+    own = "#EXT-X-CONTENT-STEERING:SERVER-URI=\"" + std::string(pass_path) + keys_.sign(wall(), pass) + "/" +
           std::string(steering_name) + "\"\n";
   }
-  return hls::write_multivariant(lists, shown, address_for, own);
+  return hls::write_multivariant_playlist(lists, shown, address_for, own);
 }
 
 // ---- media playlists ----
 
 // As the box had it, read once for all who ask: what has not changed since is not read again.
-std::variant<std::shared_ptr<const hls::Media>, hls::Fault> Manager::read_list(
+std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> Manager::read_list(
     ServerId server, const std::string& target, std::string text, const hls::Variables& variables) {
   const std::pair at(server, target);
   auto& kept = lists_read_[at];
@@ -633,18 +636,18 @@
     used();
     return kept.media;
   }
-  auto read = hls::read_media(std::move(text), terms_.hls.playlists, variables, kept.media.get());
-  if (auto* fault = std::get_if<hls::Fault>(&read)) {
+  auto read = hls::parse_media_playlist(std::move(text), terms_.hls.playlists, variables, kept.media.get());
+  if (auto* fault = std::get_if<hls::PlaylistError>(&read)) {
     if (!kept.media)
       lists_read_.erase(at);
     return *fault;
   }
-  const auto weight = [](const hls::Media& media) {
+  const auto weight = [](const hls::MediaPlaylist& media) {
     return media.text.size() + media.segments.size() * sizeof(hls::Segment);
   };
   if (kept.media)
     lists_bytes_ -= weight(*kept.media);
-  kept.media = std::make_shared<const hls::Media>(std::get<hls::Media>(std::move(read)));
+  kept.media = std::make_shared<const hls::MediaPlaylist>(std::get<hls::MediaPlaylist>(std::move(read)));
   lists_bytes_ += weight(*kept.media);
   auto media = kept.media;
   used();
@@ -659,30 +662,30 @@
 }
 
 // Where at the box a URI of its playlist leads; nothing: to another service, whose it stays.
-hls::Address Manager::place_at(const hls::Variables& variables, ServerId server, const std::string& base,
-                               std::string_view uri, hls::Tag of) const {
+hls::RewrittenUri Manager::place_at(const hls::Variables& variables, ServerId server, const std::string& base,
+                                    std::string_view uri, hls::Tag of) const {
   const auto& box = list_.box(server);
-  const auto plain = hls::substituted(uri, variables);
+  const auto plain = hls::substitute_variables(uri, variables);
   if (!plain)
-    return hls::NoAddress{"a variable without a value"};
+    return hls::RewriteError{"a variable without a value"};
   const auto resolved = hls::resolve(base, *plain);
-  if (const auto* target = std::get_if<hls::Target>(&resolved))
+  if (const auto* target = std::get_if<hls::SameServerUri>(&resolved))
     return target->text;
-  const auto* other = std::get_if<hls::Elsewhere>(&resolved);
+  const auto* other = std::get_if<hls::ExternalUri>(&resolved);
   if (!other)
-    return hls::NoAddress{"an address that can't be read"};
+    return hls::RewriteError{"an address that can't be read"};
   // Keys and data of other services are theirs to give; media that lead away from the box are not.
   if (other->scheme == "http" && other->authority == box.address + ":" + std::to_string(box.port))
     return other->target;
   if (of == hls::Tag::key || of == hls::Tag::session_key || of == hls::Tag::session_data ||
       other->scheme == "data")
     return {};
-  return hls::NoAddress{"an address that leads away from the box"};
+  return hls::RewriteError{"an address that leads away from the box"};
 }
 
-hls::Address Manager::address_of(const ViewerLink& viewer, const Playback& playback, ServerId server,
-                                 int rung, const std::string& base, const hls::Variables& variables,
-                                 std::string_view uri, hls::Tag of) {
+hls::RewrittenUri Manager::address_of(const ViewerLink& viewer, const Playback& playback, ServerId server,
+                                      int rung, const std::string& base, const hls::Variables& variables,
+                                      std::string_view uri, hls::Tag of) {
   const auto& box = list_.box(server);
   auto placed = place_at(variables, server, base, uri, of);
   if (!std::holds_alternative<std::string>(placed))
@@ -692,105 +695,110 @@
     return "http://" + box.address + ":" + std::to_string(box.port) + place;
   const bool own_rung = viewer.wants == ViewerLink::Wants::media_list && rung == viewer.pass.rung;
   const auto directory = hls::directory_of(base);
-  if (own_rung && !viewer.pass.flat && place.starts_with(directory) && place.size() > directory.size())
+  if (own_rung && !viewer.pass.shared_directory && place.starts_with(directory) &&
+      place.size() > directory.size())
     return place.substr(directory.size());
   // Signed as the playlist's own address was: what is listed once is listed the same way each time.
   auto pass = viewer.pass;
-  pass.names = passes::Pass::Names::resource;
-  pass.steady = viewer.wants == ViewerLink::Wants::media_list && viewer.pass.steady;
-  pass.flat = false;
+  pass.scope = signed_url::Claims::Scope::resource;
+  pass.off_ladder = viewer.wants == ViewerLink::Wants::media_list && viewer.pass.off_ladder;
+  pass.shared_directory = false;
   pass.plan = playback.plan;
   pass.rung = rung;
   pass.title = playback.title;
   pass.sid = playback.sid;
-  pass.place = place;
+  pass.path = place;
   return address(pass);
 }
 
 // Signed as of now, or as the pass says that it was copied from.
-std::string Manager::address(passes::Pass pass) {
+std::string Manager::address(signed_url::Claims pass) {
   const Duration at = pass.expires > Duration(0) ? pass.expires - terms_.hls.passes.lifetime : wall();
-  const auto name = std::string(file_of(pass.place));
-  return std::string(pass_path) + keys_.write(at, std::move(pass)) + "/" + name;
+  const auto name = std::string(file_of(pass.path));
+  return std::string(pass_path) + keys_.sign(at, std::move(pass)) + "/" + name;
 }
 
-std::variant<std::string, hls::Fault> Manager::media_text(const ViewerLink& viewer, Playback& playback,
-                                                          ServerId server, const std::string& target,
-                                                          std::string text) {
+std::variant<std::string, hls::PlaylistError> Manager::media_text(const ViewerLink& viewer,
+                                                                  Playback& playback, ServerId server,
+                                                                  const std::string& target,
+                                                                  std::string text) {
   auto& side = *playback.hls;
   auto read = read_list(server, target, std::move(text), with_query(side.variables, target));
-  if (const auto* fault = std::get_if<hls::Fault>(&read))
+  if (const auto* fault = std::get_if<hls::PlaylistError>(&read))
     return *fault;
-  const auto media = std::get<std::shared_ptr<const hls::Media>>(read);
-  side.target = media->target;
+  const auto media = std::get<std::shared_ptr<const hls::MediaPlaylist>>(read);
+  side.target = media->target_duration;
   const int rung = viewer.fill_rung;
   // Guards against one bad list staying in a player's course: it is looked through before it is taken.
-  for (const auto& uri : media->uris) {
-    const auto placed = place_at(media->variables, server, target, uri.at.of(media->text), uri.of);
-    if (const auto* none = std::get_if<hls::NoAddress>(&placed))
-      return hls::fault_at(media->text, uri.at.from, none->cause);
+  for (const auto& uri : media->non_plain_uris) {
+    const auto placed = place_at(media->variables, server, target, uri.range.view_in(media->text), uri.tag);
+    if (const auto* none = std::get_if<hls::RewriteError>(&placed))
+      return hls::error_at(media->text, uri.range.from, none->cause);
   }
-  auto& courses = side.readers[viewer.pass.reader].courses;
-  const auto known = courses.find(viewer.pass.place);
+  auto& courses = side.readers[viewer.pass.player].courses;
+  const auto known = courses.find(viewer.pass.path);
   hls::Window whole;
   const hls::Window* window = &whole;
   // What was whole from the beginning follows nothing that was shown.
   if (media->ended && known == courses.end()) {
-    whole.pieces.push_back(
+    whole.slices.push_back(
         {media, 0, static_cast<std::uint32_t>(media->segments.size()), server, rung, false});
     whole.media_sequence = media->media_sequence;
     whole.discontinuity_sequence = media->discontinuity_sequence;
-    side.showing.handle(now_, hls::TargetIs{media->target, false});
+    side.showing.handle(now_, hls::TargetDurationRead{media->target_duration, false});
   } else {
-    side.showing.handle(now_, hls::TargetIs{media->target, true});
+    side.showing.handle(now_, hls::TargetDurationRead{media->target_duration, true});
     const auto beside = std::find_if(courses.begin(), courses.end(),
-                                     [&](const auto& other) { return other.first != viewer.pass.place; });
+                                     [&](const auto& other) { return other.first != viewer.pass.path; });
     const hls::Continuity* other = beside == courses.end() ? nullptr : &beside->second;
-    auto& course = courses[viewer.pass.place];
-    const auto went = course.take(now_, {media, server, rung}, other);
+    auto& course = courses[viewer.pass.path];
+    const auto went = course.apply(now_, {media, server, rung}, other);
     window = &course.window();
-    if (went.step == hls::Course::Step::stood && went.stood_for > stands_for * media->target)
+    if (went.step == hls::ContinuityResult::Step::unchanged &&
+        went.unchanged_for > stands_for * media->target_duration)
       say("playlist_stands", {{"playback", said_id(playback.id)},
                               {"box", list_.box(server).name},
-                              {"ms", went.stood_for.count() / 1000}});
-    if (went.step == hls::Course::Step::skipped || went.step == hls::Course::Step::began_anew)
+                              {"ms", went.unchanged_for.count() / 1000}});
+    if (went.step == hls::ContinuityResult::Step::skipped ||
+        went.step == hls::ContinuityResult::Step::restarted)
       say("playlist_broke", {{"playback", said_id(playback.id)},
                              {"box", list_.box(server).name},
-                             {"cause", std::string(went.step == hls::Course::Step::skipped
+                             {"cause", std::string(went.step == hls::ContinuityResult::Step::skipped
                                                        ? "segments that no box shows lie between"
                                                        : "nothing says how it follows")}});
-    if (window->pieces.empty())
+    if (window->slices.empty())
       return media->text;
   }
-  const auto base_of = [&](const hls::Piece& piece) -> const std::string& {
-    if (piece.rung != viewer.pass.rung && !viewer.pass.steady) {
+  const auto base_of = [&](const hls::PlaylistSlice& piece) -> const std::string& {
+    if (piece.rung != viewer.pass.rung && !viewer.pass.off_ladder) {
       if (const auto found = side.lists.find(piece.rung); found != side.lists.end())
         return found->second;
     }
-    return viewer.pass.place;
+    return viewer.pass.path;
   };
   // A rendition's own address for segments of another rung: one for all of a piece.
   std::map<int, std::string> others;
-  hls::WriteTerms terms;
-  terms.delta = viewer.delta;
-  terms.moved = [&](const hls::Piece& piece) {
-    return terms_.hls.direct || viewer.pass.flat || piece.rung != viewer.pass.rung;
+  hls::WriteOptions terms;
+  terms.delta_update = viewer.delta;
+  terms.is_relocated = [&](const hls::PlaylistSlice& piece) {
+    return terms_.hls.direct || viewer.pass.shared_directory || piece.rung != viewer.pass.rung;
   };
-  terms.address = [&](const hls::Piece& piece, std::string_view uri, hls::Tag of) -> hls::Address {
+  terms.rewrite_uri = [&](const hls::PlaylistSlice& piece, std::string_view uri,
+                          hls::Tag of) -> hls::RewrittenUri {
     const auto& base = base_of(piece);
     const auto flat = side.flat.find(piece.rung);
-    if (!terms_.hls.direct && !viewer.pass.flat && piece.rung != viewer.pass.rung &&
-        (flat == side.flat.end() || !flat->second) && hls::plain_name(uri)) {
+    if (!terms_.hls.direct && !viewer.pass.shared_directory && piece.rung != viewer.pass.rung &&
+        (flat == side.flat.end() || !flat->second) && hls::is_plain_file_name(uri)) {
       auto& prefix = others[piece.rung];
       if (prefix.empty()) {
-        prefix = rendition_address(viewer, playback, piece.rung, viewer.pass.steady, false, base);
+        prefix = rendition_address(viewer, playback, piece.rung, viewer.pass.off_ladder, false, base);
         prefix.resize(prefix.rfind('/') + 1);
       }
       return prefix + std::string(uri);
     }
-    return address_of(viewer, playback, piece.source, piece.rung, base, piece.from->variables, uri, of);
+    return address_of(viewer, playback, piece.source, piece.rung, base, piece.playlist->variables, uri, of);
   };
-  return hls::write_window(*window, terms);
+  return hls::write_media_playlist(*window, terms);
 }
 
 }  // namespace violettide::manager
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -156,30 +156,28 @@
   Read read_hls(ViewerLink& viewer);
   Read read_pass(ViewerLink& viewer, std::string_view path, std::string_view query);
   bool adopt(ViewerLink& viewer);
-  void part(Playback& playback, hls::Ending how, Duration come_back = Duration(0));
+  void part(Playback& playback, hls::EndReason how, Duration come_back = Duration(0));
   void hls_side(Playback& playback);
   std::string box_target(ViewerLink& viewer, Playback& playback, BoxLink& link);
   bool steer(ViewerLink& viewer, Playback& playback);
   void collect(BoxLink& link, http::ResponseReader::Part& part);
   void list_whole(BoxLink& link);
   void list_unusable(BoxLink& link, const std::string& cause);
-  std::variant<std::string, hls::Fault> lists_text(ViewerLink& viewer, Playback& playback,
-                                                   const std::string& target, std::string text);
-  std::variant<std::string, hls::Fault> media_text(const ViewerLink& viewer, Playback& playback,
-                                                   ServerId server, const std::string& target,
-                                                   std::string text);
-  std::variant<std::shared_ptr<const hls::Media>, hls::Fault> read_list(ServerId server,
-                                                                        const std::string& target,
-                                                                        std::string text,
-                                                                        const hls::Variables& variables);
-  hls::Address place_at(const hls::Variables& variables, ServerId server, const std::string& base,
-                        std::string_view uri, hls::Tag of) const;
-  hls::Address address_of(const ViewerLink& viewer, const Playback& playback, ServerId server, int rung,
-                          const std::string& base, const hls::Variables& variables, std::string_view uri,
-                          hls::Tag of);
+  std::variant<std::string, hls::PlaylistError> lists_text(ViewerLink& viewer, Playback& playback,
+                                                           const std::string& target, std::string text);
+  std::variant<std::string, hls::PlaylistError> media_text(const ViewerLink& viewer, Playback& playback,
+                                                           ServerId server, const std::string& target,
+                                                           std::string text);
+  std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> read_list(
+      ServerId server, const std::string& target, std::string text, const hls::Variables& variables);
+  hls::RewrittenUri place_at(const hls::Variables& variables, ServerId server, const std::string& base,
+                             std::string_view uri, hls::Tag of) const;
+  hls::RewrittenUri address_of(const ViewerLink& viewer, const Playback& playback, ServerId server, int rung,
+                               const std::string& base, const hls::Variables& variables, std::string_view uri,
+                               hls::Tag of);
   std::string rendition_address(const ViewerLink& viewer, const Playback& playback, int rung, bool steady,
                                 bool flat, const std::string& place);
-  std::string address(passes::Pass pass);
+  std::string address(signed_url::Claims pass);
   int rung_of(const Playback& playback, std::uint64_t bandwidth) const;
   void answer_list(ViewerLink& viewer, const Playback& playback, const std::string& text);
   Duration wall() const { return terms_.wall_at_zero + now_; }
@@ -260,13 +258,13 @@
   std::map<entitlement::SeatKey, PlaybackId> by_seat_;
   std::set<PlaybackId> wait_for_keys_;
   bool seats_disk_failed_ = false;
-  passes::KeyRing keys_;
-  hls::Departures departures_;
+  signed_url::KeyRing keys_;
+  hls::EndedPlaybacks departures_;
   std::map<std::string, std::unique_ptr<HlsSide>>
       parted_;  // by key; what a player that comes back goes on from
   std::deque<std::string> parted_order_;
   struct KeptList {
-    std::shared_ptr<const hls::Media> media;
+    std::shared_ptr<const hls::MediaPlaylist> media;
     std::uint64_t used = 0;
   };
   std::map<std::pair<ServerId, std::string>, KeptList> lists_read_;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -39,7 +39,7 @@
 }  // namespace
 
 std::string Peers::mac(std::string_view challenge, std::string_view body) const {
-  return signing::hmac(settings_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
+  return signing::hmac_sha256(settings_.key, std::string(challenge).append(body)).substr(0, mac_bytes);
 }
 
 void Peers::send(Duration now, PeerIndex to, std::uint32_t kind, std::string payload,
@@ -97,9 +97,9 @@
   auto& incoming = incoming_[link];
   // Unique and unpredictable: derived from the key, the time, the connection and a counter.
   incoming.challenge =
-      signing::hmac(settings_.key, "challenge " + settings_.managers[settings_.self].name +
-                                       std::to_string(now.count()) + "." + std::to_string(link) + "." +
-                                       std::to_string(++challenge_count_))
+      signing::hmac_sha256(settings_.key, "challenge " + settings_.managers[settings_.self].name +
+                                              std::to_string(now.count()) + "." + std::to_string(link) + "." +
+                                              std::to_string(++challenge_count_))
           .substr(0, challenge_bytes);
   actions.push_back(Send{link, with_length_prefix(incoming.challenge)});
 }
@@ -146,7 +146,7 @@
     if (!frame.ParseFromString(*frame_bytes) || frame.mac().size() != mac_bytes)
       return reject(link, "malformed frame" + sender, actions), messages;
     const auto expected_mac = mac(incoming.challenge, frame.body());
-    if (!signing::same(expected_mac, frame.mac()))
+    if (!signing::equal_constant_time(expected_mac, frame.mac()))
       return reject(link, "a frame that is not signed with the hall's key" + sender, actions), messages;
     if (!body.ParseFromString(frame.body()))
       return reject(link, "malformed frame body" + sender, actions), messages;
--- a/tests/program/token_validator_test.cpp
+++ b/tests/program/token_validator_test.cpp
@@ -64,7 +64,7 @@
 TEST_F(TokenValidatorTest, EveryInvalidTokenIsRefusedWithItsCause) {
   const auto good = issuer.token(claims());
   const auto parts = [&](const std::string& header, const std::string& claims, const std::string& signature) {
-    return signing::base64url(header) + "." + signing::base64url(claims) + "." + signature;
+    return signing::base64url_encode(header) + "." + signing::base64url_encode(claims) + "." + signature;
   };
   const auto signature = good.substr(good.rfind('.') + 1);
   EXPECT_EQ(outcome(""), "malformed");
@@ -87,8 +87,8 @@
   EXPECT_EQ(outcome(issuer.forged(claims())), "its signature is invalid");
   auto other = claims();
   other.seats = 100;
-  EXPECT_EQ(outcome(good.substr(0, good.find('.')) + "." + signing::base64url(issuer.claims(other)) + "." +
-                    signature),
+  EXPECT_EQ(outcome(good.substr(0, good.find('.')) + "." + signing::base64url_encode(issuer.claims(other)) +
+                    "." + signature),
             "its signature is invalid");
   for (std::size_t i = good.find('.') + 2; i < good.size(); i += 7) {
     auto changed = good;
