--- a/bench/catalogue.cpp
+++ b/bench/catalogue.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <random>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "cataloguestore/store.h"
 #include "path.h"
 
@@ -53,7 +53,7 @@
       std::vector<Change> batch;
       for (std::size_t k = 0; k < 10000 && i < recordings; ++k, ++i)
         batch.push_back(PutRecording{recording(i, grouped, chance)});
-      writer.commit(std::get<Applied>(writer.apply(batch)));
+      writer.commit(std::get<AppliedBatch>(writer.apply(batch)));
     }
     malloc_trim(0);
     const auto bytes = static_cast<double>(used() - before) / static_cast<double>(recordings);
@@ -63,13 +63,13 @@
     std::size_t found = 0;
     auto from = Clock::now();
     for (const auto& title : titles)
-      found += writer.present()->find(title)->holders->size();
+      found += writer.current()->find(title)->holders->size();
     const double look = since(from) / static_cast<double>(titles.size()) * 1e9;
     from = Clock::now();
     constexpr int changes = 20'000;
     for (int i = 0; i < changes; ++i) {
-      const auto held = writer.present();  // a reader holds the one before
-      writer.commit(std::get<Applied>(
+      const auto held = writer.current();  // a reader holds the one before
+      writer.commit(std::get<AppliedBatch>(
           writer.apply({PutLocation{titles[static_cast<std::size_t>(i)],
                                     {"box-" + std::to_string(chance() % 320), LocationState::here, i}}})));
     }
@@ -79,17 +79,17 @@
     if (grouped) {
       const auto path = (std::filesystem::temp_directory_path() / "violettide-bench.snapshot").string();
       from = Clock::now();
-      cataloguestore::write_snapshot(path, *writer.present());
+      cataloguestore::write_snapshot(path, *writer.current());
       const double wrote = since(from);
       from = Clock::now();
       const auto read = cataloguestore::read_snapshot(path);
-      Keeper keeper(
+      Replica replica(
           {},
           [](std::string_view name) {
             return static_cast<ServerId>(std::stoul(std::string(name.substr(4))));
           },
           2);
-      keeper.restore(read.revision, read.recordings);
+      replica.restore(read.revision, read.recordings);
       std::printf("%-28s written in %.1f s, opened in %.1f s, %.0f MB on the disk\n", "  snapshot file",
                   wrote, since(from), static_cast<double>(std::filesystem::file_size(path)) / 1e6);
       std::filesystem::remove(path);
--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -1,3 +1,4 @@
+// Entries, the trie that snapshots share them in, and the checks and application of batches.
 #include "catalogue/catalogue.h"
 
 #include <algorithm>
@@ -7,40 +8,42 @@
 
 namespace {
 
-constexpr std::size_t most_name = 256;
-constexpr std::size_t most_renditions = 64;
-constexpr std::size_t most_locations = 4096;
-constexpr std::int64_t most_length_ms = 0xffffffff;
+// Limits of one recording.
+constexpr std::size_t max_name_bytes = 256;
+constexpr std::size_t max_renditions = 64;
+constexpr std::size_t max_locations = 4096;
+constexpr std::int64_t max_length_ms = 0xffffffff;  // an Entry stores 32 bits
 
-std::optional<std::string> name_fault(std::string_view name) {
+// Why a name can't be used as a path segment of the HTTP resource; absent: it can.
+std::optional<std::string> name_error(std::string_view name) {
   if (name.empty())
-    return "expected some text";
-  if (name.size() > most_name)
-    return "longer than " + std::to_string(most_name) + " characters";
+    return "must not be empty";
+  if (name.size() > max_name_bytes)
+    return "longer than " + std::to_string(max_name_bytes) + " bytes";
   if (name == "." || name == "..")
-    return "a name that a path reads otherwise";
+    return "must not be '.' or '..'";
   for (const char c : name) {
     if (static_cast<unsigned char>(c) < 0x21 || c == '/' || c == 0x7f)
-      return "a character that a path may not hold";
+      return "contains a space, a slash or a control character";
   }
   return std::nullopt;
 }
 
-std::string at(const char* list, std::size_t i, const char* field) {
+std::string field_path(const char* list, std::size_t i, const char* field) {
   return std::string(list) + "[" + std::to_string(i) + "]." + field;
 }
 
 }  // namespace
 
-std::uint32_t Names::id(std::string_view name) {
+std::uint32_t NameTable::id(std::string_view name) {
   if (const auto known = find(name))
     return *known;
-  const auto [made, fresh] = ids_.emplace(std::string(name), static_cast<std::uint32_t>(names_.size()));
-  names_.push_back(&made->first);
-  return made->second;
+  const auto [entry, inserted] = ids_.emplace(std::string(name), static_cast<std::uint32_t>(names_.size()));
+  names_.push_back(&entry->first);
+  return entry->second;
 }
 
-std::optional<std::uint32_t> Names::find(std::string_view name) const {
+std::optional<std::uint32_t> NameTable::find(std::string_view name) const {
   const auto found = ids_.find(name);
   if (found == ids_.end())
     return std::nullopt;
@@ -49,104 +52,105 @@
 
 std::optional<Span> Entry::length() const {
   std::uint32_t longest = 0;
-  for (const auto& form : forms)
-    longest = std::max(longest, form.length_ms);
+  for (const auto& rendition : renditions)
+    longest = std::max(longest, rendition.length_ms);
   if (longest == 0)
     return std::nullopt;
   return std::chrono::milliseconds(longest);
 }
 
-std::optional<int> Entry::rung_within(int least, int most) const {
+std::optional<int> Entry::rung_within(int lowest, int highest) const {
   std::optional<int> best;
-  for (const auto& form : forms) {
-    if (form.rung >= least && form.rung <= most && (!best || form.rung > *best))
-      best = form.rung;
+  for (const auto& rendition : renditions) {
+    if (rendition.rung >= lowest && rendition.rung <= highest && (!best || rendition.rung > *best))
+      best = rendition.rung;
   }
   return best;
 }
 
 std::optional<double> Entry::kb_per_s(int rung) const {
-  for (const auto& form : forms) {
-    if (form.rung == rung && form.kb_per_s > 0)
-      return form.kb_per_s;
+  for (const auto& rendition : renditions) {
+    if (rendition.rung == rung && rendition.kb_per_s > 0)
+      return rendition.kb_per_s;
   }
   return std::nullopt;
 }
 
-// ---- the trie ----
+// ---- EntryTrie ----
 
 EntryTrie::Leaf EntryTrie::leaf(RecordingId id) const {
-  if (!root_ || (levels_ * bits < 32 && id >> (levels_ * bits) != 0))
+  if (!root_ || (levels_ * bits_per_level < 32 && id >> (levels_ * bits_per_level) != 0))
     return nullptr;
   const Node* node = root_.get();
   for (unsigned level = levels_ - 1; level > 0; --level) {
-    node = static_cast<const Node*>(node->below[(id >> (level * bits)) % width].get());
+    node = static_cast<const Node*>(node->children[(id >> (level * bits_per_level)) % fanout].get());
     if (!node)
       return nullptr;
   }
-  return std::static_pointer_cast<const Entry>(node->below[id % width]);
+  return std::static_pointer_cast<const Entry>(node->children[id % fanout]);
 }
 
 const Entry* EntryTrie::find(RecordingId id) const {
-  if (!root_ || (levels_ * bits < 32 && id >> (levels_ * bits) != 0))
+  if (!root_ || (levels_ * bits_per_level < 32 && id >> (levels_ * bits_per_level) != 0))
     return nullptr;
   const Node* node = root_.get();
   for (unsigned level = levels_ - 1; level > 0; --level) {
-    node = static_cast<const Node*>(node->below[(id >> (level * bits)) % width].get());
+    node = static_cast<const Node*>(node->children[(id >> (level * bits_per_level)) % fanout].get());
     if (!node)
       return nullptr;
   }
-  return static_cast<const Entry*>(node->below[id % width].get());
+  return static_cast<const Entry*>(node->children[id % fanout].get());
 }
 
-EntryTrie::NodePtr EntryTrie::own(const std::shared_ptr<void>& node, std::uint64_t edit) {
+// The node itself if this batch made it, else a copy that may be changed.
+EntryTrie::NodePtr EntryTrie::writable(const std::shared_ptr<void>& node, std::uint64_t batch_id) {
   auto known = std::static_pointer_cast<Node>(node);
-  if (known && known->edit == edit)
+  if (known && known->batch_id == batch_id)
     return known;
   auto copy = known ? std::make_shared<Node>(*known) : std::make_shared<Node>();
-  copy->edit = edit;
+  copy->batch_id = batch_id;
   return copy;
 }
 
-void EntryTrie::set(RecordingId id, Leaf entry, std::uint64_t edit) {
-  while (levels_ * bits < 32 && id >> (levels_ * bits) != 0) {
-    auto above = std::make_shared<Node>();
-    above->edit = edit;
+void EntryTrie::set(RecordingId id, Leaf entry, std::uint64_t batch_id) {
+  while (levels_ * bits_per_level < 32 && id >> (levels_ * bits_per_level) != 0) {
+    auto parent = std::make_shared<Node>();
+    parent->batch_id = batch_id;
     if (root_)
-      above->below[0] = root_;
-    root_ = std::move(above);
+      parent->children[0] = root_;
+    root_ = std::move(parent);
     ++levels_;
   }
-  root_ = own(root_, edit);
+  root_ = writable(root_, batch_id);
   Node* node = root_.get();
   for (unsigned level = levels_ - 1; level > 0; --level) {
-    auto& below = node->below[(id >> (level * bits)) % width];
-    auto owned = own(below, edit);
-    node = owned.get();
-    below = std::move(owned);
+    auto& child = node->children[(id >> (level * bits_per_level)) % fanout];
+    auto writable_child = writable(child, batch_id);
+    node = writable_child.get();
+    child = std::move(writable_child);
   }
-  node->below[id % width] = std::const_pointer_cast<Entry>(std::move(entry));
+  node->children[id % fanout] = std::const_pointer_cast<Entry>(std::move(entry));
 }
 
 void EntryTrie::visit(const Node& node, unsigned level, RecordingId first,
                       const std::function<void(RecordingId, const Entry&)>& visit_one) {
-  for (unsigned i = 0; i < width; ++i) {
-    if (!node.below[i])
+  for (unsigned i = 0; i < fanout; ++i) {
+    if (!node.children[i])
       continue;
-    const auto id = first | (i << (level * bits));
+    const auto id = first | (i << (level * bits_per_level));
     if (level == 0)
-      visit_one(id, *static_cast<const Entry*>(node.below[i].get()));
+      visit_one(id, *static_cast<const Entry*>(node.children[i].get()));
     else
-      visit(*static_cast<const Node*>(node.below[i].get()), level - 1, id, visit_one);
+      visit(*static_cast<const Node*>(node.children[i].get()), level - 1, id, visit_one);
   }
 }
 
-void EntryTrie::each(const std::function<void(RecordingId, const Entry&)>& visit_one) const {
+void EntryTrie::for_each(const std::function<void(RecordingId, const Entry&)>& visit_one) const {
   if (root_)
     visit(*root_, levels_ - 1, 0, visit_one);
 }
 
-// ---- the snapshot ----
+// ---- Snapshot ----
 
 std::optional<RecordingId> Snapshot::id(std::string_view title) const {
   const auto known = titles_->find(title);
@@ -162,12 +166,13 @@
 
 Recording Snapshot::recording_of(const std::string& title, const Entry& entry) const {
   Recording recording{title, {}, {}};
-  for (const auto& form : entry.forms) {
-    recording.renditions.push_back({words_->name(form.name), form.rung, words_->name(form.codec),
-                                    form.kb_per_s, std::chrono::milliseconds(form.length_ms)});
+  for (const auto& rendition : entry.renditions) {
+    recording.renditions.push_back({strings_->name(rendition.name), rendition.rung,
+                                    strings_->name(rendition.codec), rendition.kb_per_s,
+                                    std::chrono::milliseconds(rendition.length_ms)});
   }
-  for (const auto& place : entry.places)
-    recording.locations.push_back({boxes_->name(place.box), place.state, place.since_ms});
+  for (const auto& location : entry.locations)
+    recording.locations.push_back({box_names_->name(location.box), location.state, location.since_ms});
   return recording;
 }
 
@@ -178,184 +183,194 @@
   return recording_of(std::string(title), *entry);
 }
 
-void Snapshot::each(const std::function<void(const std::string&, const Entry&)>& visit) const {
-  entries_.each([&](RecordingId id, const Entry& entry) { visit(titles_->name(id), entry); });
+void Snapshot::for_each(const std::function<void(const std::string&, const Entry&)>& visit) const {
+  entries_.for_each([&](RecordingId id, const Entry& entry) { visit(titles_->name(id), entry); });
 }
 
-// ---- changes ----
+// ---- Writer ----
 
 Writer::Writer(BoxIndex boxes, int rungs)
     : box_index_(std::move(boxes)),
       rungs_(rungs),
-      titles_(std::make_shared<Names>()),
-      words_(std::make_shared<Names>()),
-      boxes_(std::make_shared<Names>()) {
-  present_ = empty(0);
+      titles_(std::make_shared<NameTable>()),
+      strings_(std::make_shared<NameTable>()),
+      box_names_(std::make_shared<NameTable>()) {
+  current_ = empty_snapshot(0);
 }
 
-SnapshotPtr Writer::empty(Revision revision) const {
-  auto made = std::make_shared<Snapshot>();
-  made->revision = revision;
-  made->titles_ = titles_;
-  made->words_ = words_;
-  made->boxes_ = boxes_;
-  return made;
+SnapshotPtr Writer::empty_snapshot(Revision revision) const {
+  auto snapshot = std::make_shared<Snapshot>();
+  snapshot->revision = revision;
+  snapshot->titles_ = titles_;
+  snapshot->strings_ = strings_;
+  snapshot->box_names_ = box_names_;
+  return snapshot;
 }
 
-void Writer::at_revision(Revision revision) {
-  auto made = std::make_shared<Snapshot>(*present_);
-  made->revision = revision;
-  present_ = std::move(made);
+void Writer::set_revision(Revision revision) {
+  auto snapshot = std::make_shared<Snapshot>(*current_);
+  snapshot->revision = revision;
+  current_ = std::move(snapshot);
 }
 
-std::optional<Bad> Writer::check(const Recording& recording) const {
-  if (const auto fault = name_fault(recording.title))
-    return Bad{0, "title", *fault};
-  if (recording.renditions.size() > most_renditions)
-    return Bad{0, "renditions", "more than " + std::to_string(most_renditions)};
-  if (recording.locations.size() > most_locations)
-    return Bad{0, "locations", "more than " + std::to_string(most_locations)};
+std::optional<InvalidChange> Writer::validate(const Recording& recording) const {
+  if (const auto error = name_error(recording.title))
+    return InvalidChange{0, "title", *error};
+  if (recording.renditions.size() > max_renditions)
+    return InvalidChange{0, "renditions", "more than " + std::to_string(max_renditions)};
+  if (recording.locations.size() > max_locations)
+    return InvalidChange{0, "locations", "more than " + std::to_string(max_locations)};
   for (std::size_t i = 0; i < recording.renditions.size(); ++i) {
-    const auto& one = recording.renditions[i];
-    if (const auto fault = name_fault(one.name))
-      return Bad{0, at("renditions", i, "name"), *fault};
-    if (one.rung < 0 || one.rung >= rungs_)
-      return Bad{0, at("renditions", i, "rung"), "the ladder has rungs 0 to " + std::to_string(rungs_ - 1)};
-    if (!(one.kb_per_s >= 0) || one.kb_per_s > 1e9)
-      return Bad{0, at("renditions", i, "kb_per_s"), "expected a rate"};
-    const auto ms = one.length.count() / 1000;
-    if (ms < 0 || ms > most_length_ms)
-      return Bad{0, at("renditions", i, "length_ms"), "expected a length"};
-    if (one.codec.size() > most_name)
-      return Bad{0, at("renditions", i, "codec"), "longer than " + std::to_string(most_name) + " characters"};
+    const auto& rendition = recording.renditions[i];
+    if (const auto error = name_error(rendition.name))
+      return InvalidChange{0, field_path("renditions", i, "name"), *error};
+    if (rendition.rung < 0 || rendition.rung >= rungs_)
+      return InvalidChange{0, field_path("renditions", i, "rung"),
+                           "the ladder has rungs 0 to " + std::to_string(rungs_ - 1)};
+    if (!(rendition.kb_per_s >= 0) || rendition.kb_per_s > 1e9)
+      return InvalidChange{0, field_path("renditions", i, "kb_per_s"), "expected a rate from 0 to 1e9"};
+    const auto ms = rendition.length.count() / 1000;
+    if (ms < 0 || ms > max_length_ms)
+      return InvalidChange{0, field_path("renditions", i, "length_ms"),
+                           "expected a length from 0 to 4294967295"};
+    if (rendition.codec.size() > max_name_bytes)
+      return InvalidChange{0, field_path("renditions", i, "codec"),
+                           "longer than " + std::to_string(max_name_bytes) + " bytes"};
     for (std::size_t j = 0; j < i; ++j) {
-      if (recording.renditions[j].name == one.name)
-        return Bad{0, at("renditions", i, "name"), "the same as renditions[" + std::to_string(j) + "].name"};
-      if (recording.renditions[j].rung == one.rung)
-        return Bad{0, at("renditions", i, "rung"), "the same as renditions[" + std::to_string(j) + "].rung"};
+      if (recording.renditions[j].name == rendition.name)
+        return InvalidChange{0, field_path("renditions", i, "name"),
+                             "the same as renditions[" + std::to_string(j) + "].name"};
+      if (recording.renditions[j].rung == rendition.rung)
+        return InvalidChange{0, field_path("renditions", i, "rung"),
+                             "the same as renditions[" + std::to_string(j) + "].rung"};
     }
   }
   std::vector<std::string_view> seen;
   for (std::size_t i = 0; i < recording.locations.size(); ++i) {
-    const auto& one = recording.locations[i];
-    if (const auto fault = name_fault(one.box))
-      return Bad{0, at("locations", i, "box"), *fault};
-    if (std::find(seen.begin(), seen.end(), one.box) != seen.end())
-      return Bad{0, at("locations", i, "box"), "named twice"};
-    if (!boxes_->find(one.box) && boxes_->size() > 0xffff)
-      return Bad{0, at("locations", i, "box"), "more boxes than a catalogue can name"};
-    seen.push_back(one.box);
+    const auto& location = recording.locations[i];
+    if (const auto error = name_error(location.box))
+      return InvalidChange{0, field_path("locations", i, "box"), *error};
+    if (std::find(seen.begin(), seen.end(), location.box) != seen.end())
+      return InvalidChange{0, field_path("locations", i, "box"), "the same box twice"};
+    if (!box_names_->find(location.box) && box_names_->size() > 0xffff)
+      return InvalidChange{0, field_path("locations", i, "box"), "too many different boxes in the catalogue"};
+    seen.push_back(location.box);
   }
   return std::nullopt;
 }
 
-// One set for all recordings that lie alike: with boxes in groups there are few. Sets that nothing holds any
-// more are swept when their number has doubled.
-ServerSet Writer::shared_set(std::vector<ServerId> boxes) const {
+// Returns one vector for all recordings on the same boxes: few are needed where boxes hold the same titles in
+// groups. Expired vectors are erased each time their number has doubled.
+ServerSet Writer::intern_holders(std::vector<ServerId> boxes) const {
   std::sort(boxes.begin(), boxes.end());
-  auto& known = sets_[boxes];
-  if (auto held = known.lock())
-    return held;
-  auto made = std::make_shared<const std::vector<ServerId>>(std::move(boxes));
-  known = made;
-  if (sets_.size() > sets_swept_at_) {
-    std::erase_if(sets_, [](const auto& entry) { return entry.second.expired(); });
-    sets_swept_at_ = std::max<std::size_t>(1024, 2 * sets_.size());
+  auto& slot = holder_sets_[boxes];
+  if (auto existing = slot.lock())
+    return existing;
+  auto set = std::make_shared<const std::vector<ServerId>>(std::move(boxes));
+  slot = set;
+  if (holder_sets_.size() > sweep_threshold_) {
+    std::erase_if(holder_sets_, [](const auto& entry) { return entry.second.expired(); });
+    sweep_threshold_ = std::max<std::size_t>(1024, 2 * holder_sets_.size());
   }
-  return made;
+  return set;
 }
 
-std::shared_ptr<Entry> Writer::packed(const Recording& recording) const {
+std::shared_ptr<Entry> Writer::pack(const Recording& recording) const {
   auto entry = std::make_shared<Entry>();
-  entry->forms.reserve(recording.renditions.size());
-  for (const auto& one : recording.renditions) {
-    entry->forms.push_back({words_->id(one.name), words_->id(one.codec), static_cast<float>(one.kb_per_s),
-                            static_cast<std::uint32_t>(one.length.count() / 1000),
-                            static_cast<std::uint8_t>(one.rung)});
+  entry->renditions.reserve(recording.renditions.size());
+  for (const auto& rendition : recording.renditions) {
+    entry->renditions.push_back({strings_->id(rendition.name), strings_->id(rendition.codec),
+                                 static_cast<float>(rendition.kb_per_s),
+                                 static_cast<std::uint32_t>(rendition.length.count() / 1000),
+                                 static_cast<std::uint8_t>(rendition.rung)});
   }
-  entry->places.reserve(recording.locations.size());
+  entry->locations.reserve(recording.locations.size());
   std::vector<ServerId> holders;
-  for (const auto& one : recording.locations) {
-    entry->places.push_back({one.since_ms, static_cast<std::uint16_t>(boxes_->id(one.box)), one.state});
-    if (one.state == LocationState::here)
-      holders.push_back(box_index_(one.box));
+  for (const auto& location : recording.locations) {
+    entry->locations.push_back(
+        {location.since_ms, static_cast<std::uint16_t>(box_names_->id(location.box)), location.state});
+    if (location.state == LocationState::here)
+      holders.push_back(box_index_(location.box));
   }
-  entry->holders = shared_set(std::move(holders));
+  entry->holders = intern_holders(std::move(holders));
   return entry;
 }
 
-std::variant<Applied, Bad> Writer::apply(const std::vector<Change>& batch) const {
-  auto next = std::make_shared<Snapshot>(*present_);
-  Applied applied;
-  const auto edit = ++edits_;
-  // Recordings that the batch touches, as they stand within it.
+std::variant<AppliedBatch, InvalidChange> Writer::apply(const std::vector<Change>& batch) const {
+  auto next = std::make_shared<Snapshot>(*current_);
+  AppliedBatch applied;
+  const auto batch_id = ++last_batch_id_;
+  // The recordings that the batch changes, as its changes so far leave them; absent: removed.
   std::map<std::string, std::optional<Recording>> touched;
-  const auto standing = [&](const std::string& title) -> std::optional<Recording>& {
+  const auto working_copy = [&](const std::string& title) -> std::optional<Recording>& {
     const auto [found, fresh] = touched.try_emplace(title);
     if (fresh)
-      found->second = present_->recording(title);
+      found->second = current_->recording(title);
     return found->second;
   };
   for (std::size_t i = 0; i < batch.size(); ++i) {
-    const auto bad = [&](std::string field, std::string cause) {
-      return Bad{i, std::move(field), std::move(cause)};
+    const auto invalid = [&](std::string field, std::string cause) {
+      return InvalidChange{i, std::move(field), std::move(cause)};
     };
     const std::string* title = nullptr;
     if (const auto* put = std::get_if<PutRecording>(&batch[i])) {
-      standing(put->recording.title) = put->recording;
+      working_copy(put->recording.title) = put->recording;
       title = &put->recording.title;
     } else if (const auto* remove = std::get_if<RemoveRecording>(&batch[i])) {
-      auto& recording = standing(remove->title);
+      auto& recording = working_copy(remove->title);
       if (!recording)
-        return bad("title", "no recording '" + remove->title + "'");
+        return invalid("title", "no recording '" + remove->title + "'");
       recording.reset();
-    } else if (const auto* rendition = std::get_if<PutRendition>(&batch[i])) {
-      auto& recording = standing(rendition->title);
+    } else if (const auto* put_rendition = std::get_if<PutRendition>(&batch[i])) {
+      auto& recording = working_copy(put_rendition->title);
       if (!recording)
-        return bad("title", "no recording '" + rendition->title + "'");
-      std::erase_if(recording->renditions, [&](auto& r) { return r.name == rendition->rendition.name; });
-      recording->renditions.push_back(rendition->rendition);
-      title = &rendition->title;
-    } else if (const auto* gone = std::get_if<RemoveRendition>(&batch[i])) {
-      auto& recording = standing(gone->title);
+        return invalid("title", "no recording '" + put_rendition->title + "'");
+      std::erase_if(recording->renditions, [&](auto& r) { return r.name == put_rendition->rendition.name; });
+      recording->renditions.push_back(put_rendition->rendition);
+      title = &put_rendition->title;
+    } else if (const auto* remove_rendition = std::get_if<RemoveRendition>(&batch[i])) {
+      auto& recording = working_copy(remove_rendition->title);
       if (!recording)
-        return bad("title", "no recording '" + gone->title + "'");
-      if (std::erase_if(recording->renditions, [&](auto& r) { return r.name == gone->name; }) == 0)
-        return bad("name", "no rendition '" + gone->name + "' of '" + gone->title + "'");
-    } else if (const auto* location = std::get_if<PutLocation>(&batch[i])) {
-      auto& recording = standing(location->title);
+        return invalid("title", "no recording '" + remove_rendition->title + "'");
+      if (std::erase_if(recording->renditions, [&](auto& r) { return r.name == remove_rendition->name; }) ==
+          0)
+        return invalid("name",
+                       "no rendition '" + remove_rendition->name + "' of '" + remove_rendition->title + "'");
+    } else if (const auto* put_location = std::get_if<PutLocation>(&batch[i])) {
+      auto& recording = working_copy(put_location->title);
       if (!recording)
-        return bad("title", "no recording '" + location->title + "'");
-      std::erase_if(recording->locations, [&](auto& l) { return l.box == location->location.box; });
-      recording->locations.push_back(location->location);
-      title = &location->title;
-    } else if (const auto* away = std::get_if<RemoveLocation>(&batch[i])) {
-      auto& recording = standing(away->title);
+        return invalid("title", "no recording '" + put_location->title + "'");
+      std::erase_if(recording->locations, [&](auto& l) { return l.box == put_location->location.box; });
+      recording->locations.push_back(put_location->location);
+      title = &put_location->title;
+    } else if (const auto* remove_location = std::get_if<RemoveLocation>(&batch[i])) {
+      auto& recording = working_copy(remove_location->title);
       if (!recording)
-        return bad("title", "no recording '" + away->title + "'");
-      if (std::erase_if(recording->locations, [&](auto& l) { return l.box == away->box; }) == 0)
-        return bad("box", "'" + away->title + "' has no location '" + away->box + "'");
+        return invalid("title", "no recording '" + remove_location->title + "'");
+      if (std::erase_if(recording->locations, [&](auto& l) { return l.box == remove_location->box; }) == 0)
+        return invalid("box",
+                       "'" + remove_location->title + "' has no location '" + remove_location->box + "'");
     }
     if (title) {
-      if (auto fault = check(*standing(*title))) {
-        fault->change = i;
-        return *fault;
+      if (auto error = validate(*working_copy(*title))) {
+        error->change = i;
+        return *error;
       }
     }
   }
   for (const auto& [title, recording] : touched) {
-    const auto* before = present_->find(title);
-    const auto count_before = before ? before->places.size() : 0;
+    const auto* before = current_->find(title);
+    const auto count_before = before ? before->locations.size() : 0;
     const auto count_now = recording ? recording->locations.size() : 0;
     if (!before && !recording)
       continue;
     const auto id = titles_->id(title);
-    next->entries_.set(id, recording ? packed(*recording) : nullptr, edit);
-    next->sums.recordings += (recording ? 1 : 0) - (before ? 1 : 0);
-    next->sums.locations += count_now - count_before;
+    next->entries_.set(id, recording ? pack(*recording) : nullptr, batch_id);
+    next->totals.recordings += (recording ? 1 : 0) - (before ? 1 : 0);
+    next->totals.locations += count_now - count_before;
     applied.changed.push_back(id);
   }
-  next->revision = present_->revision + 1;
+  next->revision = current_->revision + 1;
   applied.snapshot = std::move(next);
   return applied;
 }
--- a/src/catalogue/catalogue.h
+++ b/src/catalogue/catalogue.h
@@ -1,6 +1,6 @@
-// The catalogue of recordings: what exists in which renditions and on which boxes. Changes go in, an
-// immutable snapshot with a revision comes out. A snapshot shares all that a change left alone with the one
-// before it, so that holding one costs nothing and a change never moves under a decision.
+// The catalogue of recordings: which renditions of each exist, and on which boxes. Batches of changes go in,
+// immutable snapshots come out, each with a revision. A snapshot shares every entry that a batch left alone
+// with its predecessor, so holding one is cheap, and a change never alters data that a decision is reading.
 #pragma once
 
 #include <array>
@@ -18,25 +18,28 @@
 
 namespace violettide::catalogue {
 
+// Number of the batch that made a snapshot; the empty catalogue has revision 0.
 using Revision = std::uint64_t;
 using RecordingId = std::uint32_t;
 
-// As operators say it.
+// A rendition as operators describe it.
 struct Rendition {
   std::string name;
   int rung = 0;
   std::string codec;
-  double kb_per_s = 0;  // its true rate
-  Span length{0};
+  double kb_per_s = 0;  // actual media rate; 0: unknown
+  Span length{0};       // 0: unknown
   bool operator==(const Rendition&) const = default;
 };
-enum class LocationState { here, leaving };  // leaving: takes nothing new, what plays goes on
+enum class LocationState { here, leaving };  // leaving: no new playbacks; running ones continue
+// A copy of a recording on a box.
 struct Location {
   std::string box;
   LocationState state = LocationState::here;
-  std::int64_t since_ms = 0;  // of the operators' clock
+  std::int64_t since_ms = 0;  // on the operators' clock
   bool operator==(const Location&) const = default;
 };
+// A recording as operators describe it.
 struct Recording {
   std::string title;
   std::vector<Rendition> renditions;
@@ -44,9 +47,10 @@
   bool operator==(const Recording&) const = default;
 };
 
+// Creates a recording, or replaces it completely.
 struct PutRecording {
   Recording recording;
-};  // whole, in place of what was
+};
 struct RemoveRecording {
   std::string title;
 };
@@ -67,16 +71,17 @@
 using Change =
     std::variant<PutRecording, RemoveRecording, PutRendition, RemoveRendition, PutLocation, RemoveLocation>;
 
-// Why a batch was not taken: nothing of it was.
-struct Bad {
-  std::size_t change = 0;  // which of the batch
-  std::string field;       // `renditions[2].rung`
+// Why a batch was rejected. No change of a rejected batch is applied.
+struct InvalidChange {
+  std::size_t change = 0;  // index in the batch
+  std::string field;       // path within the change, such as `renditions[2].rung`
   std::string cause;
 };
 
-// Names as small numbers, for good: an id once given means the same name in every snapshot.
-class Names {
+// Maps strings to small integer ids. Ids are never reused: an id means the same string in every snapshot.
+class NameTable {
  public:
+  // The id of a name, which is added if it is new.
   std::uint32_t id(std::string_view name);
   std::optional<std::uint32_t> find(std::string_view name) const;
   const std::string& name(std::uint32_t id) const { return *names_.at(id); }
@@ -88,116 +93,129 @@
     std::size_t operator()(std::string_view name) const { return std::hash<std::string_view>{}(name); }
   };
   std::unordered_map<std::string, std::uint32_t, Hash, std::equal_to<>> ids_;
-  std::vector<const std::string*> names_;
+  std::vector<const std::string*> names_;  // the keys of ids_, by id
 };
 
 using ServerSet = std::shared_ptr<const std::vector<ServerId>>;
 
-// A recording as decisions read it. Boxes are the caller's indices.
+// The compact form of a recording that decisions read.
 struct Entry {
-  struct Place {
+  struct PackedLocation {
     std::int64_t since_ms;
-    std::uint16_t box;
+    std::uint16_t box;  // id in the table of box names
     LocationState state;
   };
-  struct Form {
-    std::uint32_t name, codec;
+  struct PackedRendition {
+    std::uint32_t name, codec;  // ids in the table of strings
     float kb_per_s;
     std::uint32_t length_ms;
     std::uint8_t rung;
   };
-  ServerSet holders;  // sorted: the boxes that may take a new playback of it; one set for all that lie alike
-  std::vector<Place> places;
-  std::vector<Form> forms;
+  // Boxes that may start a new playback of it, as ServerIds in rising order. Recordings on the same boxes
+  // share one vector.
+  ServerSet holders;
+  std::vector<PackedLocation> locations;
+  std::vector<PackedRendition> renditions;
 
+  // Length of the longest rendition; absent if none states one.
   std::optional<Span> length() const;
-  // The highest rung that exists, `most` at most and `least` at least; absent if there is none between.
-  std::optional<int> rung_within(int least, int most) const;
+  // The highest rung from `lowest` to `highest` that exists; absent if there is none.
+  std::optional<int> rung_within(int lowest, int highest) const;
+  // Media rate of a rung; absent if it is unknown.
   std::optional<double> kb_per_s(int rung) const;
 };
 
-// A vector whose copies share what they have in common: 32 children a node, a change copies one path.
+// A persistent (copy-on-write) vector of entries: a radix trie with 32 children a node. A change copies only
+// the path from the root to the entry; copies of the trie share all other nodes.
 class EntryTrie {
  public:
   using Leaf = std::shared_ptr<const Entry>;
   const Entry* find(RecordingId id) const;
   Leaf leaf(RecordingId id) const;
-  // `edit` marks nodes that were made in the same batch: they may be changed in place.
-  void set(RecordingId id, Leaf entry, std::uint64_t edit);
-  void each(const std::function<void(RecordingId, const Entry&)>& visit) const;
+  // Nodes made under the same `batch_id` belong to no published snapshot yet and are changed in place.
+  void set(RecordingId id, Leaf entry, std::uint64_t batch_id);
+  // Visits all entries in the order of their ids.
+  void for_each(const std::function<void(RecordingId, const Entry&)>& visit) const;
 
  private:
-  static constexpr unsigned bits = 5, width = 1u << bits;
+  static constexpr unsigned bits_per_level = 5, fanout = 1u << bits_per_level;
   struct Node {
-    std::uint64_t edit = 0;
-    std::array<std::shared_ptr<void>, width> below;  // nodes, or entries at the bottom
+    std::uint64_t batch_id = 0;                          // the batch that made this node
+    std::array<std::shared_ptr<void>, fanout> children;  // nodes; on the lowest level entries
   };
   using NodePtr = std::shared_ptr<Node>;
-  static NodePtr own(const std::shared_ptr<void>& node, std::uint64_t edit);
+  static NodePtr writable(const std::shared_ptr<void>& node, std::uint64_t batch_id);
   static void visit(const Node& node, unsigned level, RecordingId first,
                     const std::function<void(RecordingId, const Entry&)>& visit);
   NodePtr root_;
   unsigned levels_ = 1;
 };
 
-struct Sums {
+struct Totals {
   std::size_t recordings = 0, locations = 0;
 };
 
+// The catalogue at one revision. Immutable once published.
 class Snapshot {
  public:
   Revision revision = 0;
-  Sums sums;
+  Totals totals;
   const Entry* find(std::string_view title) const;
   const Entry* find(RecordingId id) const { return entries_.find(id); }
-  std::shared_ptr<const Entry> hold(RecordingId id) const { return entries_.leaf(id); }
+  // An entry that outlives the snapshot; null if there is none.
+  std::shared_ptr<const Entry> share(RecordingId id) const { return entries_.leaf(id); }
   std::optional<RecordingId> id(std::string_view title) const;
-  std::optional<Recording> recording(std::string_view title) const;  // in operators' words
-  void each(const std::function<void(const std::string& title, const Entry&)>& visit) const;
+  // A recording in its operators' form; absent if the title is unknown.
+  std::optional<Recording> recording(std::string_view title) const;
+  void for_each(const std::function<void(const std::string& title, const Entry&)>& visit) const;
   const std::string& title(RecordingId id) const { return titles_->name(id); }
+  // Converts an entry of this snapshot back to its operators' form.
   Recording recording_of(const std::string& title, const Entry& entry) const;
 
  private:
   friend class Writer;
-  std::shared_ptr<Names> titles_, words_, boxes_;
+  std::shared_ptr<NameTable> titles_, strings_, box_names_;
   EntryTrie entries_;
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-// Gives a box's index at the door; the same name, the same index.
+// Returns the ServerId of a box name, always the same one for the same name.
 using BoxIndex = std::function<ServerId(std::string_view)>;
 
-// What a batch did, besides the snapshot.
-struct Applied {
+// The result of applying a batch, not yet published.
+struct AppliedBatch {
   SnapshotPtr snapshot;
-  std::vector<RecordingId> changed;  // each once, in order
+  std::vector<RecordingId> changed;  // each recording once, in the order of titles
 };
 
+// Makes new snapshots by applying batches to the current one.
 class Writer {
  public:
-  // `boxes`: more than 65,535 are refused as bad changes.
+  // `rungs`: number of rungs of the ladder. Over 65,536 box names are rejected as invalid changes.
   Writer(BoxIndex boxes, int rungs);
-  const SnapshotPtr& present() const { return present_; }
-  // The whole batch or nothing. Does not make it present: commit() does, once it is kept.
-  std::variant<Applied, Bad> apply(const std::vector<Change>& batch) const;
-  void commit(Applied applied) { present_ = std::move(applied.snapshot); }
-  // In place of everything: a snapshot that came whole.
-  void reset(Revision revision) { present_ = empty(revision); }
-  void at_revision(Revision revision);
+  const SnapshotPtr& current() const { return current_; }
+  // Applies the whole batch or nothing of it. The result becomes current only by commit(), so that the caller
+  // can make the batch durable in between.
+  std::variant<AppliedBatch, InvalidChange> apply(const std::vector<Change>& batch) const;
+  void commit(AppliedBatch applied) { current_ = std::move(applied.snapshot); }
+  // Starts over with an empty catalogue, before a full snapshot is loaded.
+  void reset(Revision revision) { current_ = empty_snapshot(revision); }
+  // Changes the revision of the current snapshot and nothing else.
+  void set_revision(Revision revision);
 
  private:
-  SnapshotPtr empty(Revision revision) const;
-  std::optional<Bad> check(const Recording& recording) const;
-  std::shared_ptr<Entry> packed(const Recording& recording) const;
-  ServerSet shared_set(std::vector<ServerId> boxes) const;
+  SnapshotPtr empty_snapshot(Revision revision) const;
+  std::optional<InvalidChange> validate(const Recording& recording) const;
+  std::shared_ptr<Entry> pack(const Recording& recording) const;
+  ServerSet intern_holders(std::vector<ServerId> boxes) const;
 
   BoxIndex box_index_;
   int rungs_;
-  std::shared_ptr<Names> titles_, words_, boxes_;
-  mutable std::map<std::vector<ServerId>, std::weak_ptr<const std::vector<ServerId>>> sets_;
-  mutable std::size_t sets_swept_at_ = 1024;
-  mutable std::uint64_t edits_ = 0;
-  SnapshotPtr present_;
+  std::shared_ptr<NameTable> titles_, strings_, box_names_;
+  mutable std::map<std::vector<ServerId>, std::weak_ptr<const std::vector<ServerId>>> holder_sets_;
+  mutable std::size_t sweep_threshold_ = 1024;  // expired sets are erased above this number
+  mutable std::uint64_t last_batch_id_ = 0;
+  SnapshotPtr current_;
 };
 
 }  // namespace violettide::catalogue
--- a/src/catalogue/demand.cpp
+++ b/src/catalogue/demand.cpp
@@ -1,3 +1,4 @@
+// The space-saving sketch, kept as a binary heap, and the choice of replication candidates.
 #include "catalogue/demand.h"
 
 #include <algorithm>
@@ -5,110 +6,117 @@
 
 namespace violettide::catalogue {
 
-Demand::Demand(std::size_t size, Span half_life)
-    : most_(std::max<std::size_t>(1, size)), half_life_(half_life) {
-  counters_.reserve(most_);
+Demand::Demand(std::size_t capacity, Span half_life)
+    : capacity_(std::max<std::size_t>(1, capacity)), half_life_(half_life) {
+  counters_.reserve(capacity_);
 }
 
-// All counts fade alike, so their order, and the heap, stay as they are.
-void Demand::fade(Span now) {
-  if (now <= faded_at_)
+// Decays all counts by the same factor, which leaves the heap in order.
+void Demand::decay(Span now) {
+  if (now <= decayed_at_)
     return;
-  const double kept =
-      std::exp2(-std::chrono::duration<double>(now - faded_at_) / std::chrono::duration<double>(half_life_));
-  if (kept > 0.99)
-    return;  // little by little would cost a pass each time
-  faded_at_ = now;
+  const double remaining = std::exp2(-std::chrono::duration<double>(now - decayed_at_) /
+                                     std::chrono::duration<double>(half_life_));
+  if (remaining > 0.99)
+    return;  // a pass over all counters at each call would cost too much
+  decayed_at_ = now;
   for (auto& counter : counters_)
-    counter.count *= kept, counter.doubt *= kept, counter.turned_away *= kept;
+    counter.count *= remaining, counter.max_error *= remaining, counter.turned_away *= remaining;
 }
 
-void Demand::swap(std::size_t a, std::size_t b) {
+void Demand::swap_counters(std::size_t a, std::size_t b) {
   std::swap(counters_[a], counters_[b]);
-  places_[counters_[a].recording] = a;
-  places_[counters_[b].recording] = b;
+  positions_[counters_[a].recording] = a;
+  positions_[counters_[b].recording] = b;
 }
 
-void Demand::sink(std::size_t at) {
+void Demand::sift_down(std::size_t at) {
   for (;;) {
-    std::size_t least = at;
-    for (const auto below : {2 * at + 1, 2 * at + 2}) {
-      if (below < counters_.size() && counters_[below].count < counters_[least].count)
-        least = below;
+    std::size_t smallest = at;
+    for (const auto child : {2 * at + 1, 2 * at + 2}) {
+      if (child < counters_.size() && counters_[child].count < counters_[smallest].count)
+        smallest = child;
     }
-    if (least == at)
+    if (smallest == at)
       return;
-    swap(at, least);
-    at = least;
+    swap_counters(at, smallest);
+    at = smallest;
   }
 }
 
-// The counter of a recording; a new one takes the place of the least asked and its count, as doubt.
+// Returns the counter of a recording. Once all are in use, a new recording takes over the counter with the
+// smallest count, keeps that count, and notes it as its largest possible error.
 Demand::Counter& Demand::counter(RecordingId recording) {
-  if (const auto found = places_.find(recording); found != places_.end())
+  if (const auto found = positions_.find(recording); found != positions_.end())
     return counters_[found->second];
-  if (counters_.size() < most_) {
+  if (counters_.size() < capacity_) {
     counters_.push_back({recording, 0, 0, 0});
     std::size_t at = counters_.size() - 1;
-    places_[recording] = at;
+    positions_[recording] = at;
     while (at > 0 && counters_[at].count < counters_[(at - 1) / 2].count) {
-      swap(at, (at - 1) / 2);
+      swap_counters(at, (at - 1) / 2);
       at = (at - 1) / 2;
     }
     return counters_[at];
   }
-  auto& least = counters_.front();
-  places_.erase(least.recording);
-  least = {recording, least.count, least.count, 0};
-  places_[recording] = 0;
-  return least;
+  auto& smallest = counters_.front();
+  positions_.erase(smallest.recording);
+  smallest = {recording, smallest.count, smallest.count, 0};
+  positions_[recording] = 0;
+  return smallest;
 }
 
-void Demand::asked(Span now, RecordingId recording) {
-  fade(now);
+void Demand::record_request(Span now, RecordingId recording) {
+  decay(now);
   counter(recording).count += 1;
-  sink(places_.at(recording));
+  sift_down(positions_.at(recording));
 }
 
-void Demand::turned_away(Span now, RecordingId recording) {
-  fade(now);
-  const auto found = places_.find(recording);
-  if (found != places_.end())
+void Demand::record_turned_away(Span now, RecordingId recording) {
+  decay(now);
+  const auto found = positions_.find(recording);
+  if (found != positions_.end())
     counters_[found->second].turned_away += 1;
 }
 
-double Demand::asked_of(RecordingId recording) const {
-  const auto found = places_.find(recording);
-  return found == places_.end() ? 0 : counters_[found->second].count;
+double Demand::estimated_requests(RecordingId recording) const {
+  const auto found = positions_.find(recording);
+  return found == positions_.end() ? 0 : counters_[found->second].count;
 }
 
-std::vector<Wanted> Demand::wanting(Span now, const Snapshot& snapshot, double link_kb, double playback_kb,
-                                    Span life, double fill, std::size_t most) {
-  fade(now);
-  std::vector<Wanted> wanting;
-  // A count that halves in each half-life stands for so many seconds of arrivals.
-  const double window = std::chrono::duration<double>(half_life_).count() / std::log(2.0);
+std::vector<ReplicationCandidate> Demand::replication_candidates(Span now, const Snapshot& snapshot,
+                                                                 double link_kb_per_s, double playback_kb_per_s,
+                                                                 Span playback_length, double min_utilization,
+                                                                 std::size_t limit) {
+  decay(now);
+  std::vector<ReplicationCandidate> candidates;
+  // A count that decays with this half-life equals the mean rate of arrivals times half_life / ln 2.
+  const double window_s = std::chrono::duration<double>(half_life_).count() / std::log(2.0);
   for (const auto& counter : counters_) {
     const auto* entry = snapshot.find(counter.recording);
     if (!entry)
       continue;
-    Wanted one{counter.recording,   counter.count,          counter.doubt,
-               counter.turned_away, entry->holders->size(), 0};
-    const double sure = std::max(0.0, counter.count - counter.doubt);
-    const double playing = sure / window * std::chrono::duration<double>(life).count();
-    const double given = link_kb * static_cast<double>(one.holders);
-    one.fill = given > 0 ? playing * playback_kb / given : (sure > 0 ? 1e9 : 0);
-    if (one.fill > fill || one.turned_away >= 1)
-      wanting.push_back(one);
+    ReplicationCandidate candidate{counter.recording,   counter.count,          counter.max_error,
+                                   counter.turned_away, entry->holders->size(), 0};
+    const double certain_requests = std::max(0.0, counter.count - counter.max_error);
+    const double concurrent_playbacks =
+        certain_requests / window_s * std::chrono::duration<double>(playback_length).count();
+    const double capacity_kb_per_s = link_kb_per_s * static_cast<double>(candidate.holders);
+    candidate.link_utilization =
+        capacity_kb_per_s > 0 ? concurrent_playbacks * playback_kb_per_s / capacity_kb_per_s : (certain_requests > 0 ? 1e9 : 0);
+    if (candidate.link_utilization > min_utilization || candidate.turned_away >= 1)
+      candidates.push_back(candidate);
   }
-  std::sort(wanting.begin(), wanting.end(), [](const Wanted& a, const Wanted& b) {
-    if (a.turned_away != b.turned_away)
-      return a.turned_away > b.turned_away;
-    return a.fill != b.fill ? a.fill > b.fill : a.recording < b.recording;
-  });
-  if (wanting.size() > most)
-    wanting.resize(most);
-  return wanting;
+  std::sort(candidates.begin(), candidates.end(),
+            [](const ReplicationCandidate& a, const ReplicationCandidate& b) {
+              if (a.turned_away != b.turned_away)
+                return a.turned_away > b.turned_away;
+              return a.link_utilization != b.link_utilization ? a.link_utilization > b.link_utilization
+                                                              : a.recording < b.recording;
+            });
+  if (candidates.size() > limit)
+    candidates.resize(limit);
+  return candidates;
 }
 
 }  // namespace violettide::catalogue
--- a/src/catalogue/demand.h
+++ b/src/catalogue/demand.h
@@ -1,6 +1,6 @@
-// Which recordings want more copies: demand of late against what their holders can give. A sketch keeps the
-// most asked ones (space-saving, halved as time passes), so that memory stays the same however many
-// recordings there are. The front does not copy; it tells.
+// Finds the recordings that need more replicas: compares recent demand with what their boxes' links can
+// deliver. A space-saving sketch with exponential decay counts the most requested recordings in constant
+// memory, however many there are. The front copies nothing; it only reports.
 #pragma once
 
 #include <unordered_map>
@@ -10,43 +10,48 @@
 
 namespace violettide::catalogue {
 
-struct Wanted {
+// A recording whose holders can't meet its demand.
+struct ReplicationCandidate {
   RecordingId recording = 0;
-  double asked = 0;  // playbacks of late, never under the truth by more than `doubt`
-  double doubt = 0;
-  double turned_away = 0;  // of them, for want of room at its holders
+  double requests = 0;  // decayed count of playbacks; over the true one by `max_error` at most, never under
+  double max_error = 0;
+  double turned_away = 0;  // decayed count of viewers turned away because its holders were full
   std::size_t holders = 0;
-  double fill = 0;  // what is asked over what its holders' links give, if it had them alone
+  double link_utilization = 0;  // its demand over the capacity of its holders' links
 };
 
 class Demand {
  public:
-  // Keeps `size` recordings at the most; demand halves in each `half_life`.
-  Demand(std::size_t size, Span half_life);
-  void asked(Span now, RecordingId recording);
-  void turned_away(Span now, RecordingId recording);
-  // Those that fill over `fill` of their holders' links, or whose viewers were turned away, most wanting
-  // first. `link_kb`: a holder's link; `playback_kb`: what one playback asks; `life`: how long it lasts.
-  std::vector<Wanted> wanting(Span now, const Snapshot& snapshot, double link_kb, double playback_kb,
-                              Span life, double fill, std::size_t most);
-  double asked_of(RecordingId recording) const;
+  // Counts at most `capacity` recordings; counts halve in each `half_life`.
+  Demand(std::size_t capacity, Span half_life);
+  void record_request(Span now, RecordingId recording);
+  // Ignored for a recording that the sketch doesn't count.
+  void record_turned_away(Span now, RecordingId recording);
+  // At most `limit` recordings whose demand exceeds `min_utilization` of their holders' links, or whose
+  // viewers were turned away; the most urgent first. `link_kb_per_s`: capacity of one holder's link, kB/s;
+  // `playback_kb_per_s`: rate of one playback, kB/s; `playback_length`: how long one lasts.
+  std::vector<ReplicationCandidate> replication_candidates(Span now, const Snapshot& snapshot, double link_kb_per_s,
+                                                           double playback_kb_per_s, Span playback_length,
+                                                           double min_utilization, std::size_t limit);
+  // The decayed count of a recording; 0 if the sketch doesn't count it.
+  double estimated_requests(RecordingId recording) const;
   std::size_t size() const { return counters_.size(); }
 
  private:
   struct Counter {
     RecordingId recording = 0;
-    double count = 0, doubt = 0, turned_away = 0;
+    double count = 0, max_error = 0, turned_away = 0;
   };
-  void fade(Span now);
+  void decay(Span now);
   Counter& counter(RecordingId recording);
-  void sink(std::size_t at);
-  void swap(std::size_t a, std::size_t b);
+  void sift_down(std::size_t at);
+  void swap_counters(std::size_t a, std::size_t b);
 
-  std::size_t most_;
+  std::size_t capacity_;
   Span half_life_;
-  Span faded_at_{0};
-  std::vector<Counter> counters_;  // a heap, the least asked first
-  std::unordered_map<RecordingId, std::size_t> places_;
+  Span decayed_at_{0};
+  std::vector<Counter> counters_;  // a min-heap by count
+  std::unordered_map<RecordingId, std::size_t> positions_;
 };
 
 }  // namespace violettide::catalogue
--- a/src/cataloguestore/store.cpp
+++ b/src/cataloguestore/store.cpp
@@ -152,7 +152,7 @@
 }
 Store::~Store() = default;
 
-Found Store::restore_to(catalogue::Keeper& keeper) {
+Found Store::restore_to(catalogue::Replica& keeper) {
   Found found;
   const auto damage = [&](const std::string& what) {
     found.damaged = true;
@@ -184,12 +184,12 @@
         return false;
       }
       auto changes = cataloguewire::read_changes(text);
-      if (const auto* bad = std::get_if<cataloguewire::BadJson>(&changes); bad && !whole) {
+      if (const auto* bad = std::get_if<cataloguewire::JsonError>(&changes); bad && !whole) {
         damage("batch " + std::to_string(revision) + ", " + bad->place + ": " + bad->cause);
         return false;
       }
       std::optional<std::string> refused;
-      auto list = std::holds_alternative<cataloguewire::BadJson>(changes)
+      auto list = std::holds_alternative<cataloguewire::JsonError>(changes)
                       ? std::vector<catalogue::Change>{}
                       : std::get<std::vector<catalogue::Change>>(std::move(changes));
       if (whole) {
@@ -216,7 +216,7 @@
   if (!found.damaged) {
     // A long log is made short here: a snapshot first, then the rows that it covers.
     if (at >= snapshot_every_ && database_->rows() >= snapshot_every_ &&
-        write_snapshot(snapshot_path, *keeper.present()).empty())
+        write_snapshot(snapshot_path, *keeper.current()).empty())
       database_->run("DELETE FROM log");
     return found;
   }
@@ -235,7 +235,7 @@
   database_ = std::make_unique<Database>(path);
   if (auto failed = database_->prepare(); !failed.empty())
     throw Unusable{failed};
-  if (auto failed = write_snapshot(snapshot_path, *keeper.present()); !failed.empty())
+  if (auto failed = write_snapshot(snapshot_path, *keeper.current()); !failed.empty())
     throw Unusable{failed};
   found.told +=
       "; restored to revision " + std::to_string(at) + ", later changes are missing; put aside as " + aside;
@@ -255,9 +255,9 @@
 
 std::string write_snapshot(const std::string& path, const catalogue::Snapshot& snapshot) {
   std::string plain =
-      std::to_string(snapshot.revision) + " " + std::to_string(snapshot.sums.recordings) + "\n";
-  snapshot.each([&](const std::string& title, const catalogue::Entry& entry) {
-    plain += cataloguewire::text_of(snapshot.recording_of(title, entry)) + "\n";
+      std::to_string(snapshot.revision) + " " + std::to_string(snapshot.totals.recordings) + "\n";
+  snapshot.for_each([&](const std::string& title, const catalogue::Entry& entry) {
+    plain += cataloguewire::json_text(snapshot.recording_of(title, entry)) + "\n";
   });
   const auto sum = sum_of(snapshot.revision, plain);
   plain.append(reinterpret_cast<const char*>(&sum), sizeof sum);
@@ -289,8 +289,8 @@
     return {0, {}, "does not match its checksum"};
   for (std::size_t from = plain.find('\n') + 1; from < plain.size();) {
     const auto end = plain.find('\n', from);
-    auto recording = cataloguewire::read_own_recording(std::string_view(plain).substr(from, end - from));
-    if (const auto* bad = std::get_if<cataloguewire::BadJson>(&recording))
+    auto recording = cataloguewire::read_stored_recording(std::string_view(plain).substr(from, end - from));
+    if (const auto* bad = std::get_if<cataloguewire::JsonError>(&recording))
       return {0,
               {},
               "recording " + std::to_string(read.recordings.size()) + ", " + bad->place + ": " + bad->cause};
--- a/src/cataloguestore/store.h
+++ b/src/cataloguestore/store.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "runtime/runtime.h"
 
 namespace violettide::cataloguestore {
@@ -28,7 +28,7 @@
   ~Store() override;
   // Hands the kept catalogue to a keeper. A damaged store goes back to its last good state, is put aside and
   // begun anew from there; what is missing is told.
-  Found restore_to(catalogue::Keeper& keeper);
+  Found restore_to(catalogue::Replica& keeper);
   std::string keep(std::uint64_t revision, const std::string& changes, bool whole) override;
 
  private:
--- a/src/cataloguewire/json.cpp
+++ b/src/cataloguewire/json.cpp
@@ -1,3 +1,4 @@
+// Schema checks by valijson, and the conversions between JSON and the catalogue's types.
 #include "cataloguewire/json.h"
 
 #include <nlohmann/json.hpp>
@@ -17,57 +18,58 @@
 using Json = nlohmann::json;
 using Adapter = valijson::adapters::NlohmannJsonAdapter;
 
-// The published schema, read once.
+// The published schema, parsed once.
 const Json& schema_json() {
   static const Json json = Json::parse(schema_text);
   return json;
 }
 const valijson::Schema& changes_schema() {
   static const auto schema = [] {
-    auto made = std::make_unique<valijson::Schema>();
-    valijson::SchemaParser().populateSchema(Adapter(schema_json()), *made);
-    return made;
+    auto parsed = std::make_unique<valijson::Schema>();
+    valijson::SchemaParser().populateSchema(Adapter(schema_json()), *parsed);
+    return parsed;
   }();
   return *schema;
 }
 const valijson::Schema& recording_schema() {
   static const Json json = [] {
-    Json made = schema_json()["definitions"]["recording"];
-    made["definitions"] = schema_json()["definitions"];
-    return made;
+    Json recording = schema_json()["definitions"]["recording"];
+    recording["definitions"] = schema_json()["definitions"];
+    return recording;
   }();
   static const auto schema = [] {
-    auto made = std::make_unique<valijson::Schema>();
-    valijson::SchemaParser().populateSchema(Adapter(json), *made);
-    return made;
+    auto parsed = std::make_unique<valijson::Schema>();
+    valijson::SchemaParser().populateSchema(Adapter(json), *parsed);
+    return parsed;
   }();
   return *schema;
 }
 
-// `<root>[changes][3][put]` as `changes[3].put`.
-std::string place_of(const std::vector<std::string>& context) {
-  std::string place;
+// Formats the validator's path `<root>[changes][3][put]` as `changes[3].put`.
+std::string json_path_of(const std::vector<std::string>& context) {
+  std::string path;
   for (std::size_t i = 1; i < context.size(); ++i) {
     auto part = context[i];
     if (part.size() > 2 && part.front() == '[')
       part = part.substr(1, part.size() - 2);
     const bool index = !part.empty() && part.find_first_not_of("0123456789") == std::string::npos;
     if (index)
-      place += "[" + part + "]";
+      path += "[" + part + "]";
     else
-      place += (place.empty() ? "" : ".") + part;
+      path += (path.empty() ? "" : ".") + part;
   }
-  return place.empty() ? "body" : place;
+  return path.empty() ? "body" : path;
 }
 
-std::variant<Json, BadJson> parsed(std::string_view text, const valijson::Schema* schema) {
+// Parses a text and checks it against a schema, unless that is null.
+std::variant<Json, JsonError> parse_json(std::string_view text, const valijson::Schema* schema) {
   Json json;
   try {
     json = Json::parse(text);
   } catch (const Json::parse_error& error) {
-    return BadJson{"byte " + std::to_string(error.byte), "not JSON"};
+    return JsonError{"byte " + std::to_string(error.byte), "not JSON"};
   } catch (const Json::exception&) {
-    return BadJson{"body", "a number beyond all bounds"};
+    return JsonError{"body", "a number out of range"};
   }
   if (!schema)
     return json;
@@ -75,13 +77,13 @@
   valijson::Validator validator;
   if (validator.validate(*schema, Adapter(json), &results))
     return json;
-  // The deepest complaint says which field of which entry; those above it only that something is wrong.
+  // The error with the deepest path names the field at fault; those above it only say that a part is invalid.
   valijson::ValidationResults::Error error, deepest;
   while (results.popError(error)) {
     if (error.context.size() > deepest.context.size())
       deepest = error;
   }
-  return BadJson{place_of(deepest.context), deepest.description};
+  return JsonError{json_path_of(deepest.context), deepest.description};
 }
 
 Rendition rendition_of(const Json& json) {
@@ -136,26 +138,26 @@
     json["locations"].push_back(json_of(one));
   return json;
 }
-struct Said {
-  Json operator()(const PutRecording& c) const { return {{"put", json_of(c.recording)}}; }
-  Json operator()(const RemoveRecording& c) const { return {{"remove", c.title}}; }
-  Json operator()(const PutRendition& c) const {
-    return {{"put_rendition", {{"title", c.title}, {"rendition", json_of(c.rendition)}}}};
+struct ChangeToJson {
+  Json operator()(const PutRecording& change) const { return {{"put", json_of(change.recording)}}; }
+  Json operator()(const RemoveRecording& change) const { return {{"remove", change.title}}; }
+  Json operator()(const PutRendition& change) const {
+    return {{"put_rendition", {{"title", change.title}, {"rendition", json_of(change.rendition)}}}};
   }
-  Json operator()(const RemoveRendition& c) const {
-    return {{"remove_rendition", {{"title", c.title}, {"name", c.name}}}};
+  Json operator()(const RemoveRendition& change) const {
+    return {{"remove_rendition", {{"title", change.title}, {"name", change.name}}}};
   }
-  Json operator()(const PutLocation& c) const {
-    return {{"put_location", {{"title", c.title}, {"location", json_of(c.location)}}}};
+  Json operator()(const PutLocation& change) const {
+    return {{"put_location", {{"title", change.title}, {"location", json_of(change.location)}}}};
   }
-  Json operator()(const RemoveLocation& c) const {
-    return {{"remove_location", {{"title", c.title}, {"box", c.box}}}};
+  Json operator()(const RemoveLocation& change) const {
+    return {{"remove_location", {{"title", change.title}, {"box", change.box}}}};
   }
 };
 Json json_of(const std::vector<Change>& changes) {
   Json list = Json::array();
   for (const auto& change : changes)
-    list.push_back(std::visit(Said{}, change));
+    list.push_back(std::visit(ChangeToJson{}, change));
   return {{"changes", std::move(list)}};
 }
 
@@ -166,81 +168,82 @@
   return changes;
 }
 
-std::string dumped(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
+// Invalid UTF-8 in names is replaced, so that serialising never throws.
+std::string dump(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 }  // namespace
 
-std::variant<std::vector<Change>, BadJson> read_changes(std::string_view text) {
-  auto json = parsed(text, &changes_schema());
-  if (auto* bad = std::get_if<BadJson>(&json))
-    return *bad;
+std::variant<std::vector<Change>, JsonError> read_changes(std::string_view text) {
+  auto json = parse_json(text, &changes_schema());
+  if (auto* error = std::get_if<JsonError>(&json))
+    return *error;
   return changes_of(std::get<Json>(json));
 }
 
-std::variant<Recording, BadJson> read_recording(std::string_view text) {
-  auto json = parsed(text, &recording_schema());
-  if (auto* bad = std::get_if<BadJson>(&json))
-    return *bad;
+std::variant<Recording, JsonError> read_recording(std::string_view text) {
+  auto json = parse_json(text, &recording_schema());
+  if (auto* error = std::get_if<JsonError>(&json))
+    return *error;
   return recording_of(std::get<Json>(json));
 }
 
-std::variant<Recording, BadJson> read_own_recording(std::string_view text) {
+std::variant<Recording, JsonError> read_stored_recording(std::string_view text) {
   try {
     return recording_of(Json::parse(text));
   } catch (const Json::exception& error) {
-    return BadJson{"recording", error.what()};
+    return JsonError{"recording", error.what()};
   }
 }
 
-std::string text_of(const Recording& recording) { return dumped(json_of(recording)); }
-std::string text_of(const std::vector<Change>& changes) { return dumped(json_of(changes)); }
+std::string json_text(const Recording& recording) { return dump(json_of(recording)); }
+std::string json_text(const std::vector<Change>& changes) { return dump(json_of(changes)); }
 
-std::string feed_text(Revision from,
+std::string feed_json(Revision first_revision,
                       const std::vector<std::pair<Revision, const std::vector<Change>*>>& batches) {
   Json list = Json::array();
   for (const auto& [revision, changes] : batches)
     list.push_back(json_of(*changes));
-  return dumped({{"from", from}, {"batches", std::move(list)}});
+  return dump({{"from", first_revision}, {"batches", std::move(list)}});
 }
 
-std::string whole_text(const Snapshot& snapshot) {
+std::string snapshot_json(const Snapshot& snapshot) {
   Json list = Json::array();
-  snapshot.each([&](const std::string& title, const Entry& entry) {
+  snapshot.for_each([&](const std::string& title, const Entry& entry) {
     list.push_back(json_of(snapshot.recording_of(title, entry)));
   });
-  return dumped({{"revision", snapshot.revision}, {"recordings", std::move(list)}});
-}
-
-std::variant<Fed, FedWhole, BadJson> read_feed(std::string_view text) {
-  auto json = parsed(text, nullptr);
-  if (auto* bad = std::get_if<BadJson>(&json))
-    return *bad;
-  const auto& said = std::get<Json>(json);
-  if (!said.is_object())
-    return BadJson{"body", "expected an object"};
-  const auto whole_number = [&](const char* key) {
-    return said.contains(key) && said[key].is_number_unsigned();
+  return dump({{"revision", snapshot.revision}, {"recordings", std::move(list)}});
+}
+
+std::variant<FeedBatches, FeedSnapshot, JsonError> read_feed(std::string_view text) {
+  auto json = parse_json(text, nullptr);
+  if (auto* error = std::get_if<JsonError>(&json))
+    return *error;
+  const auto& document = std::get<Json>(json);
+  if (!document.is_object())
+    return JsonError{"body", "expected an object"};
+  const auto is_unsigned = [&](const char* key) {
+    return document.contains(key) && document[key].is_number_unsigned();
   };
   valijson::Validator validator;
-  if (whole_number("revision") && said.contains("recordings") && said["recordings"].is_array()) {
-    FedWhole whole{said["revision"], {}};
-    for (std::size_t i = 0; i < said["recordings"].size(); ++i) {
-      if (!validator.validate(recording_schema(), Adapter(said["recordings"][i]), nullptr))
-        return BadJson{"recordings[" + std::to_string(i) + "]", "not a recording by the schema"};
-      whole.recordings.push_back(recording_of(said["recordings"][i]));
+  if (is_unsigned("revision") && document.contains("recordings") && document["recordings"].is_array()) {
+    FeedSnapshot snapshot{document["revision"], {}};
+    for (std::size_t i = 0; i < document["recordings"].size(); ++i) {
+      if (!validator.validate(recording_schema(), Adapter(document["recordings"][i]), nullptr))
+        return JsonError{"recordings[" + std::to_string(i) + "]", "does not match the schema of a recording"};
+      snapshot.recordings.push_back(recording_of(document["recordings"][i]));
     }
-    return whole;
+    return snapshot;
   }
-  if (whole_number("from") && said.contains("batches") && said["batches"].is_array()) {
-    Fed fed{said["from"], {}};
-    for (std::size_t i = 0; i < said["batches"].size(); ++i) {
-      if (!validator.validate(changes_schema(), Adapter(said["batches"][i]), nullptr))
-        return BadJson{"batches[" + std::to_string(i) + "]", "not changes by the schema"};
-      fed.batches.push_back(changes_of(said["batches"][i]));
+  if (is_unsigned("from") && document.contains("batches") && document["batches"].is_array()) {
+    FeedBatches feed{document["from"], {}};
+    for (std::size_t i = 0; i < document["batches"].size(); ++i) {
+      if (!validator.validate(changes_schema(), Adapter(document["batches"][i]), nullptr))
+        return JsonError{"batches[" + std::to_string(i) + "]", "does not match the schema of changes"};
+      feed.batches.push_back(changes_of(document["batches"][i]));
     }
-    return fed;
+    return feed;
   }
-  return BadJson{"body", "expected from and batches, or revision and recordings"};
+  return JsonError{"body", "expected 'from' and 'batches', or 'revision' and 'recordings'"};
 }
 
 }  // namespace violettide::cataloguewire
--- a/src/cataloguewire/resource.cpp
+++ b/src/cataloguewire/resource.cpp
@@ -1,3 +1,4 @@
+// Routing, validation and the HTTP status of each outcome.
 #include "cataloguewire/resource.h"
 
 #include <algorithm>
@@ -13,22 +14,22 @@
 using namespace catalogue;
 using Json = nlohmann::json;
 
-constexpr std::int64_t longest_wait_ms = 30'000;
-constexpr std::size_t feed_most = 256;  // batches in one answer
+constexpr std::int64_t max_wait_ms = 30'000;        // of a long poll
+constexpr std::size_t max_batches_per_reply = 256;  // of the feed
 
-std::string quoted(Revision revision) { return "\"" + std::to_string(revision) + "\""; }
+std::string etag_of(Revision revision) { return "\"" + std::to_string(revision) + "\""; }
 
-Reply told(int status, Revision revision, Json body) {
+Reply json_reply(int status, Revision revision, Json body) {
   body["revision"] = revision;
   return {status,
-          {{"Content-Type", "application/json"}, {"ETag", quoted(revision)}},
+          {{"Content-Type", "application/json"}, {"ETag", etag_of(revision)}},
           body.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n"};
 }
-Reply refused(int status, Revision revision, const std::string& place, const std::string& cause) {
-  return told(status, revision, {{"error", {{"place", place}, {"cause", cause}}}});
+Reply error_reply(int status, Revision revision, const std::string& place, const std::string& cause) {
+  return json_reply(status, revision, {{"error", {{"place", place}, {"cause", cause}}}});
 }
 
-std::optional<std::uint64_t> number(std::string_view text) {
+std::optional<std::uint64_t> parse_number(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size())
@@ -36,16 +37,17 @@
   return value;
 }
 
-std::optional<std::string> argument(std::string_view target, std::string_view name) {
-  const auto question = target.find('?');
-  if (question == std::string_view::npos)
+// The decoded value of a query parameter; absent: not given, or its encoding is malformed.
+std::optional<std::string> query_parameter(std::string_view target, std::string_view name) {
+  const auto query_start = target.find('?');
+  if (query_start == std::string_view::npos)
     return std::nullopt;
-  auto query = target.substr(question + 1);
+  auto query = target.substr(query_start + 1);
   while (!query.empty()) {
     const auto end = std::min(query.find('&'), query.size());
-    const auto one = query.substr(0, end);
-    if (one.starts_with(name) && one.size() > name.size() && one[name.size()] == '=')
-      return http::percent_decoded(one.substr(name.size() + 1));
+    const auto parameter = query.substr(0, end);
+    if (parameter.starts_with(name) && parameter.size() > name.size() && parameter[name.size()] == '=')
+      return http::percent_decoded(parameter.substr(name.size() + 1));
     query.remove_prefix(std::min(query.size(), end + 1));
   }
   return std::nullopt;
@@ -53,143 +55,146 @@
 
 }  // namespace
 
-Meaning read_request(const http::Request& request, const Keeper& keeper) {
-  const auto& snapshot = *keeper.present();
-  const auto present = snapshot.revision;
+CatalogueRequest read_request(const http::Request& request, const Replica& replica) {
+  const auto& snapshot = *replica.current();
+  const auto current = snapshot.revision;
   const std::string_view target = request.target;
-  std::vector<std::string> parts;
+  std::vector<std::string> segments;
   for (auto path = target.substr(0, target.find('?')); !path.empty();) {
     path.remove_prefix(1);
     const auto end = std::min(path.find('/'), path.size());
-    const auto part = http::percent_decoded(path.substr(0, end));
-    if (!part)
-      return refused(400, present, "path", "malformed percent-encoding");
-    parts.push_back(*part);
+    const auto segment = http::percent_decoded(path.substr(0, end));
+    if (!segment)
+      return error_reply(400, current, "path", "malformed percent-encoding");
+    segments.push_back(*segment);
     path.remove_prefix(end);
   }
-  const auto nowhere = [&] { return refused(404, present, "path", "no such resource"); };
-  if (parts.empty() || parts[0] != "catalogue")
-    return nowhere();
+  const auto not_found = [&] { return error_reply(404, current, "path", "no such resource"); };
+  if (segments.empty() || segments[0] != "catalogue")
+    return not_found();
   const auto& method = request.method;
-  const auto only = [&](const char* methods) {
-    auto reply = refused(405, present, "method", std::string("expected ") + methods);
+  const auto method_not_allowed = [&](const char* methods) {
+    auto reply = error_reply(405, current, "method", std::string("expected ") + methods);
     reply.fields.emplace_back("Allow", methods);
     return reply;
   };
-  Asked asked;
-  asked.confirmed = argument(target, "confirm") == "true";
+  ChangeRequest change_request;
+  change_request.confirmed = query_parameter(target, "confirm") == "true";
   if (const auto* match = http::find(request.fields, "If-Match"); match && *match != "*") {
     const bool is_quoted = match->size() > 2 && match->front() == '"' && match->back() == '"';
     const auto revision =
-        is_quoted ? number(std::string_view(*match).substr(1, match->size() - 2)) : std::nullopt;
+        is_quoted ? parse_number(std::string_view(*match).substr(1, match->size() - 2)) : std::nullopt;
     if (!revision)
-      return refused(400, present, "If-Match", "expected a revision in quotes, or *");
-    asked.if_revision = *revision;
+      return error_reply(400, current, "If-Match", "expected a revision in quotes, or *");
+    change_request.expected_revision = *revision;
   }
-  if (parts.size() == 1) {
+  if (segments.size() == 1) {
     if (method != "GET")
-      return only("GET");
-    return told(200, present,
-                {{"recordings", snapshot.sums.recordings}, {"locations", snapshot.sums.locations}});
+      return method_not_allowed("GET");
+    return json_reply(200, current,
+                      {{"recordings", snapshot.totals.recordings}, {"locations", snapshot.totals.locations}});
   }
-  if (parts.size() == 2 && parts[1] == "whole") {
+  if (segments.size() == 2 && segments[1] == "whole") {
     if (method != "GET")
-      return only("GET");
+      return method_not_allowed("GET");
     return Reply{
-        200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, whole_text(snapshot)};
+        200, {{"Content-Type", "application/json"}, {"ETag", etag_of(current)}}, snapshot_json(snapshot)};
   }
-  if (parts.size() == 2 && parts[1] == "wanting") {
+  if (segments.size() == 2 && segments[1] == "wanting") {
     if (method != "GET")
-      return only("GET");
-    return AskWanting{};
+      return method_not_allowed("GET");
+    return ListReplicationCandidates{};
   }
-  if (parts.size() == 2 && parts[1] == "feed") {
+  if (segments.size() == 2 && segments[1] == "feed") {
     if (method != "GET")
-      return only("GET");
-    const auto after = number(argument(target, "after").value_or(""));
+      return method_not_allowed("GET");
+    const auto after = parse_number(query_parameter(target, "after").value_or(""));
     if (!after)
-      return refused(400, present, "after", "expected a revision");
-    const auto wait = number(argument(target, "wait_ms").value_or("0"));
+      return error_reply(400, current, "after", "expected a revision");
+    const auto wait = parse_number(query_parameter(target, "wait_ms").value_or("0"));
     if (!wait)
-      return refused(400, present, "wait_ms", "expected a time in ms");
-    return FeedWait{*after, std::chrono::milliseconds(std::min<std::uint64_t>(*wait, longest_wait_ms))};
+      return error_reply(400, current, "wait_ms", "expected a time in ms");
+    return FeedLongPoll{*after, std::chrono::milliseconds(std::min<std::uint64_t>(*wait, max_wait_ms))};
   }
-  if (parts.size() == 2 && parts[1] == "changes") {
+  if (segments.size() == 2 && segments[1] == "changes") {
     if (method != "POST")
-      return only("POST");
+      return method_not_allowed("POST");
     auto changes = read_changes(request.body);
-    if (const auto* bad = std::get_if<BadJson>(&changes))
-      return refused(400, present, bad->place, bad->cause);
-    asked.changes = std::get<std::vector<Change>>(std::move(changes));
-    return asked;
+    if (const auto* error = std::get_if<JsonError>(&changes))
+      return error_reply(400, current, error->place, error->cause);
+    change_request.changes = std::get<std::vector<Change>>(std::move(changes));
+    return change_request;
   }
-  if (parts[1] != "recordings" || parts.size() < 3)
-    return nowhere();
-  const auto& title = parts[2];
-  // A body that stands for a part of a change is checked as that change.
-  const auto change = [&](const char* kind, Json whole) -> Meaning {
+  if (segments[1] != "recordings" || segments.size() < 3)
+    return not_found();
+  const auto& title = segments[2];
+  // Requests on one item are turned into a batch of one change, so that the same schema checks them.
+  const auto single_change = [&](const char* kind, Json value) -> CatalogueRequest {
     auto changes = read_changes(
-        Json{{"changes", {{{kind, std::move(whole)}}}}}.dump(-1, ' ', false, Json::error_handler_t::replace));
-    if (const auto* bad = std::get_if<BadJson>(&changes))
-      return refused(400, present, bad->place, bad->cause);
-    asked.changes = std::get<std::vector<Change>>(std::move(changes));
-    return asked;
+        Json{{"changes", {{{kind, std::move(value)}}}}}.dump(-1, ' ', false, Json::error_handler_t::replace));
+    if (const auto* error = std::get_if<JsonError>(&changes))
+      return error_reply(400, current, error->place, error->cause);
+    change_request.changes = std::get<std::vector<Change>>(std::move(changes));
+    return change_request;
   };
   Json body = Json::object();
   if (method == "PUT" && !request.body.empty()) {
     body = Json::parse(request.body, nullptr, false);
     if (body.is_discarded() || !body.is_object())
-      return refused(400, present, "body", "expected a JSON object");
+      return error_reply(400, current, "body", "expected a JSON object");
   }
-  if (parts.size() == 3) {
+  if (segments.size() == 3) {
     if (method == "GET") {
       const auto recording = snapshot.recording(title);
       if (!recording)
-        return refused(404, present, "title", "no recording '" + title + "'");
-      return Reply{
-          200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, text_of(*recording) + "\n"};
+        return error_reply(404, current, "title", "no recording '" + title + "'");
+      return Reply{200,
+                   {{"Content-Type", "application/json"}, {"ETag", etag_of(current)}},
+                   json_text(*recording) + "\n"};
     }
     if (method == "PUT") {
       if (body.contains("title") && body["title"] != title)
-        return refused(400, present, "title", "not the one in the path");
+        return error_reply(400, current, "title", "differs from the title in the path");
       body["title"] = title;
-      return change("put", std::move(body));
+      return single_change("put", std::move(body));
     }
     if (method == "DELETE")
-      return change("remove", title);
-    return only("GET, PUT, DELETE");
+      return single_change("remove", title);
+    return method_not_allowed("GET, PUT, DELETE");
   }
-  if (parts.size() == 5 && (parts[3] == "locations" || parts[3] == "renditions")) {
-    const bool location = parts[3] == "locations";
+  if (segments.size() == 5 && (segments[3] == "locations" || segments[3] == "renditions")) {
+    const bool location = segments[3] == "locations";
     const char* key = location ? "box" : "name";
     if (method == "PUT") {
-      body[key] = parts[4];
-      return change(location ? "put_location" : "put_rendition",
-                    {{"title", title}, {location ? "location" : "rendition", std::move(body)}});
+      body[key] = segments[4];
+      return single_change(location ? "put_location" : "put_rendition",
+                           {{"title", title}, {location ? "location" : "rendition", std::move(body)}});
     }
     if (method == "DELETE")
-      return change(location ? "remove_location" : "remove_rendition", {{"title", title}, {key, parts[4]}});
-    return only("PUT, DELETE");
+      return single_change(location ? "remove_location" : "remove_rendition",
+                           {{"title", title}, {key, segments[4]}});
+    return method_not_allowed("PUT, DELETE");
   }
-  return nowhere();
+  return not_found();
 }
 
-Reply reply_to(const Answer& answer) {
-  switch (answer.how) {
-    case Answered::taken:
-      return told(200, answer.revision, Json::object());
-    case Answered::stale:
-      return refused(412, answer.revision, "If-Match", answer.cause);
-    case Answered::bad:
-      return refused(422, answer.revision,
-                     "changes[" + std::to_string(answer.bad.change) + "]." + answer.bad.field,
-                     answer.bad.cause);
-    case Answered::held:
-      return refused(409, answer.revision, "changes", answer.cause + " with ?confirm=true");
-    case Answered::not_kept:
-      return refused(507, answer.revision, "disk", answer.cause);
-    case Answered::busy: {
-      auto reply = refused(503, answer.revision, "queue", answer.cause);
+Reply reply_to(const ChangeResult& result) {
+  switch (result.outcome) {
+    case ChangeOutcome::accepted:
+      return json_reply(200, result.revision, Json::object());
+    case ChangeOutcome::stale:
+      return error_reply(412, result.revision, "If-Match", result.cause);
+    case ChangeOutcome::invalid:
+      return error_reply(
+          422, result.revision,
+          "changes[" + std::to_string(result.invalid_change.change) + "]." + result.invalid_change.field,
+          result.invalid_change.cause);
+    case ChangeOutcome::confirmation_required:
+      return error_reply(409, result.revision, "changes", result.cause + ": repeat it with ?confirm=true");
+    case ChangeOutcome::not_durable:
+      return error_reply(507, result.revision, "disk", result.cause);
+    case ChangeOutcome::busy: {
+      auto reply = error_reply(503, result.revision, "queue", result.cause);
       reply.fields.emplace_back("Retry-After", "1");
       return reply;
     }
@@ -197,33 +202,37 @@
   return {};
 }
 
-std::optional<Reply> feed_reply(const Keeper& keeper, Revision after) {
-  const auto present = keeper.present()->revision;
-  if (after == present)
+std::optional<Reply> feed_reply(const Replica& replica, Revision after) {
+  const auto current = replica.current()->revision;
+  if (after == current)
     return std::nullopt;
-  const auto batches = keeper.after(after, feed_most);
-  // The log no longer reaches back, or never came so far: take the whole.
+  const auto batches = replica.batches_after(after, max_batches_per_reply);
+  // `after` precedes the log, or is ahead of this replica: the client needs a full snapshot.
   if (!batches)
-    return refused(410, present, "after", "take /catalogue/whole and go on from there");
-  return Reply{
-      200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, feed_text(after + 1, *batches)};
+    return error_reply(410, current, "after",
+                       "not in the log: get /catalogue/whole and continue from its revision");
+  return Reply{200,
+               {{"Content-Type", "application/json"}, {"ETag", etag_of(current)}},
+               feed_json(after + 1, *batches)};
 }
 
-Reply empty_feed(Revision present) {
-  return {200, {{"Content-Type", "application/json"}, {"ETag", quoted(present)}}, feed_text(present + 1, {})};
+Reply empty_feed_reply(Revision current) {
+  return {
+      200, {{"Content-Type", "application/json"}, {"ETag", etag_of(current)}}, feed_json(current + 1, {})};
 }
 
-Reply wanting_reply(const Snapshot& snapshot, const std::vector<Wanted>& wanting) {
+Reply replication_candidates_reply(const Snapshot& snapshot,
+                                   const std::vector<ReplicationCandidate>& candidates) {
   Json list = Json::array();
-  for (const auto& one : wanting) {
-    list.push_back({{"title", snapshot.title(one.recording)},
-                    {"asked", one.asked},
-                    {"doubt", one.doubt},
-                    {"turned_away", one.turned_away},
-                    {"holders", one.holders},
-                    {"fill", one.fill}});
+  for (const auto& candidate : candidates) {
+    list.push_back({{"title", snapshot.title(candidate.recording)},
+                    {"asked", candidate.requests},
+                    {"doubt", candidate.max_error},
+                    {"turned_away", candidate.turned_away},
+                    {"holders", candidate.holders},
+                    {"fill", candidate.link_utilization}});
   }
-  return told(200, snapshot.revision, {{"wanting", std::move(list)}});
+  return json_reply(200, snapshot.revision, {{"wanting", std::move(list)}});
 }
 
 }  // namespace violettide::cataloguewire
--- a/src/cataloguewire/resource.h
+++ b/src/cataloguewire/resource.h
@@ -1,20 +1,21 @@
-// The catalogue as an HTTP resource: what a request asks, and what an answer says. Pure.
-//   GET    /catalogue                               sums; the revision as ETag
+// The catalogue as an HTTP resource: parses requests and builds replies. Free of I/O.
+//   GET    /catalogue                               totals; the revision as ETag
 //   GET    /catalogue/recordings/T                  one recording
-//   PUT    /catalogue/recordings/T                  whole, the title in the path
+//   PUT    /catalogue/recordings/T                  creates or replaces it; the title is taken from the path
 //   DELETE /catalogue/recordings/T
-//   PUT    /catalogue/recordings/T/locations/BOX    (a body may give state and since_ms)
+//   PUT    /catalogue/recordings/T/locations/BOX    the body may give state and since_ms
 //   DELETE /catalogue/recordings/T/locations/BOX
-//   PUT    /catalogue/recordings/T/renditions/N     DELETE likewise
-//   POST   /catalogue/changes                       a batch; ?confirm=true takes a shrink
-//   GET    /catalogue/feed?after=R&wait_ms=W        batches after R, at once or when there are some
-//   GET    /catalogue/whole                         everything
-//   GET    /catalogue/wanting                       recordings in want of copies
-// Changes take If-Match: "R" and get 412 with the present revision when another came first.
+//   PUT    /catalogue/recordings/T/renditions/N
+//   DELETE /catalogue/recordings/T/renditions/N
+//   POST   /catalogue/changes                       a batch; ?confirm=true lets it remove many locations
+//   GET    /catalogue/feed?after=R&wait_ms=W        the batches after R; a long poll, for at most 30 s
+//   GET    /catalogue/whole                         a full snapshot
+//   GET    /catalogue/wanting                       recordings that need more replicas
+// Changes take If-Match: "R" and fail with 412 and the current revision if another change came first.
 #pragma once
 
 #include "catalogue/demand.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "http/http.h"
 
 namespace violettide::cataloguewire {
@@ -24,18 +25,24 @@
   http::Fields fields;
   std::string body;
 };
-struct FeedWait {  // nothing yet: answer when a batch after it comes, or when the time is up
+// A poll of the feed: reply with feed_reply() as soon as it has one, else with empty_feed_reply() after
+// `wait`.
+struct FeedLongPoll {
   catalogue::Revision after = 0;
   Span wait{0};
 };
-struct AskWanting {};
-using Meaning = std::variant<Reply, catalogue::Asked, FeedWait, AskWanting>;
+struct ListReplicationCandidates {};
+// What a request asks for; a Reply where it can be answered at once, also with an error. The caller sets the
+// request_id of a ChangeRequest.
+using CatalogueRequest =
+    std::variant<Reply, catalogue::ChangeRequest, FeedLongPoll, ListReplicationCandidates>;
 
-Meaning read_request(const http::Request& request, const catalogue::Keeper& keeper);
-Reply reply_to(const catalogue::Answer& answer);
-// What a feed gets now; absent: nothing to tell yet.
-std::optional<Reply> feed_reply(const catalogue::Keeper& keeper, catalogue::Revision after);
-Reply empty_feed(catalogue::Revision present);
-Reply wanting_reply(const catalogue::Snapshot& snapshot, const std::vector<catalogue::Wanted>& wanting);
+CatalogueRequest read_request(const http::Request& request, const catalogue::Replica& replica);
+Reply reply_to(const catalogue::ChangeResult& result);
+// The batches after a revision, or status 410 if the log doesn't hold them; absent: there are none yet.
+std::optional<Reply> feed_reply(const catalogue::Replica& replica, catalogue::Revision after);
+Reply empty_feed_reply(catalogue::Revision current);
+Reply replication_candidates_reply(const catalogue::Snapshot& snapshot,
+                                   const std::vector<catalogue::ReplicationCandidate>& candidates);
 
 }  // namespace violettide::cataloguewire
--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -100,7 +100,7 @@
 
 catalogue::Recording recording_at(const std::string& path, std::size_t number, std::string_view line) {
   auto read = cataloguewire::read_recording(line);
-  if (const auto* bad = std::get_if<cataloguewire::BadJson>(&read))
+  if (const auto* bad = std::get_if<cataloguewire::JsonError>(&read))
     throw Unreadable{path + ":" + std::to_string(number) + ": " + bad->place + ": " + bad->cause};
   return std::get<catalogue::Recording>(std::move(read));
 }
@@ -268,7 +268,7 @@
           if (changes.empty())
             return std::nullopt;
           sent += changes.size();
-          return Asker::Ask{"POST", "/catalogue/changes", cataloguewire::text_of(changes)};
+          return Asker::Ask{"POST", "/catalogue/changes", cataloguewire::json_text(changes)};
         },
         [&](int status, const std::string& body) {
           if (status != 200) {
@@ -319,7 +319,7 @@
       Lines lines(path);
       while (const auto line = lines.next()) {
         const auto recording = recording_at(path, lines.number(), *line);
-        if (!recordings.emplace(recording.title, cataloguewire::text_of(recording)).second)
+        if (!recordings.emplace(recording.title, cataloguewire::json_text(recording)).second)
           throw Unreadable{path + ":" + std::to_string(lines.number()) + ": title: '" + recording.title +
                            "' is named twice"};
       }
--- a/src/manager/catalogue_door.cpp
+++ b/src/manager/catalogue_door.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 const catalogue::Entry* Manager::entry_of(const Playback& playback) const {
-  return playback.recording ? keeper_.present()->find(*playback.recording) : nullptr;
+  return playback.recording ? keeper_.current()->find(*playback.recording) : nullptr;
 }
 
 // ---- the resource ----
@@ -36,16 +36,16 @@
     auto meaning =
         terms_.catalogued
             ? cataloguewire::read_request(*request, keeper_)
-            : cataloguewire::Meaning(cataloguewire::Reply{404, {}, "this front has no catalogue\n"});
+            : cataloguewire::CatalogueRequest(cataloguewire::Reply{404, {}, "this front has no catalogue\n"});
     if (auto* reply = std::get_if<cataloguewire::Reply>(&meaning)) {
       control_reply(control, *reply);
-    } else if (auto* asked = std::get_if<catalogue::Asked>(&meaning)) {
-      asked->ticket = link;
+    } else if (auto* asked = std::get_if<catalogue::ChangeRequest>(&meaning)) {
+      asked->request_id = link;
       keeper_did(keeper_.handle(*asked));
-    } else if (std::holds_alternative<cataloguewire::AskWanting>(meaning)) {
-      control_reply(control, cataloguewire::wanting_reply(*keeper_.present(), wanting()));
+    } else if (std::holds_alternative<cataloguewire::ListReplicationCandidates>(meaning)) {
+      control_reply(control, cataloguewire::replication_candidates_reply(*keeper_.current(), wanting()));
     } else {
-      const auto& wait = std::get<cataloguewire::FeedWait>(meaning);
+      const auto& wait = std::get<cataloguewire::FeedLongPoll>(meaning);
       if (const auto reply = cataloguewire::feed_reply(keeper_, wait.after)) {
         control_reply(control, *reply);
       } else {
@@ -81,40 +81,41 @@
   controls_.erase(found);
 }
 
-std::vector<catalogue::Wanted> Manager::wanting() {
+std::vector<catalogue::ReplicationCandidate> Manager::wanting() {
   const auto& rates = terms_.site.rung_kb;
   const double link = terms_.site.link_kb_per_weight;
-  return demand_.wanting(now_, *keeper_.present(), link, rates[rates.size() / 2], usual_life, wanting_fill,
-                         most_wanting);
+  return demand_.replication_candidates(now_, *keeper_.current(), link, rates[rates.size() / 2], usual_life,
+                                        wanting_fill, most_wanting);
 }
 
 // ---- what the keeper decides ----
 
-void Manager::keeper_did(std::vector<catalogue::KeeperAct> actions) {
+void Manager::keeper_did(std::vector<catalogue::ReplicaAction> actions) {
   for (auto& act : actions) {
     std::visit(
         Visit{
-            [this](const catalogue::Answer& a) {
-              const auto found = controls_.find(static_cast<Link>(a.ticket));
+            [this](const catalogue::ChangeResult& a) {
+              const auto found = controls_.find(static_cast<Link>(a.request_id));
               if (found == controls_.end() || !found->second->busy)
                 return;  // its asker is gone; the change stands
               control_reply(*found->second, cataloguewire::reply_to(a));
-              if (const auto still = controls_.find(static_cast<Link>(a.ticket)); still != controls_.end())
+              if (const auto still = controls_.find(static_cast<Link>(a.request_id));
+                  still != controls_.end())
                 control_requests(*still->second);
             },
-            [this](const catalogue::ToKeep& a) {
-              actions_->push_back(Keep{a.revision, cataloguewire::text_of(a.changes), a.whole});
+            [this](const catalogue::PersistBatch& a) {
+              actions_->push_back(Keep{a.revision, cataloguewire::json_text(a.changes), a.full_snapshot});
             },
-            [this](const catalogue::Changed& a) {
-              say("catalogue_changed", {{"revision", static_cast<std::int64_t>(keeper_.present()->revision)},
+            [this](const catalogue::RecordingsChanged& a) {
+              say("catalogue_changed", {{"revision", static_cast<std::int64_t>(keeper_.current()->revision)},
                                         {"recordings", static_cast<std::int64_t>(a.recordings.size())}});
-              holders_changed(a.recordings, a.whole);
+              holders_changed(a.recordings, a.full_snapshot);
               wake_feeds();
             },
-            [this](const catalogue::AskFeed& a) {
+            [this](const catalogue::PollFeed& a) {
               if (!a.cause.empty())
                 say("catalogue_feed", {{"after", static_cast<std::int64_t>(a.after)}, {"cause", a.cause}});
-              feed_whole_ = feed_whole_ || a.whole;
+              feed_whole_ = feed_whole_ || a.full_snapshot;
               if (!feed_out_ && terms_.feed_port != 0)
                 arm(a.cause.empty() ? Span(0) : spread(terms_.list_every), Ring::feed, 0);
             },
@@ -128,8 +129,8 @@
     return seats_kept(what);
   if (!what.failed.empty())
     say("catalogue_not_kept", {{"revision", static_cast<std::int64_t>(what.ticket)}, {"cause", what.failed}});
-  keeper_did(keeper_.handle(
-      catalogue::Kept{what.ticket, what.failed.empty() ? std::nullopt : std::optional(what.failed)}));
+  keeper_did(keeper_.handle(catalogue::BatchPersisted{
+      what.ticket, what.failed.empty() ? std::nullopt : std::optional(what.failed)}));
 }
 
 void Manager::wake_feeds() {
@@ -196,7 +197,7 @@
   if (feed_out_ || stopping_)
     return;
   feed_out_ = true;
-  const auto after = std::to_string(keeper_.present()->revision);
+  const auto after = std::to_string(keeper_.current()->revision);
   const auto wait = std::to_string(terms_.feed_wait.count() / 1000);
   const auto target = std::exchange(feed_whole_, false)
                           ? std::string("/catalogue/whole")
@@ -219,15 +220,15 @@
     return again(Span(0));
   }
   auto read = cataloguewire::read_feed(body);
-  if (const auto* bad = std::get_if<cataloguewire::BadJson>(&read)) {
+  if (const auto* bad = std::get_if<cataloguewire::JsonError>(&read)) {
     say("catalogue_feed_malformed", {{"place", bad->place}, {"cause", bad->cause}});
     return again(spread(terms_.list_every));
   }
   // The keeper asks on when it has taken these, or why not.
-  if (const auto* fed = std::get_if<catalogue::Fed>(&read))
+  if (const auto* fed = std::get_if<catalogue::FeedBatches>(&read))
     keeper_did(keeper_.handle(*fed));
   else
-    keeper_did(keeper_.handle(std::get<catalogue::FedWhole>(read)));
+    keeper_did(keeper_.handle(std::get<catalogue::FeedSnapshot>(read)));
 }
 
 }  // namespace violettide::manager
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -144,7 +144,7 @@
       return poll_feed();
     case Ring::feed_wait:
       if (const auto found = controls_.find(bell.of); found != controls_.end() && found->second->feed_after)
-        control_reply(*found->second, cataloguewire::empty_feed(keeper_.present()->revision));
+        control_reply(*found->second, cataloguewire::empty_feed_reply(keeper_.current()->revision));
       return;
     case Ring::seats:
       return seats_time();
@@ -390,8 +390,8 @@
   violettide::Holders listed;
   int top = plan.top;
   if (terms_.catalogued) {
-    const auto id = keeper_.present()->id(playback.title);
-    const auto* entry = id ? keeper_.present()->find(*id) : nullptr;
+    const auto id = keeper_.current()->id(playback.title);
+    const auto* entry = id ? keeper_.current()->find(*id) : nullptr;
     const auto best = entry ? entry->rung_within(plan.floor, plan.top) : std::nullopt;
     if (!best) {
       settle(playback, 404, entry ? "no rendition that this plan may play\n" : "no recording of that title\n",
@@ -403,7 +403,7 @@
     listed = entry->holders;
     playback.recording = *id;
     asking_[*id].insert(playback.id);
-    demand_.asked(now_, *id);
+    demand_.record_request(now_, *id);
   } else {
     holders = holders_of(terms_, playback.title);
   }
@@ -1390,7 +1390,7 @@
                      more.emplace_back("Retry-After", std::to_string(whole));
                    part(*found->second, hls::Ending::refused, o.come_back);
                    if (found->second->recording)
-                     demand_.turned_away(now_, *found->second->recording);
+                     demand_.record_turned_away(now_, *found->second->recording);
                    settle(*found->second, 503, "rejected: no box has room\n", more);
                  },
                  [this](const Abort& o) {
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -16,7 +16,7 @@
 #include "boxlist/boxlist.h"
 #include "brain.h"
 #include "catalogue/demand.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "cataloguewire/resource.h"
 #include "decider/decider.h"
 #include "entitlement/gate/gate.h"
@@ -48,7 +48,7 @@
   void handle(Span now, const IoEvent& what, std::vector<Action>& actions) override;
   Held held() const;
   // The catalogue, to be restored before the first happening.
-  catalogue::Keeper& catalogue() { return keeper_; }
+  catalogue::Replica& catalogue() { return keeper_; }
   // The seats, where tokens are asked for and the first happening has been.
   const entitlement::Ledger* seats() const { return ledger_.get(); }
   const entitlement::Gate& gate() const { return gate_; }
@@ -194,7 +194,7 @@
   void control_requests(Control& control);
   void control_reply(Control& control, const cataloguewire::Reply& reply);
   void control_gone(Link link);
-  void keeper_did(std::vector<catalogue::KeeperAct> actions);
+  void keeper_did(std::vector<catalogue::ReplicaAction> actions);
   void holders_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole);
   void hold_anew(Playback& playback);
   void take_back(Playback& playback);
@@ -204,7 +204,7 @@
   const catalogue::Entry* entry_of(const Playback& playback) const;
   BoxLink& service_link(Use use, const std::string& address, std::uint16_t port, const std::string& target,
                         const std::string& etag, Span limit);
-  std::vector<catalogue::Wanted> wanting();
+  std::vector<catalogue::ReplicationCandidate> wanting();
 
   // ---- the module ----
   void tell(const Event& event);
@@ -246,7 +246,7 @@
   std::vector<TitleId> free_titles_;
   PlaybackId next_playback_ = 0;
   Link next_link_ = 1;
-  catalogue::Keeper keeper_;
+  catalogue::Replica keeper_;
   catalogue::Demand demand_;
   std::map<Link, std::unique_ptr<Control>> controls_;
   std::map<catalogue::RecordingId, std::set<PlaybackId>>
--- a/src/manager/terms.h
+++ b/src/manager/terms.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "brain.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "entitlement/gate/gate.h"
 #include "entitlement/ledger/ledger.h"
 #include "hls/playlist.h"
@@ -87,7 +87,7 @@
   Span wall_at_zero{0};    // the machine's clock at the core's time 0
   // With a catalogue, holders come from it alone; without, from `recordings` and names' hashes.
   bool catalogued = false;
-  catalogue::KeeperTerms keeper;
+  catalogue::ReplicaConfig keeper;
   std::string feed_address = "127.0.0.1";
   std::uint16_t feed_port = 0;  // 0: changes come by this front's own resource only
   Span feed_wait{10'000'000};   // a feed may keep us waiting so long for news
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -238,7 +238,7 @@
       front.feed_address = call.text("feed_address");
       front.feed_port = static_cast<std::uint16_t>(call.whole("feed_port"));
       front.feed_wait = call.span("feed_wait");
-      front.keeper.shrink_believed = call.number("shrink_believed");
+      front.keeper.min_remaining_share = call.number("shrink_believed");
     } else if (call.name == "front") {
       own = &call;
       front.name = call.text("name");
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -619,9 +619,9 @@
 void Fleet::begin_catalogue() {
   if (!day_.deployment.front.catalogued)
     return;
-  catalogue::KeeperTerms terms;
-  terms.batches_kept = 32;  // short, so that a manager that was away meets a log that no longer reaches back
-  catalogue_ = std::make_unique<catalogue::Keeper>(
+  catalogue::ReplicaConfig terms;
+  terms.log_capacity = 32;  // short, so that a manager that was away meets a log that no longer reaches back
+  catalogue_ = std::make_unique<catalogue::Replica>(
       terms, [](std::string_view) { return ServerId{0}; },
       static_cast<int>(day_.deployment.front.site.rung_kb.size()));
   std::vector<catalogue::Change> all;
@@ -640,8 +640,8 @@
     }
     all.push_back(catalogue::PutRecording{std::move(recording)});
   }
-  catalogue_->handle(catalogue::Asked{0, std::nullopt, true, std::move(all)});
-  catalogue_->handle(catalogue::Kept{1, std::nullopt});
+  catalogue_->handle(catalogue::ChangeRequest{0, std::nullopt, true, std::move(all)});
+  catalogue_->handle(catalogue::BatchPersisted{1, std::nullopt});
 }
 
 void Fleet::move_recordings(double passed, std::vector<Action>& actions) {
@@ -659,8 +659,8 @@
         catalogue::RemoveLocation{title, day_.boxes[on[from]].name},
         catalogue::PutLocation{title, {day_.boxes[to].name, catalogue::LocationState::here, 0}}};
     on[from] = to;
-    catalogue_->handle(catalogue::Asked{0, std::nullopt, true, batch});
-    catalogue_->handle(catalogue::Kept{catalogue_->present()->revision + 1, std::nullopt});
+    catalogue_->handle(catalogue::ChangeRequest{0, std::nullopt, true, batch});
+    catalogue_->handle(catalogue::BatchPersisted{catalogue_->current()->revision + 1, std::nullopt});
   }
   std::vector<Link> waiting;
   for (const auto& [link, peer] : peers_) {
@@ -671,7 +671,7 @@
     auto& peer = peers_.at(link);
     if (feed_now(link, peer, actions) || now_ < peer.feed_until)
       continue;
-    const auto reply = cataloguewire::empty_feed(catalogue_->present()->revision);
+    const auto reply = cataloguewire::empty_feed_reply(catalogue_->current()->revision);
     peer.busy = false;
     peer.feed_after.reset();
     answer(link, peer, reply.status, reply.fields, reply.body, actions);
@@ -687,7 +687,7 @@
   record.set_manager(peer.via);
   record.set_title(title);
   record.set_box(box);
-  record.set_number(catalogue_->present()->revision);
+  record.set_number(catalogue_->current()->revision);
   sink_(record);
 }
 
@@ -703,7 +703,7 @@
     return answer(link, peer, 503, {}, "", actions);
   peer.feed_lies = how == 4;
   const auto meaning = cataloguewire::read_request(request, *catalogue_);
-  if (const auto* wait = std::get_if<cataloguewire::FeedWait>(&meaning)) {
+  if (const auto* wait = std::get_if<cataloguewire::FeedLongPoll>(&meaning)) {
     peer.feed_after = wait->after;
     peer.feed_lies = false;
     peer.feed_until = now_ + wait->wait;
@@ -711,7 +711,7 @@
     if (how == 2 && wait->after > 0)
       peer.feed_after = wait->after - 1;  // repeats
     // Leaves one out: a manager must notice, and goes by nothing of it.
-    if (how == 3 && catalogue_->present()->revision > wait->after + 1)
+    if (how == 3 && catalogue_->current()->revision > wait->after + 1)
       ++*peer.feed_after, peer.feed_lies = true;
     feed_now(link, peer, actions);
     return;
@@ -733,7 +733,7 @@
   const auto reply = cataloguewire::feed_reply(*catalogue_, *peer.feed_after);
   if (!reply)
     return false;
-  if (const auto batches = catalogue_->after(*peer.feed_after, 256)) {
+  if (const auto batches = catalogue_->batches_after(*peer.feed_after, 256)) {
     for (const auto& [revision, changes] : *batches) {
       for (const auto& change : *changes) {
         if (const auto* away = std::get_if<catalogue::RemoveLocation>(&change))
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "http/http.h"
 #include "seams/seams.h"
 #include "standins/day.h"
@@ -112,7 +112,7 @@
   std::map<std::string, std::map<std::string, std::string>> told_;  // to whom, of which box, what
   std::set<std::pair<std::size_t, int>> begun_, ended_;             // troubles and whom
   std::minstd_rand chance_;
-  std::unique_ptr<catalogue::Keeper> catalogue_;
+  std::unique_ptr<catalogue::Replica> catalogue_;
   std::map<std::string, std::vector<int>> lies_on_;  // boxes of each recording
   double moves_due_ = 0;
   bool stopping_ = false;
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "catalogue/demand.h"
-#include "catalogue/keeper.h"
+#include "catalogue/replica.h"
 #include "cataloguestore/store.h"
 #include "cataloguewire/json.h"
 #include "cataloguewire/resource.h"
@@ -35,17 +35,17 @@
   return [](std::string_view name) { return static_cast<ServerId>(std::stoul(std::string(name.substr(1)))); };
 }
 
-const Applied& ok(const std::variant<Applied, Bad>& result) {
-  if (const auto* bad = std::get_if<Bad>(&result))
+const AppliedBatch& ok(const std::variant<AppliedBatch, InvalidChange>& result) {
+  if (const auto* bad = std::get_if<InvalidChange>(&result))
     ADD_FAILURE() << bad->field << ": " << bad->cause;
-  return std::get<Applied>(result);
+  return std::get<AppliedBatch>(result);
 }
 
 TEST(Writer, ASnapshotHeldNeverMoves) {
   Writer writer(numbered(), 2);
   writer.commit(ok(writer.apply(
       {PutRecording{recording("a", {"b2", "b0"})}, PutRecording{recording("b", {"b0", "b2"})}})));
-  const auto held = writer.present();
+  const auto held = writer.current();
   EXPECT_EQ(*held->find("a")->holders, (std::vector<ServerId>{0, 2}));
   EXPECT_EQ(held->find("a")->holders, held->find("b")->holders) << "those that lie alike share one set";
   writer.commit(
@@ -54,13 +54,13 @@
   EXPECT_EQ(held->revision, 1u);
   EXPECT_EQ(*held->find("a")->holders, (std::vector<ServerId>{0, 2}));
   EXPECT_FALSE(held->find("c"));
-  const auto& now = *writer.present();
+  const auto& now = *writer.current();
   EXPECT_EQ(now.revision, 2u);
   EXPECT_FALSE(now.find("a"));
   EXPECT_EQ(*now.find("b")->holders, (std::vector<ServerId>{0, 2})) << "a leaving location takes nothing new";
   EXPECT_EQ(now.recording("b")->locations.size(), 3u);
-  EXPECT_EQ(now.sums.recordings, 2u);
-  EXPECT_EQ(now.sums.locations, 3u);
+  EXPECT_EQ(now.totals.recordings, 2u);
+  EXPECT_EQ(now.totals.locations, 3u);
   EXPECT_EQ(now.find("b")->rung_within(0, 0), 0);
   EXPECT_EQ(now.find("b")->length(), 90s);
 }
@@ -86,12 +86,12 @@
                {PutLocation{"nosuch", {"b0"}}, "title"},     {PutRendition{"nosuch", {}}, "title"}};
   for (const auto& c : cases) {
     const auto result = writer.apply({PutRecording{recording("new", {"b0"})}, c.change});
-    ASSERT_TRUE(std::holds_alternative<Bad>(result)) << c.field;
-    EXPECT_EQ(std::get<Bad>(result).change, 1u);
-    EXPECT_EQ(std::get<Bad>(result).field, c.field);
+    ASSERT_TRUE(std::holds_alternative<InvalidChange>(result)) << c.field;
+    EXPECT_EQ(std::get<InvalidChange>(result).change, 1u);
+    EXPECT_EQ(std::get<InvalidChange>(result).field, c.field);
   }
-  EXPECT_EQ(writer.present()->revision, 1u);
-  EXPECT_FALSE(writer.present()->find("new"));
+  EXPECT_EQ(writer.current()->revision, 1u);
+  EXPECT_FALSE(writer.current()->find("new"));
 }
 
 // Against a plain map, over random batches; every tenth snapshot is held and checked again at the end.
@@ -123,25 +123,25 @@
       writer.commit(ok(writer.apply(batch)));
       plain = std::move(after);
       if (step % 10 == 0)
-        held.emplace_back(writer.present(), plain);
+        held.emplace_back(writer.current(), plain);
     }
-    held.emplace_back(writer.present(), plain);
+    held.emplace_back(writer.current(), plain);
     for (const auto& [snapshot, expected] : held) {
       std::size_t seen = 0, locations = 0;
-      snapshot->each([&](const std::string& title, const Entry& entry) {
+      snapshot->for_each([&](const std::string& title, const Entry& entry) {
         ++seen;
-        locations += entry.places.size();
+        locations += entry.locations.size();
         ASSERT_EQ(snapshot->recording_of(title, entry), expected.at(title));
       });
       ASSERT_EQ(seen, expected.size());
-      ASSERT_EQ(snapshot->sums.recordings, seen);
-      ASSERT_EQ(snapshot->sums.locations, locations);
+      ASSERT_EQ(snapshot->totals.recordings, seen);
+      ASSERT_EQ(snapshot->totals.locations, locations);
     }
   }
 }
 
 template <typename Kind>
-std::vector<Kind> of(const std::vector<KeeperAct>& actions) {
+std::vector<Kind> of(const std::vector<ReplicaAction>& actions) {
   std::vector<Kind> all;
   for (const auto& act : actions) {
     if (const auto* kind = std::get_if<Kind>(&act))
@@ -150,32 +150,33 @@
   return all;
 }
 
-TEST(Keeper, AChangeIsAnsweredOnlyOnceItIsKept) {
-  Keeper keeper({}, numbered(), 2);
-  auto actions = keeper.handle(Asked{7, std::nullopt, false, {PutRecording{recording("a", {"b0"})}}});
-  ASSERT_EQ(of<ToKeep>(actions).size(), 1u);
-  EXPECT_TRUE(of<Answer>(actions).empty());
-  EXPECT_FALSE(keeper.present()->find("a")) << "not in force before it is on the disk";
-  actions = keeper.handle(Kept{1, std::nullopt});
-  EXPECT_EQ(of<Answer>(actions)[0].ticket, 7u);
-  EXPECT_TRUE(keeper.present()->find("a"));
-  actions = keeper.handle(Asked{8, std::nullopt, false, {RemoveRecording{"a"}}});
-  actions = keeper.handle(Kept{2, "the disk is full"});
-  EXPECT_EQ(of<Answer>(actions)[0].how, Answered::not_kept);
-  EXPECT_TRUE(keeper.present()->find("a")) << "nothing of it is in force";
-  EXPECT_EQ(keeper.present()->revision, 1u);
+TEST(Replica, AChangeIsAnsweredOnlyOnceItIsKept) {
+  Replica replica({}, numbered(), 2);
+  auto actions =
+      replica.handle(ChangeRequest{7, std::nullopt, false, {PutRecording{recording("a", {"b0"})}}});
+  ASSERT_EQ(of<PersistBatch>(actions).size(), 1u);
+  EXPECT_TRUE(of<ChangeResult>(actions).empty());
+  EXPECT_FALSE(replica.current()->find("a")) << "not in force before it is on the disk";
+  actions = replica.handle(BatchPersisted{1, std::nullopt});
+  EXPECT_EQ(of<ChangeResult>(actions)[0].request_id, 7u);
+  EXPECT_TRUE(replica.current()->find("a"));
+  actions = replica.handle(ChangeRequest{8, std::nullopt, false, {RemoveRecording{"a"}}});
+  actions = replica.handle(BatchPersisted{2, "the disk is full"});
+  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::not_durable);
+  EXPECT_TRUE(replica.current()->find("a")) << "nothing of it is in force";
+  EXPECT_EQ(replica.current()->revision, 1u);
 }
 
-TEST(Keeper, TwoWritersRacingOnOneRevision) {
-  Keeper keeper({}, numbered(), 2);
-  keeper.handle(Asked{1, 0, false, {PutRecording{recording("a", {"b0"})}}});
-  keeper.handle(Asked{2, 0, false, {PutRecording{recording("a", {"b1"})}}});
-  const auto actions = keeper.handle(Kept{1, std::nullopt});
-  ASSERT_EQ(of<Answer>(actions).size(), 2u);
-  EXPECT_EQ(of<Answer>(actions)[0].how, Answered::taken);
-  EXPECT_EQ(of<Answer>(actions)[1].how, Answered::stale);
-  EXPECT_EQ(of<Answer>(actions)[1].revision, 1u);
-  EXPECT_EQ(*keeper.present()->find("a")->holders, std::vector<ServerId>{0});
+TEST(Replica, TwoWritersRacingOnOneRevision) {
+  Replica replica({}, numbered(), 2);
+  replica.handle(ChangeRequest{1, 0, false, {PutRecording{recording("a", {"b0"})}}});
+  replica.handle(ChangeRequest{2, 0, false, {PutRecording{recording("a", {"b1"})}}});
+  const auto actions = replica.handle(BatchPersisted{1, std::nullopt});
+  ASSERT_EQ(of<ChangeResult>(actions).size(), 2u);
+  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::accepted);
+  EXPECT_EQ(of<ChangeResult>(actions)[1].outcome, ChangeOutcome::stale);
+  EXPECT_EQ(of<ChangeResult>(actions)[1].revision, 1u);
+  EXPECT_EQ(*replica.current()->find("a")->holders, std::vector<ServerId>{0});
 }
 
 std::vector<Change> many(int count) {
@@ -185,119 +186,119 @@
   return changes;
 }
 
-TEST(Keeper, AShrinkAtAStrokeIsHeldForConfirmation) {
-  Keeper keeper({}, numbered(), 2);
-  keeper.handle(Asked{1, std::nullopt, false, many(40)});
-  keeper.handle(Kept{1, std::nullopt});
+TEST(Replica, AShrinkAtAStrokeIsHeldForConfirmation) {
+  Replica replica({}, numbered(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+  replica.handle(BatchPersisted{1, std::nullopt});
   std::vector<Change> removal;
   for (int i = 0; i < 20; ++i)
     removal.push_back(RemoveRecording{"t" + std::to_string(i)});
-  auto actions = keeper.handle(Asked{2, std::nullopt, false, removal});
-  EXPECT_EQ(of<Answer>(actions)[0].how, Answered::held);
-  EXPECT_TRUE(keeper.present()->find("t0"));
-  actions = keeper.handle(Asked{3, std::nullopt, true, removal});
-  EXPECT_EQ(of<ToKeep>(actions).size(), 1u);
-  keeper.handle(Kept{2, std::nullopt});
-  EXPECT_FALSE(keeper.present()->find("t0"));
+  auto actions = replica.handle(ChangeRequest{2, std::nullopt, false, removal});
+  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::confirmation_required);
+  EXPECT_TRUE(replica.current()->find("t0"));
+  actions = replica.handle(ChangeRequest{3, std::nullopt, true, removal});
+  EXPECT_EQ(of<PersistBatch>(actions).size(), 1u);
+  replica.handle(BatchPersisted{2, std::nullopt});
+  EXPECT_FALSE(replica.current()->find("t0"));
   // A feed can't be asked: it confirms by saying the same again.
   std::vector<Change> rest;
   for (int i = 20; i < 40; ++i)
     rest.push_back(RemoveRecording{"t" + std::to_string(i)});
-  actions = keeper.handle(Fed{3, {rest}});
-  EXPECT_TRUE(of<ToKeep>(actions).empty());
-  ASSERT_EQ(of<AskFeed>(actions).size(), 1u);
-  EXPECT_FALSE(of<AskFeed>(actions)[0].cause.empty());
-  actions = keeper.handle(Fed{3, {rest}});
-  EXPECT_EQ(of<ToKeep>(actions).size(), 1u);
+  actions = replica.handle(FeedBatches{3, {rest}});
+  EXPECT_TRUE(of<PersistBatch>(actions).empty());
+  ASSERT_EQ(of<PollFeed>(actions).size(), 1u);
+  EXPECT_FALSE(of<PollFeed>(actions)[0].cause.empty());
+  actions = replica.handle(FeedBatches{3, {rest}});
+  EXPECT_EQ(of<PersistBatch>(actions).size(), 1u);
 }
 
-TEST(Keeper, ManyMovesAtOnceAreNoShrink) {
-  Keeper keeper({}, numbered(), 2);
-  keeper.handle(Asked{1, std::nullopt, false, many(40)});
-  keeper.handle(Kept{1, std::nullopt});
-  FedWhole moved{5, {}};
+TEST(Replica, ManyMovesAtOnceAreNoShrink) {
+  Replica replica({}, numbered(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+  replica.handle(BatchPersisted{1, std::nullopt});
+  FeedSnapshot moved{5, {}};
   for (int i = 0; i < 40; ++i)
     moved.recordings.push_back(recording("t" + std::to_string(i), {"b2", "b3"}));
-  EXPECT_EQ(of<ToKeep>(keeper.handle(moved)).size(), 1u);
+  EXPECT_EQ(of<PersistBatch>(replica.handle(moved)).size(), 1u);
 }
 
-TEST(Keeper, AHeldShrinkIsConfirmedByALaterWhole) {
-  Keeper keeper({}, numbered(), 2);
-  keeper.handle(Asked{1, std::nullopt, false, many(40)});
-  keeper.handle(Kept{1, std::nullopt});
-  EXPECT_TRUE(of<ToKeep>(keeper.handle(FedWhole{5, {recording("a", {"b0"})}})).empty());
-  EXPECT_EQ(of<ToKeep>(keeper.handle(FedWhole{6, {recording("a", {"b1"})}})).size(), 1u)
+TEST(Replica, AHeldShrinkIsConfirmedByALaterWhole) {
+  Replica replica({}, numbered(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+  replica.handle(BatchPersisted{1, std::nullopt});
+  EXPECT_TRUE(of<PersistBatch>(replica.handle(FeedSnapshot{5, {recording("a", {"b0"})}})).empty());
+  EXPECT_EQ(of<PersistBatch>(replica.handle(FeedSnapshot{6, {recording("a", {"b1"})}})).size(), 1u)
       << "an origin that goes on changing";
 }
 
-TEST(Keeper, AFeedWithGapsRepeatsOrRuinsIsCaughtUpWhole) {
-  Keeper keeper({}, numbered(), 2);
-  auto actions =
-      keeper.handle(Fed{1, {{PutRecording{recording("a", {"b0"})}}, {PutRecording{recording("b", {"b0"})}}}});
-  EXPECT_EQ(of<ToKeep>(actions)[0].revision, 1u);
-  actions = keeper.handle(
-      Fed{1, {{PutRecording{recording("a", {"b0"})}}}});  // again, while the first is being kept
-  keeper.handle(Kept{1, std::nullopt});
-  keeper.handle(Kept{2, std::nullopt});
-  EXPECT_EQ(keeper.present()->revision, 2u);
-  actions = keeper.handle(Fed{4, {{RemoveRecording{"a"}}}});
-  ASSERT_EQ(of<AskFeed>(actions).size(), 1u);
-  EXPECT_TRUE(of<AskFeed>(actions)[0].whole) << "batch 3 is missing";
-  EXPECT_TRUE(keeper.present()->find("a"));
-  actions = keeper.handle(Fed{3, {{RemoveRecording{"never was"}}}});
-  EXPECT_TRUE(of<AskFeed>(actions)[0].whole) << "it does not fit what is held";
-  actions = keeper.handle(FedWhole{9, {recording("c", {"b1"})}});
-  ASSERT_EQ(of<ToKeep>(actions).size(), 1u);
-  EXPECT_TRUE(of<ToKeep>(actions)[0].whole);
-  actions = keeper.handle(Kept{9, std::nullopt});
-  EXPECT_EQ(keeper.present()->revision, 9u);
-  EXPECT_FALSE(keeper.present()->find("a"));
-  EXPECT_TRUE(keeper.present()->find("c"));
-  actions = keeper.handle(FedWhole{4, {recording("a", {"b1"})}});
-  EXPECT_TRUE(of<ToKeep>(actions).empty()) << "older than the one held";
-  EXPECT_FALSE(keeper.after(3, 10)) << "what came before a whole can't be told batch by batch";
+TEST(Replica, AFeedWithGapsRepeatsOrRuinsIsCaughtUpWhole) {
+  Replica replica({}, numbered(), 2);
+  auto actions = replica.handle(
+      FeedBatches{1, {{PutRecording{recording("a", {"b0"})}}, {PutRecording{recording("b", {"b0"})}}}});
+  EXPECT_EQ(of<PersistBatch>(actions)[0].revision, 1u);
+  actions = replica.handle(
+      FeedBatches{1, {{PutRecording{recording("a", {"b0"})}}}});  // again, while the first is being kept
+  replica.handle(BatchPersisted{1, std::nullopt});
+  replica.handle(BatchPersisted{2, std::nullopt});
+  EXPECT_EQ(replica.current()->revision, 2u);
+  actions = replica.handle(FeedBatches{4, {{RemoveRecording{"a"}}}});
+  ASSERT_EQ(of<PollFeed>(actions).size(), 1u);
+  EXPECT_TRUE(of<PollFeed>(actions)[0].full_snapshot) << "batch 3 is missing";
+  EXPECT_TRUE(replica.current()->find("a"));
+  actions = replica.handle(FeedBatches{3, {{RemoveRecording{"never was"}}}});
+  EXPECT_TRUE(of<PollFeed>(actions)[0].full_snapshot) << "it does not fit what is held";
+  actions = replica.handle(FeedSnapshot{9, {recording("c", {"b1"})}});
+  ASSERT_EQ(of<PersistBatch>(actions).size(), 1u);
+  EXPECT_TRUE(of<PersistBatch>(actions)[0].full_snapshot);
+  actions = replica.handle(BatchPersisted{9, std::nullopt});
+  EXPECT_EQ(replica.current()->revision, 9u);
+  EXPECT_FALSE(replica.current()->find("a"));
+  EXPECT_TRUE(replica.current()->find("c"));
+  actions = replica.handle(FeedSnapshot{4, {recording("a", {"b1"})}});
+  EXPECT_TRUE(of<PersistBatch>(actions).empty()) << "older than the one held";
+  EXPECT_FALSE(replica.batches_after(3, 10)) << "what came before a whole can't be told batch by batch";
 }
 
 // A keeper that follows another's feed through lost, doubled, late and refused answers ends at the same.
-TEST(Keeper, FollowsThroughAnyInterleaving) {
+TEST(Replica, FollowsThroughAnyInterleaving) {
   for (unsigned seed = 1; seed <= 2000; ++seed) {
     std::minstd_rand chance(seed);
-    KeeperTerms short_log;
-    short_log.batches_kept = 3;
-    short_log.small = 1000;
-    Keeper origin(short_log, numbered(), 2), follower(short_log, numbered(), 2);
+    ReplicaConfig short_log;
+    short_log.log_capacity = 3;
+    short_log.unguarded_locations = 1000;
+    Replica origin(short_log, numbered(), 2), follower(short_log, numbered(), 2);
     std::optional<Revision> keeping = std::nullopt;
     bool whole = false;
-    const auto heed = [&](const std::vector<KeeperAct>& actions) {
+    const auto heed = [&](const std::vector<ReplicaAction>& actions) {
       for (const auto& act : actions) {
-        if (const auto* keep = std::get_if<ToKeep>(&act))
+        if (const auto* keep = std::get_if<PersistBatch>(&act))
           keeping = keep->revision;
-        if (const auto* feed = std::get_if<AskFeed>(&act))
-          whole = whole || feed->whole;
+        if (const auto* feed = std::get_if<PollFeed>(&act))
+          whole = whole || feed->full_snapshot;
       }
     };
-    std::vector<KeeperEvent> way;  // answers on their way
-    for (int step = 0; step < 40 || follower.present()->revision != origin.present()->revision; ++step) {
+    std::vector<ReplicaEvent> way;  // answers on their way
+    for (int step = 0; step < 40 || follower.current()->revision != origin.current()->revision; ++step) {
       ASSERT_LT(step, 400) << "seed " << seed << " does not catch up";
       if (step < 40 && chance() % 2 == 0) {
         const auto title = "t" + std::to_string(chance() % 6);
         Change change = PutRecording{recording(title, {"b" + std::to_string(chance() % 4)})};
-        if (origin.present()->find(title) && chance() % 3 == 0)
+        if (origin.current()->find(title) && chance() % 3 == 0)
           change = RemoveRecording{title};
-        origin.handle(Asked{1, std::nullopt, true, {change}});
-        origin.handle(Kept{origin.present()->revision + 1, std::nullopt});
+        origin.handle(ChangeRequest{1, std::nullopt, true, {change}});
+        origin.handle(BatchPersisted{origin.current()->revision + 1, std::nullopt});
       }
       if (chance() % 2 == 0) {  // the follower asks
-        const auto batches = origin.after(follower.present()->revision, 2);
+        const auto batches = origin.batches_after(follower.current()->revision, 2);
         if (batches && !whole) {
-          Fed fed{follower.present()->revision + 1, {}};
+          FeedBatches fed{follower.current()->revision + 1, {}};
           for (const auto& [revision, changes] : *batches)
             fed.batches.push_back(*changes);
           way.emplace_back(fed);
         } else {
-          FedWhole all{origin.present()->revision, {}};
-          origin.present()->each([&](const std::string& title, const Entry& entry) {
-            all.recordings.push_back(origin.present()->recording_of(title, entry));
+          FeedSnapshot all{origin.current()->revision, {}};
+          origin.current()->for_each([&](const std::string& title, const Entry& entry) {
+            all.recordings.push_back(origin.current()->recording_of(title, entry));
           });
           way.emplace_back(all);
           whole = false;
@@ -316,14 +317,14 @@
       if (keeping && chance() % 2 == 0) {
         const auto revision = *std::exchange(keeping, std::nullopt);
         heed(follower.handle(
-            Kept{revision, chance() % 8 == 0 ? std::optional<std::string>("full") : std::nullopt}));
+            BatchPersisted{revision, chance() % 8 == 0 ? std::optional<std::string>("full") : std::nullopt}));
       }
     }
     std::map<std::string, Recording> one, two;
-    origin.present()->each(
-        [&](const std::string& t, const Entry& e) { one[t] = origin.present()->recording_of(t, e); });
-    follower.present()->each(
-        [&](const std::string& t, const Entry& e) { two[t] = follower.present()->recording_of(t, e); });
+    origin.current()->for_each(
+        [&](const std::string& t, const Entry& e) { one[t] = origin.current()->recording_of(t, e); });
+    follower.current()->for_each(
+        [&](const std::string& t, const Entry& e) { two[t] = follower.current()->recording_of(t, e); });
     ASSERT_EQ(one, two) << "seed " << seed;
   }
 }
@@ -332,27 +333,27 @@
   std::minstd_rand chance(3);
   Writer writer(numbered(), 2);
   writer.commit(ok(writer.apply(many(500))));
-  const auto& snapshot = *writer.present();
+  const auto& snapshot = *writer.current();
   Demand demand(64, 1h);
   std::map<RecordingId, int> exact;
   for (int i = 0; i < 20000; ++i) {
     const auto rank = static_cast<unsigned>(500 * std::pow(static_cast<double>(chance() % 10000) / 10000, 3));
     const auto id = *snapshot.id("t" + std::to_string(rank));
-    demand.asked(0s, id);
+    demand.record_request(0s, id);
     ++exact[id];
   }
   EXPECT_EQ(demand.size(), 64u);
-  const auto wanting = demand.wanting(0s, snapshot, 1, 1, 30s, 0, 10);
+  const auto wanting = demand.replication_candidates(0s, snapshot, 1, 1, 30s, 0, 10);
   ASSERT_EQ(wanting.size(), 10u);
   for (const auto& one : wanting) {
-    EXPECT_GE(one.asked, exact[one.recording]) << "never under the truth";
-    EXPECT_LE(one.asked - one.doubt, exact[one.recording]) << "and surely not over";
+    EXPECT_GE(one.requests, exact[one.recording]) << "never under the truth";
+    EXPECT_LE(one.requests - one.max_error, exact[one.recording]) << "and surely not over";
   }
   EXPECT_EQ(wanting[0].recording, *snapshot.id("t0"));
-  demand.turned_away(0s, wanting[9].recording);
-  EXPECT_EQ(demand.wanting(0s, snapshot, 1, 1, 30s, 0, 10)[0].recording, wanting[9].recording)
+  demand.record_turned_away(0s, wanting[9].recording);
+  EXPECT_EQ(demand.replication_candidates(0s, snapshot, 1, 1, 30s, 0, 10)[0].recording, wanting[9].recording)
       << "viewers turned away come first";
-  EXPECT_TRUE(demand.wanting(20h, snapshot, 1e6, 1, 30s, 0.7, 10).empty()) << "demand fades";
+  EXPECT_TRUE(demand.replication_candidates(20h, snapshot, 1e6, 1, 30s, 0.7, 10).empty()) << "demand fades";
 }
 
 TEST(Wire, ChangesRoundTripAndBadOnesSayWhere) {
@@ -362,9 +363,9 @@
                                     RemoveRendition{"a", "x"},
                                     PutLocation{"a", {"b1", LocationState::leaving, -4}},
                                     RemoveLocation{"a", "b1"}};
-  const auto read = cataloguewire::read_changes(cataloguewire::text_of(changes));
+  const auto read = cataloguewire::read_changes(cataloguewire::json_text(changes));
   ASSERT_TRUE(std::holds_alternative<std::vector<Change>>(read));
-  EXPECT_EQ(cataloguewire::text_of(std::get<std::vector<Change>>(read)), cataloguewire::text_of(changes));
+  EXPECT_EQ(cataloguewire::json_text(std::get<std::vector<Change>>(read)), cataloguewire::json_text(changes));
   const std::pair<const char*, const char*> bad[] = {
       {"{", "byte 2"},
       {"{}", "body"},
@@ -379,8 +380,8 @@
       {"{\"changes\":[{\"vanish\":\"a\"}]}", "changes[0]"}};
   for (const auto& [text, place] : bad) {
     const auto result = cataloguewire::read_changes(text);
-    ASSERT_TRUE(std::holds_alternative<cataloguewire::BadJson>(result)) << text;
-    EXPECT_EQ(std::get<cataloguewire::BadJson>(result).place, place);
+    ASSERT_TRUE(std::holds_alternative<cataloguewire::JsonError>(result)) << text;
+    EXPECT_EQ(std::get<cataloguewire::JsonError>(result).place, place);
   }
 }
 
@@ -394,7 +395,7 @@
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
   static std::string batch(int i) {
-    return cataloguewire::text_of(
+    return cataloguewire::json_text(
         std::vector<Change>{PutRecording{recording("t" + std::to_string(i), {"b0"})}});
   }
   std::string folder;
@@ -408,8 +409,8 @@
     const auto child = fork();
     if (child == 0) {
       cataloguestore::Store store(own);
-      Keeper keeper({}, numbered(), 2);
-      store.restore_to(keeper);
+      Replica replica({}, numbered(), 2);
+      store.restore_to(replica);
       for (int i = 1; i < 10000; ++i) {
         if (!store.keep(static_cast<Revision>(i), batch(i), false).empty())
           _exit(1);
@@ -429,20 +430,20 @@
       last = more;
     close(answers[0]);
     cataloguestore::Store store(own);
-    Keeper keeper({}, numbered(), 2);
-    const auto found = store.restore_to(keeper);
+    Replica replica({}, numbered(), 2);
+    const auto found = store.restore_to(replica);
     EXPECT_FALSE(found.damaged) << found.told;
     EXPECT_GE(found.revision, static_cast<Revision>(last)) << "what was answered is there";
     EXPECT_LE(found.revision, static_cast<Revision>(last) + 1);
-    EXPECT_TRUE(keeper.present()->find("t" + std::to_string(last)));
+    EXPECT_TRUE(replica.current()->find("t" + std::to_string(last)));
   }
 }
 
 TEST_F(Stored, DamageGoesBackToTheLastGoodStateAndIsTold) {
   {
     cataloguestore::Store store(folder);
-    Keeper keeper({}, numbered(), 2);
-    store.restore_to(keeper);
+    Replica replica({}, numbered(), 2);
+    store.restore_to(replica);
     for (int i = 1; i <= 20; ++i)
       ASSERT_EQ(store.keep(static_cast<Revision>(i), batch(i), false), "");
   }
@@ -456,13 +457,13 @@
   file.close();
   {
     cataloguestore::Store store(folder);
-    Keeper keeper({}, numbered(), 2);
-    const auto found = store.restore_to(keeper);
+    Replica replica({}, numbered(), 2);
+    const auto found = store.restore_to(replica);
     EXPECT_TRUE(found.damaged);
     EXPECT_EQ(found.revision, 9u);
     EXPECT_NE(found.told.find("batch 10 does not match its checksum"), std::string::npos) << found.told;
-    EXPECT_TRUE(keeper.present()->find("t9"));
-    EXPECT_FALSE(keeper.present()->find("t11")) << "never half loaded";
+    EXPECT_TRUE(replica.current()->find("t9"));
+    EXPECT_FALSE(replica.current()->find("t11")) << "never half loaded";
     EXPECT_TRUE(std::filesystem::exists(folder + "/catalogue.db.damaged"));
     EXPECT_EQ(store.keep(10, batch(10), false), "") << "service goes on from there";
   }
@@ -470,8 +471,8 @@
   std::ofstream(folder + "/catalogue.db", std::ios::trunc) << std::string(8192, 'x');
   std::filesystem::remove(folder + "/catalogue.db-wal");
   cataloguestore::Store store(folder);
-  Keeper keeper({}, numbered(), 2);
-  const auto found = store.restore_to(keeper);
+  Replica replica({}, numbered(), 2);
+  const auto found = store.restore_to(replica);
   EXPECT_TRUE(found.damaged);
   EXPECT_EQ(found.revision, 9u) << found.told;
   EXPECT_TRUE(std::filesystem::exists(folder + "/catalogue.db.damaged-2"));
@@ -481,7 +482,7 @@
   Writer writer(numbered(), 2);
   writer.commit(ok(writer.apply(many(50))));
   const auto path = folder + "/s";
-  ASSERT_EQ(cataloguestore::write_snapshot(path, *writer.present()), "");
+  ASSERT_EQ(cataloguestore::write_snapshot(path, *writer.current()), "");
   EXPECT_EQ(cataloguestore::read_snapshot(path).recordings.size(), 50u);
   std::ifstream in(path, std::ios::binary);
   const std::string whole((std::istreambuf_iterator<char>(in)), {});
@@ -494,13 +495,13 @@
     const auto read = cataloguestore::read_snapshot(path);
     ASSERT_TRUE(!read.fault.empty() || read.recordings.size() == 50) << at;
   }
-  EXPECT_FALSE(cataloguestore::write_snapshot(folder + "/no/such/place", *writer.present()).empty());
+  EXPECT_FALSE(cataloguestore::write_snapshot(folder + "/no/such/place", *writer.current()).empty());
 }
 
 TEST_F(Stored, AFullOrMissingDiskIsToldAndNothingIsLost) {
   cataloguestore::Store store(folder);
-  Keeper keeper({}, numbered(), 2);
-  store.restore_to(keeper);
+  Replica replica({}, numbered(), 2);
+  store.restore_to(replica);
   ASSERT_EQ(store.keep(1, batch(1), false), "");
   EXPECT_FALSE(store.keep(1, batch(2), false).empty()) << "a revision is kept once";
   std::ofstream(folder + "/file") << "x";
@@ -604,7 +605,7 @@
     for (const int b : where)
       names.push_back("b" + std::to_string(b)), unlisted_at[title].erase(b);
     const auto answer =
-        change("PUT", "/catalogue/recordings/" + title, cataloguewire::text_of(recording(title, names)));
+        change("PUT", "/catalogue/recordings/" + title, cataloguewire::json_text(recording(title, names)));
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
     for (int b = 0; b < 3; ++b) {
       if (std::find(where.begin(), where.end(), b) == where.end())
@@ -630,7 +631,7 @@
 
 TEST(Amid, ABatchOfABulkLoadIsLongerThanAViewersRequestMayBe) {
   Amid amid;
-  const auto body = cataloguewire::text_of(many(6000));
+  const auto body = cataloguewire::json_text(many(6000));
   ASSERT_GT(body.size(), 1024u * 1024);
   const auto answer = amid.change("POST", "/catalogue/changes", body);
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer.substr(0, 200);
@@ -643,7 +644,7 @@
   const auto link = amid.ask("t", 1);
   amid.net.run(amid.net.now() + 21ms);  // asked; the box is being dialled
   const auto operator_link = amid.next++;
-  const auto body = cataloguewire::text_of(recording("t", {"b2"}));
+  const auto body = cataloguewire::json_text(recording("t", {"b2"}));
   amid.operators.next.push_back(Dial{operator_link, "", Net::port(0, 1)});
   amid.operators.next.push_back(
       Send{operator_link, "PUT /catalogue/recordings/t HTTP/1.1\r\nHost: x\r\nContent-Length: " +
@@ -680,7 +681,7 @@
   // A location on a box that no list has named becomes usable when one does.
   Amid amid;
   const auto answer =
-      amid.change("PUT", "/catalogue/recordings/t", cataloguewire::text_of(recording("t", {"b7"})));
+      amid.change("PUT", "/catalogue/recordings/t", cataloguewire::json_text(recording("t", {"b7"})));
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
   const auto link = amid.ask("t", 1);
   amid.net.run(amid.net.now() + 50ms);
@@ -698,11 +699,11 @@
     amid.net.keep_time = Span(chance() % 6000);
     for (int t = 0; t < 3; ++t)
       amid.put("t" + std::to_string(t), {0, 1, 2});
-    std::vector<Link> asked;
+    std::vector<Link> requested;
     for (int step = 0; step < 60; ++step) {
       const auto title = "t" + std::to_string(chance() % 3);
       if (chance() % 2 == 0)
-        asked.push_back(amid.ask(title, static_cast<int>(asked.size())));
+        requested.push_back(amid.ask(title, static_cast<int>(requested.size())));
       if (chance() % 3 == 0) {
         std::vector<int> where;
         for (int b = 0; b < 3; ++b) {
@@ -718,7 +719,7 @@
     amid.net.run(amid.net.now() + 5s);
     for (const auto& wrong : amid.wrong)
       ADD_FAILURE() << "seed " << seed << ": " << wrong;
-    for (const auto link : asked) {
+    for (const auto link : requested) {
       const auto& got = amid.viewer.peers[link].got;
       ASSERT_TRUE(got.starts_with("HTTP/1.1 ")) << "seed " << seed << " link " << link;
       ASSERT_EQ(got.find("HTTP/1.1 ", 1), std::string::npos) << got;
