--- a/src/cataloguestore/store.h
+++ b/src/cataloguestore/store.h
@@ -1,5 +1,6 @@
-// The catalogue on the disk: a log of batches and now and then a snapshot, in sqlite, each row with a
-// checksum; and beside it the last snapshot as a file of its own, for when the database is damaged.
+// The catalogue on the disk. Batches go into a log in SQLite, each row with a checksum. Beside the database
+// lies the last snapshot as a file of its own, from which the catalogue is restored if the database is
+// damaged.
 #pragma once
 
 #include <memory>
@@ -10,42 +11,47 @@
 
 namespace violettide::cataloguestore {
 
-struct Unusable {
-  std::string what;  // the file and why it can't be read or written at all
+// Thrown if the store can't be opened or repaired.
+struct StoreError {
+  std::string what;  // the file and the cause
 };
 
-// What was found at the start.
-struct Found {
+struct RestoreResult {
   catalogue::Revision revision = 0;
   bool damaged = false;
-  std::string told;  // what was damaged, what is missing, where it was put aside
+  std::string damage_report;  // what was damaged, what is missing, and where the damaged files are now
 };
 
 class Store : public runtime::Disk {
  public:
-  // Opens or makes `folder`/catalogue.db. Throws Unusable.
+  // Opens or creates `folder`/catalogue.db. A restore that finds `snapshot_every` batches in the log replaces
+  // them by a snapshot file; as many writes apart, the write-ahead log is checkpointed. Throws StoreError.
   Store(const std::string& folder, std::size_t snapshot_every = 1000);
   ~Store() override;
-  // Hands the kept catalogue to a keeper. A damaged store goes back to its last good state, is put aside and
-  // begun anew from there; what is missing is told.
-  Found restore_to(catalogue::Replica& keeper);
+  // Loads the stored catalogue into a replica: the snapshot file, then the batches of the log. If either is
+  // damaged, restores the last consistent state, quarantines the database, starts a new one from that state
+  // and reports what is missing. Throws StoreError.
+  RestoreResult restore(catalogue::Replica& replica);
+  // Appends a batch to the log; with `whole`, in place of all earlier ones. Durable on return. Returns the
+  // cause of a failure; empty: none.
   std::string keep(std::uint64_t revision, const std::string& changes, bool whole) override;
 
  private:
   class Database;
   std::string folder_;
-  std::size_t snapshot_every_, since_snapshot_ = 0;
+  std::size_t snapshot_every_;
+  std::size_t writes_since_checkpoint_ = 0;
   std::unique_ptr<Database> database_;
 };
 
-// A snapshot as a file: zstd of a line for each recording, and a checksum over all.
-std::string write_snapshot(const std::string& path,
-                           const catalogue::Snapshot& snapshot);  // why not; empty: done
-struct ReadSnapshot {
+// Replaces a snapshot file atomically: a zstd frame of a header, one line of JSON for each recording, and a
+// checksum. Returns the cause of a failure; empty: none.
+std::string write_snapshot(const std::string& path, const catalogue::Snapshot& snapshot);
+struct LoadedSnapshot {
   catalogue::Revision revision = 0;
   std::vector<catalogue::Recording> recordings;
-  std::string fault;  // empty: whole
+  std::string error;  // why it can't be used; empty: it is complete
 };
-ReadSnapshot read_snapshot(const std::string& path);
+LoadedSnapshot read_snapshot(const std::string& path);
 
 }  // namespace violettide::cataloguestore
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -109,7 +109,7 @@
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const entitlement::SeatLog::Unusable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const cataloguestore::Unusable& failed) {
+  } catch (const cataloguestore::StoreError& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const spdlog::spdlog_ex& failed) {
     std::cerr << "violettide: " << failed.what() << '\n';
@@ -320,11 +320,12 @@
       doors.push_back({deployment.control_address, deployment.control_port});
       if (!deployment.keep_in.empty()) {
         store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
-        const auto found = store->restore_to(manager.catalogue());
-        log(Span(0), Say{"catalogue_restored",
-                         {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.told}}});
+        const auto found = store->restore(manager.catalogue());
+        log(Span(0),
+            Say{"catalogue_restored",
+                {{"revision", static_cast<std::int64_t>(found.revision)}, {"damage", found.damage_report}}});
         if (found.damaged)
-          std::cerr << "violettide: the catalogue was damaged: " << found.told << '\n';
+          std::cerr << "violettide: the catalogue was damaged: " << found.damage_report << '\n';
       }
     }
     if (!front.peers.all.empty()) {
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -1,5 +1,5 @@
-// The catalogue: whole-or-nothing changes, snapshots that never move, the keeper's decisions over thousands
-// of interleavings, the store through kills and damage, and what a change means to set-ups under way.
+// The catalogue: atomic batches, immutable snapshots, replication over thousands of interleavings, recovery
+// of the store after kills and damage, and the effect of changes on set-ups in progress.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -24,40 +24,42 @@
 using testing::Puppet;
 
 Recording recording(const std::string& title, std::vector<std::string> boxes) {
-  Recording made{title, {{"hi", 1, "avc1", 40, 90s}, {"lo", 0, "avc1", 10, 90s}}, {}};
+  Recording created{title, {{"hi", 1, "avc1", 40, 90s}, {"lo", 0, "avc1", 10, 90s}}, {}};
   for (auto& box : boxes)
-    made.locations.push_back({std::move(box), LocationState::here, 5});
-  return made;
+    created.locations.push_back({std::move(box), LocationState::here, 5});
+  return created;
 }
 
-// Boxes are numbered as they are met; b0, b1, ... get their own numbers.
-BoxIndex numbered() {
+// Box "b7" has ServerId 7.
+BoxIndex box_numbers() {
   return [](std::string_view name) { return static_cast<ServerId>(std::stoul(std::string(name.substr(1)))); };
 }
 
-const AppliedBatch& ok(const std::variant<AppliedBatch, InvalidChange>& result) {
+const AppliedBatch& applied_or_fail(const std::variant<AppliedBatch, InvalidChange>& result) {
   if (const auto* bad = std::get_if<InvalidChange>(&result))
     ADD_FAILURE() << bad->field << ": " << bad->cause;
   return std::get<AppliedBatch>(result);
 }
 
-TEST(Writer, ASnapshotHeldNeverMoves) {
-  Writer writer(numbered(), 2);
-  writer.commit(ok(writer.apply(
+TEST(Writer, SnapshotsAreImmutable) {
+  Writer writer(box_numbers(), 2);
+  writer.commit(applied_or_fail(writer.apply(
       {PutRecording{recording("a", {"b2", "b0"})}, PutRecording{recording("b", {"b0", "b2"})}})));
   const auto held = writer.current();
   EXPECT_EQ(*held->find("a")->holders, (std::vector<ServerId>{0, 2}));
-  EXPECT_EQ(held->find("a")->holders, held->find("b")->holders) << "those that lie alike share one set";
-  writer.commit(
-      ok(writer.apply({RemoveLocation{"a", "b0"}, PutLocation{"b", {"b7", LocationState::leaving, 9}},
-                       RemoveRecording{"a"}, PutRecording{recording("c", {})}})));
+  EXPECT_EQ(held->find("a")->holders, held->find("b")->holders)
+      << "recordings on the same boxes share one set";
+  writer.commit(applied_or_fail(
+      writer.apply({RemoveLocation{"a", "b0"}, PutLocation{"b", {"b7", LocationState::leaving, 9}},
+                    RemoveRecording{"a"}, PutRecording{recording("c", {})}})));
   EXPECT_EQ(held->revision, 1u);
   EXPECT_EQ(*held->find("a")->holders, (std::vector<ServerId>{0, 2}));
   EXPECT_FALSE(held->find("c"));
   const auto& now = *writer.current();
   EXPECT_EQ(now.revision, 2u);
   EXPECT_FALSE(now.find("a"));
-  EXPECT_EQ(*now.find("b")->holders, (std::vector<ServerId>{0, 2})) << "a leaving location takes nothing new";
+  EXPECT_EQ(*now.find("b")->holders, (std::vector<ServerId>{0, 2}))
+      << "a leaving location starts no new playback";
   EXPECT_EQ(now.recording("b")->locations.size(), 3u);
   EXPECT_EQ(now.totals.recordings, 2u);
   EXPECT_EQ(now.totals.locations, 3u);
@@ -65,9 +67,9 @@
   EXPECT_EQ(now.find("b")->length(), 90s);
 }
 
-TEST(Writer, ABadChangeSaysWhichFieldAndTakesNothing) {
-  Writer writer(numbered(), 2);
-  writer.commit(ok(writer.apply({PutRecording{recording("a", {"b0"})}})));
+TEST(Writer, AnInvalidChangeNamesItsFieldAndRejectsTheBatch) {
+  Writer writer(box_numbers(), 2);
+  writer.commit(applied_or_fail(writer.apply({PutRecording{recording("a", {"b0"})}})));
   auto twice = recording("x", {"b1", "b1"});
   auto high = recording("x", {});
   high.renditions[0].rung = 2;
@@ -94,16 +96,17 @@
   EXPECT_FALSE(writer.current()->find("new"));
 }
 
-// Against a plain map, over random batches; every tenth snapshot is held and checked again at the end.
-TEST(Writer, AgreesWithAPlainMap) {
+// Applies random batches to the catalogue and to a std::map. Every tenth snapshot is kept and compared at the
+// end, so that a change which alters a published snapshot fails here.
+TEST(Writer, AgreesWithAReferenceMap) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     std::minstd_rand chance(seed);
-    Writer writer(numbered(), 2);
-    std::map<std::string, Recording> plain;
+    Writer writer(box_numbers(), 2);
+    std::map<std::string, Recording> reference;
     std::vector<std::pair<SnapshotPtr, std::map<std::string, Recording>>> held;
     for (int step = 0; step < 300; ++step) {
       std::vector<Change> batch;
-      auto after = plain;
+      auto after = reference;
       for (unsigned i = 0; i < 1 + chance() % 4; ++i) {
         const auto title = "t" + std::to_string(chance() % 1500);
         const auto box = "b" + std::to_string(chance() % 9);
@@ -120,12 +123,12 @@
           batch.push_back(PutLocation{title, found->second.locations.back()});
         }
       }
-      writer.commit(ok(writer.apply(batch)));
-      plain = std::move(after);
+      writer.commit(applied_or_fail(writer.apply(batch)));
+      reference = std::move(after);
       if (step % 10 == 0)
-        held.emplace_back(writer.current(), plain);
+        held.emplace_back(writer.current(), reference);
     }
-    held.emplace_back(writer.current(), plain);
+    held.emplace_back(writer.current(), reference);
     for (const auto& [snapshot, expected] : held) {
       std::size_t seen = 0, locations = 0;
       snapshot->for_each([&](const std::string& title, const Entry& entry) {
@@ -141,7 +144,7 @@
 }
 
 template <typename Kind>
-std::vector<Kind> of(const std::vector<ReplicaAction>& actions) {
+std::vector<Kind> actions_of(const std::vector<ReplicaAction>& actions) {
   std::vector<Kind> all;
   for (const auto& act : actions) {
     if (const auto* kind = std::get_if<Kind>(&act))
@@ -150,134 +153,136 @@
   return all;
 }
 
-TEST(Replica, AChangeIsAnsweredOnlyOnceItIsKept) {
-  Replica replica({}, numbered(), 2);
+TEST(Replica, AChangeIsAcknowledgedOnlyOnceItIsDurable) {
+  Replica replica({}, box_numbers(), 2);
   auto actions =
       replica.handle(ChangeRequest{7, std::nullopt, false, {PutRecording{recording("a", {"b0"})}}});
-  ASSERT_EQ(of<PersistBatch>(actions).size(), 1u);
-  EXPECT_TRUE(of<ChangeResult>(actions).empty());
-  EXPECT_FALSE(replica.current()->find("a")) << "not in force before it is on the disk";
+  ASSERT_EQ(actions_of<PersistBatch>(actions).size(), 1u);
+  EXPECT_TRUE(actions_of<ChangeResult>(actions).empty());
+  EXPECT_FALSE(replica.current()->find("a")) << "has no effect before it is durable";
   actions = replica.handle(BatchPersisted{1, std::nullopt});
-  EXPECT_EQ(of<ChangeResult>(actions)[0].request_id, 7u);
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[0].request_id, 7u);
   EXPECT_TRUE(replica.current()->find("a"));
   actions = replica.handle(ChangeRequest{8, std::nullopt, false, {RemoveRecording{"a"}}});
   actions = replica.handle(BatchPersisted{2, "the disk is full"});
-  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::not_durable);
-  EXPECT_TRUE(replica.current()->find("a")) << "nothing of it is in force";
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[0].outcome, ChangeOutcome::not_durable);
+  EXPECT_TRUE(replica.current()->find("a")) << "a batch that was not stored has no effect";
   EXPECT_EQ(replica.current()->revision, 1u);
 }
 
-TEST(Replica, TwoWritersRacingOnOneRevision) {
-  Replica replica({}, numbered(), 2);
+TEST(Replica, OfTwoWritersAtOneRevisionTheSecondIsStale) {
+  Replica replica({}, box_numbers(), 2);
   replica.handle(ChangeRequest{1, 0, false, {PutRecording{recording("a", {"b0"})}}});
   replica.handle(ChangeRequest{2, 0, false, {PutRecording{recording("a", {"b1"})}}});
   const auto actions = replica.handle(BatchPersisted{1, std::nullopt});
-  ASSERT_EQ(of<ChangeResult>(actions).size(), 2u);
-  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::accepted);
-  EXPECT_EQ(of<ChangeResult>(actions)[1].outcome, ChangeOutcome::stale);
-  EXPECT_EQ(of<ChangeResult>(actions)[1].revision, 1u);
+  ASSERT_EQ(actions_of<ChangeResult>(actions).size(), 2u);
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[0].outcome, ChangeOutcome::accepted);
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[1].outcome, ChangeOutcome::stale);
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[1].revision, 1u);
   EXPECT_EQ(*replica.current()->find("a")->holders, std::vector<ServerId>{0});
 }
 
-std::vector<Change> many(int count) {
+std::vector<Change> recordings_on_two_boxes(int count) {
   std::vector<Change> changes;
   for (int i = 0; i < count; ++i)
     changes.push_back(PutRecording{recording("t" + std::to_string(i), {"b0", "b1"})});
   return changes;
 }
 
-TEST(Replica, AShrinkAtAStrokeIsHeldForConfirmation) {
-  Replica replica({}, numbered(), 2);
-  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+TEST(Replica, AChangeThatRemovesTooMuchNeedsConfirmation) {
+  Replica replica({}, box_numbers(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, recordings_on_two_boxes(40)});
   replica.handle(BatchPersisted{1, std::nullopt});
   std::vector<Change> removal;
   for (int i = 0; i < 20; ++i)
     removal.push_back(RemoveRecording{"t" + std::to_string(i)});
   auto actions = replica.handle(ChangeRequest{2, std::nullopt, false, removal});
-  EXPECT_EQ(of<ChangeResult>(actions)[0].outcome, ChangeOutcome::confirmation_required);
+  EXPECT_EQ(actions_of<ChangeResult>(actions)[0].outcome, ChangeOutcome::confirmation_required);
   EXPECT_TRUE(replica.current()->find("t0"));
   actions = replica.handle(ChangeRequest{3, std::nullopt, true, removal});
-  EXPECT_EQ(of<PersistBatch>(actions).size(), 1u);
+  EXPECT_EQ(actions_of<PersistBatch>(actions).size(), 1u);
   replica.handle(BatchPersisted{2, std::nullopt});
   EXPECT_FALSE(replica.current()->find("t0"));
-  // A feed can't be asked: it confirms by saying the same again.
+  // Nobody can confirm a batch from the feed: it is accepted when a second poll brings it again.
   std::vector<Change> rest;
   for (int i = 20; i < 40; ++i)
     rest.push_back(RemoveRecording{"t" + std::to_string(i)});
   actions = replica.handle(FeedBatches{3, {rest}});
-  EXPECT_TRUE(of<PersistBatch>(actions).empty());
-  ASSERT_EQ(of<PollFeed>(actions).size(), 1u);
-  EXPECT_FALSE(of<PollFeed>(actions)[0].cause.empty());
+  EXPECT_TRUE(actions_of<PersistBatch>(actions).empty());
+  ASSERT_EQ(actions_of<PollFeed>(actions).size(), 1u);
+  EXPECT_FALSE(actions_of<PollFeed>(actions)[0].cause.empty());
   actions = replica.handle(FeedBatches{3, {rest}});
-  EXPECT_EQ(of<PersistBatch>(actions).size(), 1u);
+  EXPECT_EQ(actions_of<PersistBatch>(actions).size(), 1u);
 }
 
-TEST(Replica, ManyMovesAtOnceAreNoShrink) {
-  Replica replica({}, numbered(), 2);
-  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+TEST(Replica, MovingManyLocationsNeedsNoConfirmation) {
+  Replica replica({}, box_numbers(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, recordings_on_two_boxes(40)});
   replica.handle(BatchPersisted{1, std::nullopt});
   FeedSnapshot moved{5, {}};
   for (int i = 0; i < 40; ++i)
     moved.recordings.push_back(recording("t" + std::to_string(i), {"b2", "b3"}));
-  EXPECT_EQ(of<PersistBatch>(replica.handle(moved)).size(), 1u);
+  EXPECT_EQ(actions_of<PersistBatch>(replica.handle(moved)).size(), 1u);
 }
 
-TEST(Replica, AHeldShrinkIsConfirmedByALaterWhole) {
-  Replica replica({}, numbered(), 2);
-  replica.handle(ChangeRequest{1, std::nullopt, false, many(40)});
+TEST(Replica, ALaterFullSnapshotConfirmsAShrink) {
+  Replica replica({}, box_numbers(), 2);
+  replica.handle(ChangeRequest{1, std::nullopt, false, recordings_on_two_boxes(40)});
   replica.handle(BatchPersisted{1, std::nullopt});
-  EXPECT_TRUE(of<PersistBatch>(replica.handle(FeedSnapshot{5, {recording("a", {"b0"})}})).empty());
-  EXPECT_EQ(of<PersistBatch>(replica.handle(FeedSnapshot{6, {recording("a", {"b1"})}})).size(), 1u)
-      << "an origin that goes on changing";
+  EXPECT_TRUE(actions_of<PersistBatch>(replica.handle(FeedSnapshot{5, {recording("a", {"b0"})}})).empty());
+  EXPECT_EQ(actions_of<PersistBatch>(replica.handle(FeedSnapshot{6, {recording("a", {"b1"})}})).size(), 1u)
+      << "the origin changes again between the two polls";
 }
 
-TEST(Replica, AFeedWithGapsRepeatsOrRuinsIsCaughtUpWhole) {
-  Replica replica({}, numbered(), 2);
+TEST(Replica, AGapOrAnInvalidBatchInTheFeedAsksForAFullSnapshot) {
+  Replica replica({}, box_numbers(), 2);
   auto actions = replica.handle(
       FeedBatches{1, {{PutRecording{recording("a", {"b0"})}}, {PutRecording{recording("b", {"b0"})}}}});
-  EXPECT_EQ(of<PersistBatch>(actions)[0].revision, 1u);
+  EXPECT_EQ(actions_of<PersistBatch>(actions)[0].revision, 1u);
   actions = replica.handle(
-      FeedBatches{1, {{PutRecording{recording("a", {"b0"})}}}});  // again, while the first is being kept
+      FeedBatches{1, {{PutRecording{recording("a", {"b0"})}}}});  // again, while the first is being stored
   replica.handle(BatchPersisted{1, std::nullopt});
   replica.handle(BatchPersisted{2, std::nullopt});
   EXPECT_EQ(replica.current()->revision, 2u);
   actions = replica.handle(FeedBatches{4, {{RemoveRecording{"a"}}}});
-  ASSERT_EQ(of<PollFeed>(actions).size(), 1u);
-  EXPECT_TRUE(of<PollFeed>(actions)[0].full_snapshot) << "batch 3 is missing";
+  ASSERT_EQ(actions_of<PollFeed>(actions).size(), 1u);
+  EXPECT_TRUE(actions_of<PollFeed>(actions)[0].full_snapshot) << "batch 3 is missing";
   EXPECT_TRUE(replica.current()->find("a"));
   actions = replica.handle(FeedBatches{3, {{RemoveRecording{"never was"}}}});
-  EXPECT_TRUE(of<PollFeed>(actions)[0].full_snapshot) << "it does not fit what is held";
+  EXPECT_TRUE(actions_of<PollFeed>(actions)[0].full_snapshot)
+      << "the batch can't be applied to the current snapshot";
   actions = replica.handle(FeedSnapshot{9, {recording("c", {"b1"})}});
-  ASSERT_EQ(of<PersistBatch>(actions).size(), 1u);
-  EXPECT_TRUE(of<PersistBatch>(actions)[0].full_snapshot);
+  ASSERT_EQ(actions_of<PersistBatch>(actions).size(), 1u);
+  EXPECT_TRUE(actions_of<PersistBatch>(actions)[0].full_snapshot);
   actions = replica.handle(BatchPersisted{9, std::nullopt});
   EXPECT_EQ(replica.current()->revision, 9u);
   EXPECT_FALSE(replica.current()->find("a"));
   EXPECT_TRUE(replica.current()->find("c"));
   actions = replica.handle(FeedSnapshot{4, {recording("a", {"b1"})}});
-  EXPECT_TRUE(of<PersistBatch>(actions).empty()) << "older than the one held";
-  EXPECT_FALSE(replica.batches_after(3, 10)) << "what came before a whole can't be told batch by batch";
+  EXPECT_TRUE(actions_of<PersistBatch>(actions).empty()) << "older than the current revision";
+  EXPECT_FALSE(replica.batches_after(3, 10)) << "the log starts after the full snapshot";
 }
 
-// A keeper that follows another's feed through lost, doubled, late and refused answers ends at the same.
-TEST(Replica, FollowsThroughAnyInterleaving) {
+// A replica that follows another's feed through lost, repeated, late and rejected replies ends in the same
+// state.
+TEST(Replica, FollowsAFeedThroughAnyInterleaving) {
   for (unsigned seed = 1; seed <= 2000; ++seed) {
     std::minstd_rand chance(seed);
     ReplicaConfig short_log;
     short_log.log_capacity = 3;
     short_log.unguarded_locations = 1000;
-    Replica origin(short_log, numbered(), 2), follower(short_log, numbered(), 2);
-    std::optional<Revision> keeping = std::nullopt;
-    bool whole = false;
-    const auto heed = [&](const std::vector<ReplicaAction>& actions) {
+    Replica origin(short_log, box_numbers(), 2), follower(short_log, box_numbers(), 2);
+    std::optional<Revision> persisting = std::nullopt;
+    bool needs_snapshot = false;
+    const auto perform = [&](const std::vector<ReplicaAction>& actions) {
       for (const auto& act : actions) {
         if (const auto* keep = std::get_if<PersistBatch>(&act))
-          keeping = keep->revision;
+          persisting = keep->revision;
         if (const auto* feed = std::get_if<PollFeed>(&act))
-          whole = whole || feed->full_snapshot;
+          needs_snapshot = needs_snapshot || feed->full_snapshot;
       }
     };
-    std::vector<ReplicaEvent> way;  // answers on their way
+    std::vector<ReplicaEvent> in_flight;  // replies of the origin
     for (int step = 0; step < 40 || follower.current()->revision != origin.current()->revision; ++step) {
       ASSERT_LT(step, 400) << "seed " << seed << " does not catch up";
       if (step < 40 && chance() % 2 == 0) {
@@ -288,35 +293,35 @@
         origin.handle(ChangeRequest{1, std::nullopt, true, {change}});
         origin.handle(BatchPersisted{origin.current()->revision + 1, std::nullopt});
       }
-      if (chance() % 2 == 0) {  // the follower asks
+      if (chance() % 2 == 0) {  // the follower polls
         const auto batches = origin.batches_after(follower.current()->revision, 2);
-        if (batches && !whole) {
-          FeedBatches fed{follower.current()->revision + 1, {}};
+        if (batches && !needs_snapshot) {
+          FeedBatches feed{follower.current()->revision + 1, {}};
           for (const auto& [revision, changes] : *batches)
-            fed.batches.push_back(*changes);
-          way.emplace_back(fed);
+            feed.batches.push_back(*changes);
+          in_flight.emplace_back(feed);
         } else {
           FeedSnapshot all{origin.current()->revision, {}};
           origin.current()->for_each([&](const std::string& title, const Entry& entry) {
             all.recordings.push_back(origin.current()->recording_of(title, entry));
           });
-          way.emplace_back(all);
-          whole = false;
+          in_flight.emplace_back(all);
+          needs_snapshot = false;
         }
       }
-      if (!way.empty() && chance() % 2 == 0) {
-        const auto at = chance() % way.size();  // late, doubled or lost
-        const auto event = way[at];
+      if (!in_flight.empty() && chance() % 2 == 0) {
+        const auto at = chance() % in_flight.size();  // late, repeated or lost
+        const auto event = in_flight[at];
         if (chance() % 3 != 0)
-          way.erase(way.begin() + static_cast<long>(at));
+          in_flight.erase(in_flight.begin() + static_cast<long>(at));
         if (chance() % 5 != 0)
-          heed(follower.handle(event));
-        if (way.size() > 6)
-          way.clear();
+          perform(follower.handle(event));
+        if (in_flight.size() > 6)
+          in_flight.clear();
       }
-      if (keeping && chance() % 2 == 0) {
-        const auto revision = *std::exchange(keeping, std::nullopt);
-        heed(follower.handle(
+      if (persisting && chance() % 2 == 0) {
+        const auto revision = *std::exchange(persisting, std::nullopt);
+        perform(follower.handle(
             BatchPersisted{revision, chance() % 8 == 0 ? std::optional<std::string>("full") : std::nullopt}));
       }
     }
@@ -329,10 +334,10 @@
   }
 }
 
-TEST(Demand, TellsTheMostAskedWithinItsDoubt) {
+TEST(Demand, ReportsTheMostRequestedWithinItsErrorBound) {
   std::minstd_rand chance(3);
-  Writer writer(numbered(), 2);
-  writer.commit(ok(writer.apply(many(500))));
+  Writer writer(box_numbers(), 2);
+  writer.commit(applied_or_fail(writer.apply(recordings_on_two_boxes(500))));
   const auto& snapshot = *writer.current();
   Demand demand(64, 1h);
   std::map<RecordingId, int> exact;
@@ -346,17 +351,18 @@
   const auto wanting = demand.replication_candidates(0s, snapshot, 1, 1, 30s, 0, 10);
   ASSERT_EQ(wanting.size(), 10u);
   for (const auto& one : wanting) {
-    EXPECT_GE(one.requests, exact[one.recording]) << "never under the truth";
-    EXPECT_LE(one.requests - one.max_error, exact[one.recording]) << "and surely not over";
+    EXPECT_GE(one.requests, exact[one.recording]) << "never below the true count";
+    EXPECT_LE(one.requests - one.max_error, exact[one.recording])
+        << "the lower bound is never above the true count";
   }
   EXPECT_EQ(wanting[0].recording, *snapshot.id("t0"));
   demand.record_turned_away(0s, wanting[9].recording);
   EXPECT_EQ(demand.replication_candidates(0s, snapshot, 1, 1, 30s, 0, 10)[0].recording, wanting[9].recording)
       << "viewers turned away come first";
-  EXPECT_TRUE(demand.replication_candidates(20h, snapshot, 1e6, 1, 30s, 0.7, 10).empty()) << "demand fades";
+  EXPECT_TRUE(demand.replication_candidates(20h, snapshot, 1e6, 1, 30s, 0.7, 10).empty()) << "demand decays";
 }
 
-TEST(Wire, ChangesRoundTripAndBadOnesSayWhere) {
+TEST(CatalogueJson, ChangesRoundTripAndErrorsNameTheirPlace) {
   const std::vector<Change> changes{PutRecording{recording("a", {"b0"})},
                                     RemoveRecording{"b"},
                                     PutRendition{"a", {"x", 1, "hvc1", 2.5, 3s}},
@@ -385,9 +391,9 @@
   }
 }
 
-// ---- the store ----
+// ---- Store ----
 
-class Stored : public ::testing::Test {
+class StoreTest : public ::testing::Test {
  protected:
   void SetUp() override {
     auto pattern = (std::filesystem::temp_directory_path() / "violettide-store-XXXXXX").string();
@@ -401,16 +407,16 @@
   std::string folder;
 };
 
-TEST_F(Stored, AKilledWriterIsBackAtTheLastAnsweredRevision) {
+TEST_F(StoreTest, AfterAKillTheLastAcknowledgedRevisionIsRestored) {
   for (int round = 0; round < 8; ++round) {
     int answers[2];
     ASSERT_EQ(pipe(answers), 0);
-    const auto own = folder + "/" + std::to_string(round);
+    const auto store_folder = folder + "/" + std::to_string(round);
     const auto child = fork();
     if (child == 0) {
-      cataloguestore::Store store(own);
-      Replica replica({}, numbered(), 2);
-      store.restore_to(replica);
+      cataloguestore::Store store(store_folder);
+      Replica replica({}, box_numbers(), 2);
+      store.restore(replica);
       for (int i = 1; i < 10000; ++i) {
         if (!store.keep(static_cast<Revision>(i), batch(i), false).empty())
           _exit(1);
@@ -421,7 +427,7 @@
     }
     close(answers[1]);
     int last = 0;
-    // Killed in the midst of some write, after so many answers.
+    // Kills the writer during some write, after a number of acknowledged ones.
     for (int i = 0; i < 3 + 5 * round; ++i)
       ASSERT_EQ(read(answers[0], &last, sizeof last), static_cast<ssize_t>(sizeof last));
     kill(child, SIGKILL);
@@ -429,25 +435,25 @@
     for (int more; read(answers[0], &more, sizeof more) == static_cast<ssize_t>(sizeof more);)
       last = more;
     close(answers[0]);
-    cataloguestore::Store store(own);
-    Replica replica({}, numbered(), 2);
-    const auto found = store.restore_to(replica);
-    EXPECT_FALSE(found.damaged) << found.told;
-    EXPECT_GE(found.revision, static_cast<Revision>(last)) << "what was answered is there";
+    cataloguestore::Store store(store_folder);
+    Replica replica({}, box_numbers(), 2);
+    const auto found = store.restore(replica);
+    EXPECT_FALSE(found.damaged) << found.damage_report;
+    EXPECT_GE(found.revision, static_cast<Revision>(last)) << "every acknowledged batch is restored";
     EXPECT_LE(found.revision, static_cast<Revision>(last) + 1);
     EXPECT_TRUE(replica.current()->find("t" + std::to_string(last)));
   }
 }
 
-TEST_F(Stored, DamageGoesBackToTheLastGoodStateAndIsTold) {
+TEST_F(StoreTest, ADamagedDatabaseIsQuarantinedAndReported) {
   {
     cataloguestore::Store store(folder);
-    Replica replica({}, numbered(), 2);
-    store.restore_to(replica);
+    Replica replica({}, box_numbers(), 2);
+    store.restore(replica);
     for (int i = 1; i <= 20; ++i)
       ASSERT_EQ(store.keep(static_cast<Revision>(i), batch(i), false), "");
   }
-  // One letter of the tenth batch flips on the disk.
+  // Corrupts one byte of the tenth batch.
   std::fstream file(folder + "/catalogue.db", std::ios::in | std::ios::out | std::ios::binary);
   std::string bytes((std::istreambuf_iterator<char>(file)), {});
   const auto at = bytes.find("\"t10\"");
@@ -457,60 +463,62 @@
   file.close();
   {
     cataloguestore::Store store(folder);
-    Replica replica({}, numbered(), 2);
-    const auto found = store.restore_to(replica);
+    Replica replica({}, box_numbers(), 2);
+    const auto found = store.restore(replica);
     EXPECT_TRUE(found.damaged);
     EXPECT_EQ(found.revision, 9u);
-    EXPECT_NE(found.told.find("batch 10 does not match its checksum"), std::string::npos) << found.told;
+    EXPECT_NE(found.damage_report.find("batch 10 does not match its checksum"), std::string::npos)
+        << found.damage_report;
     EXPECT_TRUE(replica.current()->find("t9"));
-    EXPECT_FALSE(replica.current()->find("t11")) << "never half loaded";
+    EXPECT_FALSE(replica.current()->find("t11")) << "nothing after the damage is loaded";
     EXPECT_TRUE(std::filesystem::exists(folder + "/catalogue.db.damaged"));
-    EXPECT_EQ(store.keep(10, batch(10), false), "") << "service goes on from there";
+    EXPECT_EQ(store.keep(10, batch(10), false), "") << "the new database accepts the next batch";
   }
-  // Nothing of the database can be read: the snapshot written above stands in.
+  // No part of the database can be read: restores the snapshot file written during the first repair.
   std::ofstream(folder + "/catalogue.db", std::ios::trunc) << std::string(8192, 'x');
   std::filesystem::remove(folder + "/catalogue.db-wal");
   cataloguestore::Store store(folder);
-  Replica replica({}, numbered(), 2);
-  const auto found = store.restore_to(replica);
+  Replica replica({}, box_numbers(), 2);
+  const auto found = store.restore(replica);
   EXPECT_TRUE(found.damaged);
-  EXPECT_EQ(found.revision, 9u) << found.told;
+  EXPECT_EQ(found.revision, 9u) << found.damage_report;
   EXPECT_TRUE(std::filesystem::exists(folder + "/catalogue.db.damaged-2"));
 }
 
-TEST_F(Stored, ASnapshotCutAnywhereIsNeverHalfLoaded) {
-  Writer writer(numbered(), 2);
-  writer.commit(ok(writer.apply(many(50))));
+TEST_F(StoreTest, ATruncatedOrCorruptSnapshotIsNeverPartlyLoaded) {
+  Writer writer(box_numbers(), 2);
+  writer.commit(applied_or_fail(writer.apply(recordings_on_two_boxes(50))));
   const auto path = folder + "/s";
   ASSERT_EQ(cataloguestore::write_snapshot(path, *writer.current()), "");
   EXPECT_EQ(cataloguestore::read_snapshot(path).recordings.size(), 50u);
   std::ifstream in(path, std::ios::binary);
-  const std::string whole((std::istreambuf_iterator<char>(in)), {});
-  for (std::size_t at = 0; at < whole.size(); at += 7) {
-    std::ofstream(path, std::ios::binary | std::ios::trunc) << whole.substr(0, at);
-    ASSERT_FALSE(cataloguestore::read_snapshot(path).fault.empty()) << at;
-    auto flipped = whole;
+  const std::string intact((std::istreambuf_iterator<char>(in)), {});
+  for (std::size_t at = 0; at < intact.size(); at += 7) {
+    std::ofstream(path, std::ios::binary | std::ios::trunc) << intact.substr(0, at);
+    ASSERT_FALSE(cataloguestore::read_snapshot(path).error.empty()) << at;
+    auto flipped = intact;
     flipped[at] = static_cast<char>(flipped[at] ^ 4);
     std::ofstream(path, std::ios::binary | std::ios::trunc) << flipped;
     const auto read = cataloguestore::read_snapshot(path);
-    ASSERT_TRUE(!read.fault.empty() || read.recordings.size() == 50) << at;
+    ASSERT_TRUE(!read.error.empty() || read.recordings.size() == 50) << at;
   }
   EXPECT_FALSE(cataloguestore::write_snapshot(folder + "/no/such/place", *writer.current()).empty());
 }
 
-TEST_F(Stored, AFullOrMissingDiskIsToldAndNothingIsLost) {
+TEST_F(StoreTest, AFailedWriteIsReportedAndLosesNothing) {
   cataloguestore::Store store(folder);
-  Replica replica({}, numbered(), 2);
-  store.restore_to(replica);
+  Replica replica({}, box_numbers(), 2);
+  store.restore(replica);
   ASSERT_EQ(store.keep(1, batch(1), false), "");
-  EXPECT_FALSE(store.keep(1, batch(2), false).empty()) << "a revision is kept once";
+  EXPECT_FALSE(store.keep(1, batch(2), false).empty()) << "a revision can be stored only once";
   std::ofstream(folder + "/file") << "x";
-  EXPECT_THROW(cataloguestore::Store(folder + "/file/below"), cataloguestore::Unusable);
+  EXPECT_THROW(cataloguestore::Store(folder + "/file/below"), cataloguestore::StoreError);
 }
 
-// ---- changes amid set-ups: the manager, a box list, boxes and an operator, in any order ----
+// ---- changes during set-ups: a manager with its box list, boxes, a viewer and an operator ----
 
-struct Amid {
+// A simulated network with one manager, three boxes, the list service, a viewer and an operator.
+struct CatalogueChanges {
   Net net;
   Puppet boxes[3], list, viewer, operators;
   std::unique_ptr<manager::Manager> front;
@@ -518,12 +526,12 @@
   static constexpr int list_host = 4, viewer_host = 5, operator_host = 6;
   std::string states[3] = {"ready", "ready", "ready"};
   int list_revision = 1;
-  std::map<std::string, std::set<int>> listed;             // as the manager has answered
-  std::map<std::string, std::map<int, Span>> unlisted_at;  // since when not, by title and box
-  std::vector<std::string> wrong;
+  std::map<std::string, std::set<int>> listed;             // as acknowledged by the manager
+  std::map<std::string, std::map<int, Span>> unlisted_at;  // when a location was removed, by title and box
+  std::vector<std::string> violations;
   int set_ups = 0;
 
-  Amid() {
+  CatalogueChanges() {
     manager::FrontTerms terms;
     terms.site.rung_kb = {10, 20};
     terms.site.rung_revenue = {0.5, 1};
@@ -551,12 +559,12 @@
         const auto title = got.substr(7, got.find('/', 7) - 7);
         if (got.find("su") != std::string::npos) {
           ++set_ups;
-          // Written by the manager one way earlier: was it listed then?
+          // The manager wrote this one network latency ago: was the location listed then?
           const auto& gone = unlisted_at[title];
           const auto found = gone.find(b);
           if (found != gone.end() && net.now() - net.latency > found->second)
-            wrong.push_back(title + " was sent to b" + std::to_string(b) + ", unlisted " +
-                            std::to_string((net.now() - found->second).count()) + " us before");
+            violations.push_back(title + " was sent to b" + std::to_string(b) + ", unlisted " +
+                                 std::to_string((net.now() - found->second).count()) + " us before");
         }
         got.clear();
         actions.push_back(Send{link, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"});
@@ -589,7 +597,7 @@
     net.poke(viewer_host);
     return link;
   }
-  // The operator's request; its answer is waited for by running the net on.
+  // Sends the operator's request and runs the network until it is answered.
   std::string change(const std::string& method, const std::string& target, const std::string& body = "") {
     const Link link = next++;
     operators.next.push_back(Dial{link, "", Net::port(0, 1)});
@@ -614,52 +622,55 @@
   }
 };
 
-TEST(Amid, AnUnknownTitleIs404AndAnEmptySetIsAnsweredAtOnce) {
-  Amid amid;
-  const auto unknown = amid.ask("nosuch", 1);
-  amid.net.run(amid.net.now() + 20ms);
-  EXPECT_TRUE(amid.viewer.peers[unknown].got.starts_with("HTTP/1.1 404")) << amid.viewer.peers[unknown].got;
-  amid.put("t", {});
-  const auto nowhere = amid.ask("t", 2);
-  amid.net.run(amid.net.now() + 20ms);
-  EXPECT_TRUE(amid.viewer.peers[nowhere].got.starts_with("HTTP/1.1 503")) << amid.viewer.peers[nowhere].got;
-  amid.put("t", {1});
-  const auto plays = amid.ask("t", 3);
-  amid.net.run(amid.net.now() + 20ms);
-  EXPECT_TRUE(amid.viewer.peers[plays].got.starts_with("HTTP/1.1 200")) << amid.viewer.peers[plays].got;
+TEST(CatalogueChanges, AnUnknownTitleGets404AndOneWithoutLocationsGets503AtOnce) {
+  CatalogueChanges fixture;
+  const auto unknown = fixture.ask("nosuch", 1);
+  fixture.net.run(fixture.net.now() + 20ms);
+  EXPECT_TRUE(fixture.viewer.peers[unknown].got.starts_with("HTTP/1.1 404"))
+      << fixture.viewer.peers[unknown].got;
+  fixture.put("t", {});
+  const auto nowhere = fixture.ask("t", 2);
+  fixture.net.run(fixture.net.now() + 20ms);
+  EXPECT_TRUE(fixture.viewer.peers[nowhere].got.starts_with("HTTP/1.1 503"))
+      << fixture.viewer.peers[nowhere].got;
+  fixture.put("t", {1});
+  const auto plays = fixture.ask("t", 3);
+  fixture.net.run(fixture.net.now() + 20ms);
+  EXPECT_TRUE(fixture.viewer.peers[plays].got.starts_with("HTTP/1.1 200")) << fixture.viewer.peers[plays].got;
 }
 
-TEST(Amid, ABatchOfABulkLoadIsLongerThanAViewersRequestMayBe) {
-  Amid amid;
-  const auto body = cataloguewire::json_text(many(6000));
+TEST(CatalogueChanges, ABulkLoadMayExceedTheSizeLimitOfViewerRequests) {
+  CatalogueChanges fixture;
+  const auto body = cataloguewire::json_text(recordings_on_two_boxes(6000));
   ASSERT_GT(body.size(), 1024u * 1024);
-  const auto answer = amid.change("POST", "/catalogue/changes", body);
+  const auto answer = fixture.change("POST", "/catalogue/changes", body);
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer.substr(0, 200);
 }
 
-TEST(Amid, ATryNotYetWrittenIsTakenBackAndPlacedAnew) {
-  Amid amid;
-  amid.put("t", {0});
-  amid.net.latency = 20ms;  // a connection takes its time
-  const auto link = amid.ask("t", 1);
-  amid.net.run(amid.net.now() + 21ms);  // asked; the box is being dialled
-  const auto operator_link = amid.next++;
+TEST(CatalogueChanges, AnUnsentTryIsCancelledAndPlacedAgain) {
+  CatalogueChanges fixture;
+  fixture.put("t", {0});
+  fixture.net.latency = 20ms;  // slow enough that the change comes before the connection
+  const auto link = fixture.ask("t", 1);
+  fixture.net.run(fixture.net.now() +
+                  21ms);  // the request has arrived; the connection to the box is being opened
+  const auto operator_link = fixture.next++;
   const auto body = cataloguewire::json_text(recording("t", {"b2"}));
-  amid.operators.next.push_back(Dial{operator_link, "", Net::port(0, 1)});
-  amid.operators.next.push_back(
+  fixture.operators.next.push_back(Dial{operator_link, "", Net::port(0, 1)});
+  fixture.operators.next.push_back(
       Send{operator_link, "PUT /catalogue/recordings/t HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                               std::to_string(body.size()) + "\r\n\r\n" + body});
-  amid.net.poke(Amid::operator_host);
-  amid.net.run(amid.net.now() + 400ms);
-  EXPECT_TRUE(amid.viewer.peers[link].got.starts_with("HTTP/1.1 200")) << amid.viewer.peers[link].got;
+  fixture.net.poke(CatalogueChanges::operator_host);
+  fixture.net.run(fixture.net.now() + 400ms);
+  EXPECT_TRUE(fixture.viewer.peers[link].got.starts_with("HTTP/1.1 200")) << fixture.viewer.peers[link].got;
   std::size_t taken_back = 0;
-  for (const auto& [host, said] : amid.net.said)
+  for (const auto& [host, said] : fixture.net.said)
     taken_back += said.event == "try_taken_back";
   EXPECT_EQ(taken_back, 1u);
 }
 
-// List and catalogue are each late: a box takes new playbacks only where both say so.
-TEST(Amid, AListAndACatalogueMustAgree) {
+// The list and the catalogue may each be out of date: a box gets new playbacks only if both allow it.
+TEST(CatalogueChanges, ListAndCatalogueMustBothAllowABox) {
   const struct {
     const char* state;
     bool listed;
@@ -667,64 +678,64 @@
   } cases[] = {{"ready", true, true},      {"ready", false, false}, {"draining", true, false},
                {"draining", false, false}, {"gone", true, false},   {"gone", false, false}};
   for (const auto& c : cases) {
-    Amid amid;
-    for (auto& state : amid.states)
+    CatalogueChanges fixture;
+    for (auto& state : fixture.states)
       state = c.state;
-    ++amid.list_revision;
-    amid.net.run(amid.net.now() + 500ms);
-    amid.put("t", c.listed ? std::vector<int>{1} : std::vector<int>{});
-    const auto link = amid.ask("t", 1);
-    amid.net.run(amid.net.now() + 100ms);
-    EXPECT_EQ(amid.viewer.peers[link].got.starts_with("HTTP/1.1 200"), c.plays)
-        << c.state << c.listed << amid.viewer.peers[link].got;
+    ++fixture.list_revision;
+    fixture.net.run(fixture.net.now() + 500ms);
+    fixture.put("t", c.listed ? std::vector<int>{1} : std::vector<int>{});
+    const auto link = fixture.ask("t", 1);
+    fixture.net.run(fixture.net.now() + 100ms);
+    EXPECT_EQ(fixture.viewer.peers[link].got.starts_with("HTTP/1.1 200"), c.plays)
+        << c.state << c.listed << fixture.viewer.peers[link].got;
   }
-  // A location on a box that no list has named becomes usable when one does.
-  Amid amid;
+  // A location on a box that no list has named yet is accepted but not used.
+  CatalogueChanges fixture;
   const auto answer =
-      amid.change("PUT", "/catalogue/recordings/t", cataloguewire::json_text(recording("t", {"b7"})));
+      fixture.change("PUT", "/catalogue/recordings/t", cataloguewire::json_text(recording("t", {"b7"})));
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
-  const auto link = amid.ask("t", 1);
-  amid.net.run(amid.net.now() + 50ms);
-  EXPECT_TRUE(amid.viewer.peers[link].got.starts_with("HTTP/1.1 503"));
+  const auto link = fixture.ask("t", 1);
+  fixture.net.run(fixture.net.now() + 50ms);
+  EXPECT_TRUE(fixture.viewer.peers[link].got.starts_with("HTTP/1.1 503"));
 }
 
-// Thousands of interleavings of requests, changes and list news: nothing is ever sent to a location that was
-// not listed at that moment, and every request has one answer.
-TEST(Amid, NothingIsSentToALocationThatIsNotListed) {
+// Random interleavings of requests, changes and list updates: no set-up is sent to a location that was not
+// listed at that moment, and every request gets exactly one reply.
+TEST(CatalogueChanges, NoSetUpIsSentToAnUnlistedLocation) {
   int set_ups = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::minstd_rand chance(seed);
-    Amid amid;
-    amid.net.latency = Span(50 + chance() % 4000);
-    amid.net.keep_time = Span(chance() % 6000);
+    CatalogueChanges fixture;
+    fixture.net.latency = Span(50 + chance() % 4000);
+    fixture.net.keep_time = Span(chance() % 6000);
     for (int t = 0; t < 3; ++t)
-      amid.put("t" + std::to_string(t), {0, 1, 2});
+      fixture.put("t" + std::to_string(t), {0, 1, 2});
     std::vector<Link> requested;
     for (int step = 0; step < 60; ++step) {
       const auto title = "t" + std::to_string(chance() % 3);
       if (chance() % 2 == 0)
-        requested.push_back(amid.ask(title, static_cast<int>(requested.size())));
+        requested.push_back(fixture.ask(title, static_cast<int>(requested.size())));
       if (chance() % 3 == 0) {
         std::vector<int> where;
         for (int b = 0; b < 3; ++b) {
           if (chance() % 2 == 0)
             where.push_back(b);
         }
-        amid.put(title, where);
+        fixture.put(title, where);
       }
       if (chance() % 6 == 0)
-        amid.states[chance() % 3] = chance() % 3 == 0 ? "draining" : "ready", ++amid.list_revision;
-      amid.net.run(amid.net.now() + Span(chance() % 8000));
+        fixture.states[chance() % 3] = chance() % 3 == 0 ? "draining" : "ready", ++fixture.list_revision;
+      fixture.net.run(fixture.net.now() + Span(chance() % 8000));
     }
-    amid.net.run(amid.net.now() + 5s);
-    for (const auto& wrong : amid.wrong)
-      ADD_FAILURE() << "seed " << seed << ": " << wrong;
+    fixture.net.run(fixture.net.now() + 5s);
+    for (const auto& violation : fixture.violations)
+      ADD_FAILURE() << "seed " << seed << ": " << violation;
     for (const auto link : requested) {
-      const auto& got = amid.viewer.peers[link].got;
+      const auto& got = fixture.viewer.peers[link].got;
       ASSERT_TRUE(got.starts_with("HTTP/1.1 ")) << "seed " << seed << " link " << link;
       ASSERT_EQ(got.find("HTTP/1.1 ", 1), std::string::npos) << got;
     }
-    set_ups += amid.set_ups;
+    set_ups += fixture.set_ups;
   }
   EXPECT_GT(set_ups, 800);
 }
