--- a/src/boxlist/boxlist.h
+++ b/src/boxlist/boxlist.h
@@ -54,7 +54,7 @@
   // The index of a box, which is assigned if the name is new. A box counts as gone until a list names it.
   ServerId index(std::string_view name);
   std::int64_t revision() const { return revision_; }
-  // When the last valid list came from the service; absent: none has.
+  // When the last valid list came from the service; absent: none has come.
   std::optional<Span> received_at() const { return received_at_; }
 
  private:
--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -102,7 +102,7 @@
   return static_cast<const Entry*>(node->children[id % fanout].get());
 }
 
-// The node itself if this batch made it, else a copy that may be changed.
+// Returns the node itself if this batch made it, else a copy that may be changed.
 EntryTrie::NodePtr EntryTrie::writable(const std::shared_ptr<void>& node, std::uint64_t batch_id) {
   auto known = std::static_pointer_cast<Node>(node);
   if (known && known->batch_id == batch_id)
--- a/src/catalogue/demand.cpp
+++ b/src/catalogue/demand.cpp
@@ -85,7 +85,8 @@
 }
 
 std::vector<ReplicationCandidate> Demand::replication_candidates(Span now, const Snapshot& snapshot,
-                                                                 double link_kb_per_s, double playback_kb_per_s,
+                                                                 double link_kb_per_s,
+                                                                 double playback_kb_per_s,
                                                                  Span playback_length, double min_utilization,
                                                                  std::size_t limit) {
   decay(now);
@@ -102,8 +103,9 @@
     const double concurrent_playbacks =
         certain_requests / window_s * std::chrono::duration<double>(playback_length).count();
     const double capacity_kb_per_s = link_kb_per_s * static_cast<double>(candidate.holders);
-    candidate.link_utilization =
-        capacity_kb_per_s > 0 ? concurrent_playbacks * playback_kb_per_s / capacity_kb_per_s : (certain_requests > 0 ? 1e9 : 0);
+    candidate.link_utilization = capacity_kb_per_s > 0
+                                     ? concurrent_playbacks * playback_kb_per_s / capacity_kb_per_s
+                                     : (certain_requests > 0 ? 1e9 : 0);
     if (candidate.link_utilization > min_utilization || candidate.turned_away >= 1)
       candidates.push_back(candidate);
   }
--- a/src/catalogue/demand.h
+++ b/src/catalogue/demand.h
@@ -1,5 +1,5 @@
-// Finds the recordings that need more replicas: compares recent demand with what their boxes' links can
-// deliver. A space-saving sketch with exponential decay counts the most requested recordings in constant
+// Finds the recordings that need copies on more boxes: compares recent demand with what their boxes' links
+// can deliver. A space-saving sketch with exponential decay counts the most requested recordings in constant
 // memory, however many there are. The front copies nothing; it only reports.
 #pragma once
 
@@ -30,9 +30,10 @@
   // At most `limit` recordings whose demand exceeds `min_utilization` of their holders' links, or whose
   // viewers were turned away; the most urgent first. `link_kb_per_s`: capacity of one holder's link, kB/s;
   // `playback_kb_per_s`: rate of one playback, kB/s; `playback_length`: how long one lasts.
-  std::vector<ReplicationCandidate> replication_candidates(Span now, const Snapshot& snapshot, double link_kb_per_s,
-                                                           double playback_kb_per_s, Span playback_length,
-                                                           double min_utilization, std::size_t limit);
+  std::vector<ReplicationCandidate> replication_candidates(Span now, const Snapshot& snapshot,
+                                                           double link_kb_per_s, double playback_kb_per_s,
+                                                           Span playback_length, double min_utilization,
+                                                           std::size_t limit);
   // The decayed count of a recording; 0 if the sketch doesn't count it.
   double estimated_requests(RecordingId recording) const;
   std::size_t size() const { return counters_.size(); }
--- a/src/catalogue/replica.cpp
+++ b/src/catalogue/replica.cpp
@@ -81,7 +81,7 @@
   }
 }
 
-// Returns true once the batch is being made durable, false if it was rejected or dropped.
+// Applies a pending batch and asks for it to be made durable. Returns false if it was rejected or dropped.
 bool Replica::start(PendingBatch& pending, std::vector<ReplicaAction>& actions) {
   const auto current = writer_.current()->revision;
   const auto reject = [&](ChangeOutcome outcome, InvalidChange invalid, std::string cause) {
@@ -126,8 +126,8 @@
                        " locations, which needs confirmation";
     if (pending.request && !pending.request->confirmed)
       return reject(ChangeOutcome::confirmation_required, {}, cause);
-    // Nobody can be asked about a batch from the feed: it is taken as confirmed if the next poll brings such
-    // a shrink again, at the same or a later revision.
+    // Nobody can be asked about a batch from the feed: it is taken as confirmed if the next poll brings a
+    // batch that removes as much, at the same or a later revision.
     if (!pending.request &&
         (!unconfirmed_feed_revision_ || *unconfirmed_feed_revision_ > pending.feed_revision)) {
       unconfirmed_feed_revision_ = pending.feed_revision;
--- a/src/catalogue/replica.h
+++ b/src/catalogue/replica.h
@@ -117,7 +117,7 @@
   bool persisting_ = false;
   std::optional<AppliedBatch> applied_;  // what is being made durable
   std::deque<std::pair<Revision, std::vector<Change>>> log_;
-  std::optional<Revision> unconfirmed_feed_revision_;  // the feed asked once for a shrink, at this revision
+  std::optional<Revision> unconfirmed_feed_revision_;  // the feed brought a batch that removes too much, once
 };
 
 }  // namespace violettide::catalogue
--- a/src/cataloguewire/json.cpp
+++ b/src/cataloguewire/json.cpp
@@ -97,10 +97,10 @@
 }
 Recording recording_of(const Json& json) {
   Recording recording{json.at("title"), {}, {}};
-  for (const auto& one : json.at("renditions"))
-    recording.renditions.push_back(rendition_of(one));
-  for (const auto& one : json.at("locations"))
-    recording.locations.push_back(location_of(one));
+  for (const auto& rendition : json.at("renditions"))
+    recording.renditions.push_back(rendition_of(rendition));
+  for (const auto& location : json.at("locations"))
+    recording.locations.push_back(location_of(location));
   return recording;
 }
 Change change_of(const Json& json) {
@@ -118,24 +118,24 @@
   return RemoveLocation{value.at("title"), value.at("box")};
 }
 
-Json json_of(const Rendition& one) {
-  return {{"name", one.name},
-          {"rung", one.rung},
-          {"codec", one.codec},
-          {"kb_per_s", one.kb_per_s},
-          {"length_ms", one.length.count() / 1000}};
+Json json_of(const Rendition& rendition) {
+  return {{"name", rendition.name},
+          {"rung", rendition.rung},
+          {"codec", rendition.codec},
+          {"kb_per_s", rendition.kb_per_s},
+          {"length_ms", rendition.length.count() / 1000}};
 }
-Json json_of(const Location& one) {
-  return {{"box", one.box},
-          {"state", one.state == LocationState::here ? "here" : "leaving"},
-          {"since_ms", one.since_ms}};
+Json json_of(const Location& location) {
+  return {{"box", location.box},
+          {"state", location.state == LocationState::here ? "here" : "leaving"},
+          {"since_ms", location.since_ms}};
 }
 Json json_of(const Recording& recording) {
   Json json{{"title", recording.title}, {"renditions", Json::array()}, {"locations", Json::array()}};
-  for (const auto& one : recording.renditions)
-    json["renditions"].push_back(json_of(one));
-  for (const auto& one : recording.locations)
-    json["locations"].push_back(json_of(one));
+  for (const auto& rendition : recording.renditions)
+    json["renditions"].push_back(json_of(rendition));
+  for (const auto& location : recording.locations)
+    json["locations"].push_back(json_of(location));
   return json;
 }
 struct ChangeToJson {
@@ -163,8 +163,8 @@
 
 std::vector<Change> changes_of(const Json& json) {
   std::vector<Change> changes;
-  for (const auto& one : json.at("changes"))
-    changes.push_back(change_of(one));
+  for (const auto& change : json.at("changes"))
+    changes.push_back(change_of(change));
   return changes;
 }
 
--- a/src/cataloguewire/resource.h
+++ b/src/cataloguewire/resource.h
@@ -10,7 +10,7 @@
 //   POST   /catalogue/changes                       a batch; ?confirm=true lets it remove many locations
 //   GET    /catalogue/feed?after=R&wait_ms=W        the batches after R; a long poll, for at most 30 s
 //   GET    /catalogue/whole                         a full snapshot
-//   GET    /catalogue/wanting                       recordings that need more replicas
+//   GET    /catalogue/wanting                       recordings that need copies on more boxes
 // Changes take If-Match: "R" and fail with 412 and the current revision if another change came first.
 #pragma once
 
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -164,26 +164,26 @@
   return hints;
 }
 
-TEST(Weighing, AUtilThatDeliveriesContradictIsBelievedLess) {
+TEST(Weighing, AUtilContradictedByDeliveriesIsTrustedLess) {
   Weighing weighing(1s, {100});
   EXPECT_DOUBLE_EQ(*weighing.handle(0s, BoxSaid{1, util(0.1), 100}).report->link_fill, 0.1)
-      << "nothing speaks against it yet";
+      << "no delivery contradicts it yet";
   for (int i = 1; i <= 6; ++i) {
     weighing.handle(i * 300ms, Delivered{static_cast<PlaybackId>(i), 1, 0.5, false});
     weighing.handle(i * 300ms, BoxSaid{1, util(0.1), 100});
   }
   const auto fill = *weighing.handle(2s, BoxSaid{1, util(0.1), 100}).report->link_fill;
-  EXPECT_GT(fill, 1.7) << "half the share means twice the link is asked";
+  EXPECT_GT(fill, 1.7) << "half the share means that twice the link is demanded";
   EXPECT_LT(weighing.fill_trust(1), 0.1);
-  EXPECT_DOUBLE_EQ(weighing.fill_trust(2), 0.8) << "another box is not judged by it";
+  EXPECT_DOUBLE_EQ(weighing.fill_trust(2), 0.8) << "the trust in another box is unaffected";
   for (int i = 0; i < 60; ++i) {
     weighing.handle(10s + i * 300ms, Delivered{1, 1, 1.0, false});
     weighing.handle(10s + i * 300ms, BoxSaid{1, util(0.4), 100});
   }
-  EXPECT_GT(weighing.fill_trust(1), 0.7) << "trust comes back with words that fit";
+  EXPECT_GT(weighing.fill_trust(1), 0.7) << "trust recovers with reports that agree with deliveries";
 }
 
-TEST(Weighing, OverfullWordsWhileAllIsDeliveredAreDrawnDown) {
+TEST(Weighing, OverloadReportsAreLoweredWhileEverythingIsDelivered) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 6; ++i)
     weighing.handle(i * 100ms, Delivered{1, 1, 1.0, false});
@@ -192,7 +192,7 @@
   EXPECT_GE(fill, 1.0);
 }
 
-TEST(Weighing, ShortSharesAreNotedOnceASpacingAndOnceMoreWhenFull) {
+TEST(Weighing, LowSharesAreNotedOnceAnIntervalAndOnceOnRecovery) {
   Weighing weighing(1s, {100});
   std::vector<double> notes;
   for (int i = 0; i < 80; ++i) {
@@ -207,13 +207,13 @@
   EXPECT_EQ(std::count(notes.begin(), notes.end(), 1.0), 1);
 }
 
-TEST(Weighing, AViewerThatReadsSlowlySaysNothingOfItsBox) {
+TEST(Weighing, AViewerThatReadsSlowlyIsNoEvidenceAboutItsBox) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 20; ++i)
     EXPECT_TRUE(weighing.handle(i * 100ms, Delivered{4, 2, 0.1, true}).notes.empty());
 }
 
-TEST(Weighing, OneStarvingViewerIsItsOwnLineTwoAreTheBox) {
+TEST(Weighing, OneStarvingViewerBlamesItsLineTwoBlameTheBox) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 4; ++i)
     weighing.handle(i * 100ms, Delivered{9, 1, 1.0, false});
@@ -224,13 +224,13 @@
   EXPECT_FALSE(second.last_mile);
   ASSERT_EQ(second.notes.size(), 1u);
   EXPECT_LT(second.notes[0].value, 0.98);
-  // One starving viewer counts where the relay measures short shares too.
+  // One starving viewer counts against the box if the relay measures low shares too.
   Weighing other(1s, {100});
   other.handle(0s, Delivered{1, 1, 0.7, false});
   EXPECT_FALSE(other.handle(100ms, ViewerSaid{1, 1, starved(), 100}).last_mile);
 }
 
-TEST(Weighing, DuressAndThinThroughputSayFullWhereNoFigureIsTold) {
+TEST(Weighing, DuressOrLowThroughputCountsAsFullWithoutAUtil) {
   Weighing weighing(1s, {100});
   hints::CmsdDynamic hop;
   EXPECT_FALSE(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill);
@@ -241,7 +241,7 @@
   EXPECT_EQ(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill, 1.0);
 }
 
-TEST(Weighing, ATopIsNeverUnderTheFloor) {
+TEST(Weighing, TheTopRungIsNeverBelowTheFloor) {
   const Weighing weighing(1s, {10, 20, 40, 80});
   hints::Cmcd hints;
   EXPECT_EQ(weighing.top_for(hints, 1, 3, 1), 3);
@@ -257,8 +257,9 @@
   EXPECT_EQ(weighing.top_for(hints, 0, 3, 1), 1);
 }
 
-// Whatever boxes and viewers say, in any order: fills stay finite, shares lie from 0 to 1, notes are spaced.
-TEST(Weighing, HoldsUnderAnyWords) {
+// For random hints of boxes and viewers in any order: link fills stay finite, shares lie from 0 to 1, and
+// notes of one box keep their interval.
+TEST(Weighing, HoldsForRandomHints) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::minstd_rand chance(seed);
     const auto draw = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
