--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -111,7 +111,7 @@
 void Manager::first_moment() {
   began_ = true;
   if (!cached_list_.empty())
-    take_list(list_.take_cached(now_, cached_list_), "kept");
+    take_list(list_.apply_cached(now_, cached_list_), "kept");
   // One that knows no box asks at once; others of a hall that starts together ask apart.
   arm(cached_list_.empty() ? Duration(0) : terms_.list_every * static_cast<int>(chance_() % 100) / 100,
       Ring::list, 0);
@@ -145,7 +145,7 @@
       return poll_feed();
     case Ring::feed_wait:
       if (const auto found = controls_.find(bell.of); found != controls_.end() && found->second->feed_after)
-        control_reply(*found->second, cataloguewire::empty_feed(keeper_.present()->revision));
+        control_reply(*found->second, cataloguewire::empty_feed_reply(keeper_.current()->revision));
       return;
     case Ring::seats:
       return seats_time();
@@ -391,8 +391,8 @@
   violettide::HolderList listed;
   int top = plan.top;
   if (terms_.catalogued) {
-    const auto id = keeper_.present()->id(playback.title);
-    const auto* entry = id ? keeper_.present()->find(*id) : nullptr;
+    const auto id = keeper_.current()->id(playback.title);
+    const auto* entry = id ? keeper_.current()->find(*id) : nullptr;
     const auto best = entry ? entry->rung_within(plan.floor, plan.top) : std::nullopt;
     if (!best) {
       settle(playback, 404, entry ? "no rendition that this plan may play\n" : "no recording of that title\n",
@@ -404,7 +404,7 @@
     listed = entry->holders;
     playback.recording = *id;
     asking_[*id].insert(playback.id);
-    demand_.asked(now_, *id);
+    demand_.record_request(now_, *id);
   } else {
     holders = holders_of(terms_, playback.title);
   }
@@ -1282,28 +1282,28 @@
     say("list_failed", {{"status", std::int64_t{status}}});
     return tell(ServerListFailed{});
   }
-  auto news = list_.take(now_, body);
+  auto news = list_.apply(now_, body);
   // Only a list that is taken whole is one to begin with after a restart.
-  if (news.list && news.remark.empty())
+  if (news.list && news.not_applied_cause.empty())
     actions_->push_back(WriteFile{"boxes.json", body});
-  if (!news.remark.empty())
+  if (!news.not_applied_cause.empty())
     list_etag_.clear();  // the next answer must come whole to be weighed again
   take_list(std::move(news), "service");
 }
 
-void Manager::take_list(boxlist::News news, const char* source) {
-  if (news.fault) {
+void Manager::take_list(boxlist::ListUpdate news, const char* source) {
+  if (news.error) {
     list_etag_.clear();
     say("list_malformed",
-        {{"source", std::string(source)}, {"place", news.fault->place}, {"cause", news.fault->cause}});
+        {{"source", std::string(source)}, {"place", news.error->place}, {"cause", news.error->cause}});
     return tell(ServerListFailed{});
   }
-  if (!news.remark.empty())
-    say("list_passed_over", {{"source", std::string(source)}, {"cause", news.remark}});
+  if (!news.not_applied_cause.empty())
+    say("list_passed_over", {{"source", std::string(source)}, {"cause", news.not_applied_cause}});
   if (idle_.size() < list_.size())
     idle_.resize(list_.size()), links_of_.resize(list_.size(), 0);
   // Connections to a process that is no more, or is elsewhere now, lead nowhere.
-  for (const auto server : news.moved) {
+  for (const auto server : news.replaced) {
     const auto idle = idle_[server];
     for (const auto link : idle)
       hang_box(link);
@@ -1320,7 +1320,8 @@
   for (const auto& [id, link] : boxes_) {
     if (link->use != Use::set_up || link->connected || !link->playback)
       continue;
-    const bool moved = std::find(news.moved.begin(), news.moved.end(), link->server) != news.moved.end();
+    const bool moved =
+        std::find(news.replaced.begin(), news.replaced.end(), link->server) != news.replaced.end();
     if (moved || list_.box(link->server).state != ServerState::ready)
       unsent.push_back(*link->playback);
   }
@@ -1392,7 +1393,7 @@
                      more.emplace_back("Retry-After", std::to_string(whole));
                    part(*found->second, hls::EndReason::rejected, o.retry_after);
                    if (found->second->recording)
-                     demand_.turned_away(now_, *found->second->recording);
+                     demand_.record_turned_away(now_, *found->second->recording);
                    settle(*found->second, 503, "rejected: no box has room\n", more);
                  },
                  [this](const Abort& o) {
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -48,7 +48,7 @@
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   Held held() const;
   // The catalogue, to be restored before the first happening.
-  catalogue::Keeper& catalogue() { return keeper_; }
+  catalogue::Replica& catalogue() { return keeper_; }
   // The seats, where tokens are asked for and the first happening has been.
   const entitlement::Ledger* seats() const { return ledger_.get(); }
   const entitlement::TokenValidator& token_validator() const { return token_validator_; }
@@ -185,14 +185,14 @@
   // ---- the list ----
   void poll_list();
   void list_answered(BoxLink& link, bool whole);
-  void take_list(boxlist::News news, const char* source);
+  void take_list(boxlist::ListUpdate news, const char* source);
 
   // ---- the catalogue ----
   struct Control;
   void control_requests(Control& control);
   void control_reply(Control& control, const cataloguewire::Reply& reply);
   void control_gone(ConnectionId link);
-  void keeper_did(std::vector<catalogue::KeeperAct> actions);
+  void keeper_did(std::vector<catalogue::ReplicaAction> actions);
   void holders_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole);
   void hold_anew(Playback& playback);
   void take_back(Playback& playback);
@@ -202,7 +202,7 @@
   const catalogue::Entry* entry_of(const Playback& playback) const;
   BoxLink& service_link(Use use, const std::string& address, std::uint16_t port, const std::string& target,
                         const std::string& etag, Duration limit);
-  std::vector<catalogue::Wanted> wanting();
+  std::vector<catalogue::ReplicationCandidate> wanting();
 
   // ---- the module ----
   void tell(const Event& event);
@@ -246,7 +246,7 @@
   std::vector<TitleId> free_titles_;
   PlaybackId next_playback_ = 0;
   ConnectionId next_link_ = 1;
-  catalogue::Keeper keeper_;
+  catalogue::Replica keeper_;
   catalogue::Demand demand_;
   std::map<ConnectionId, std::unique_ptr<Control>> controls_;
   std::map<catalogue::RecordingId, std::set<PlaybackId>>
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -1,4 +1,4 @@
-// The box list and the weighing of hints, each as a core of its own.
+// The box list and the weighing of delivery hints, each tested alone.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -25,99 +25,102 @@
          "}";
 }
 
-TEST(BoxList, AStartIsMappedOnceAndKept) {
+TEST(BoxList, AStartTimeIsConvertedOnceAndKept) {
   boxlist::BoxList list({"h"});
-  auto news = list.take(10s, list_text(1, {box_text("a"), box_text("b", "draining")}));
-  ASSERT_TRUE(news.list);
-  EXPECT_EQ(news.list->entries[0].started, 0s);
-  EXPECT_EQ(news.list->entries[1].state, ServerState::draining);
-  news = list.take(10'300ms, list_text(1, {box_text("a"), box_text("b")}));  // the same start, heard later
-  EXPECT_EQ(news.list->entries[0].started, 0s);
-  EXPECT_TRUE(news.moved.empty());
-  news = list.take(11s, list_text(2, {box_text("a", "ready", 80, 99000), box_text("b", "ready", 81)}));
-  EXPECT_EQ(news.list->entries[0].started, 10s);
-  EXPECT_EQ(news.moved, (std::vector<ServerId>{0, 1})) << "a started anew, b is elsewhere";
+  auto update = list.apply(10s, list_text(1, {box_text("a"), box_text("b", "draining")}));
+  ASSERT_TRUE(update.list);
+  EXPECT_EQ(update.list->entries[0].started, 0s);
+  EXPECT_EQ(update.list->entries[1].state, ServerState::draining);
+  update = list.apply(10'300ms,
+                      list_text(1, {box_text("a"), box_text("b")}));  // the same start time, received later
+  EXPECT_EQ(update.list->entries[0].started, 0s);
+  EXPECT_TRUE(update.replaced.empty());
+  update = list.apply(11s, list_text(2, {box_text("a", "ready", 80, 99000), box_text("b", "ready", 81)}));
+  EXPECT_EQ(update.list->entries[0].started, 10s);
+  EXPECT_EQ(update.replaced, (std::vector<ServerId>{0, 1})) << "a has restarted, b has another port";
   EXPECT_EQ(list.find("b"), 1u);
 }
 
-TEST(BoxList, AnOlderListIsPassedOver) {
+TEST(BoxList, AnOlderListIsIgnored) {
   boxlist::BoxList list({"h"});
-  list.take(1s, list_text(5, {box_text("a", "draining")}));
-  const auto news = list.take(2s, list_text(4, {box_text("a")}));
-  EXPECT_FALSE(news.list);
-  EXPECT_EQ(list.box(0).state, ServerState::draining) << "a drain once told stays told";
+  list.apply(1s, list_text(5, {box_text("a", "draining")}));
+  const auto update = list.apply(2s, list_text(4, {box_text("a")}));
+  EXPECT_FALSE(update.list);
+  EXPECT_EQ(list.box(0).state, ServerState::draining) << "an older list undoes no drain";
 }
 
-// Its disk was lost, or it was set up anew: what it says now is true, though its count is lower.
-TEST(BoxList, AServiceBegunAnewIsBelievedAfterAWhileAndItsDrainsAtOnce) {
+// Guards against ignoring the list service for ever after it lost its disk or was reinstalled and counts
+// revisions from 1 again.
+TEST(BoxList, ARestartedServiceIsFollowedAfterADelayAndItsDrainsAtOnce) {
   boxlist::BoxList list({"h"});
-  list.take(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c", "draining")}));
-  auto news = list.take(2s, list_text(1, {box_text("a", "draining"), box_text("b"), box_text("c")}));
-  ASSERT_TRUE(news.list) << "word of a drain counts at once, whatever the count";
-  EXPECT_EQ(news.list->kind, ServerList::Kind::changes);
-  ASSERT_EQ(news.list->entries.size(), 1u);
-  EXPECT_EQ(news.list->entries[0].server, 0u);
+  list.apply(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c", "draining")}));
+  auto update = list.apply(2s, list_text(1, {box_text("a", "draining"), box_text("b"), box_text("c")}));
+  ASSERT_TRUE(update.list) << "a drain is applied at once, whatever the revision";
+  EXPECT_EQ(update.list->kind, ServerList::Kind::changes);
+  ASSERT_EQ(update.list->entries.size(), 1u);
+  EXPECT_EQ(update.list->entries[0].server, 0u);
   EXPECT_EQ(list.box(0).state, ServerState::draining);
-  EXPECT_EQ(list.box(2).state, ServerState::draining) << "nothing is lifted yet";
-  EXPECT_FALSE(news.remark.empty());
-  news = list.take(20s, list_text(3, {box_text("a", "draining"), box_text("b"), box_text("c")}));
-  EXPECT_FALSE(news.list);
-  news = list.take(33s, list_text(4, {box_text("a", "draining"), box_text("b"), box_text("c")}));
-  ASSERT_TRUE(news.list) << "its count has been lower for half a minute: it began again";
+  EXPECT_EQ(list.box(2).state, ServerState::draining) << "no drain is undone yet";
+  EXPECT_FALSE(update.not_applied_cause.empty());
+  update = list.apply(20s, list_text(3, {box_text("a", "draining"), box_text("b"), box_text("c")}));
+  EXPECT_FALSE(update.list);
+  update = list.apply(33s, list_text(4, {box_text("a", "draining"), box_text("b"), box_text("c")}));
+  ASSERT_TRUE(update.list) << "its revision has been lower for 30 s: the service has restarted";
   EXPECT_EQ(list.revision(), 4);
   EXPECT_EQ(list.box(2).state, ServerState::ready);
 }
 
-TEST(BoxList, AServiceBegunAnewWithHalfItsFleetIsHeldOnceMoreAndNoLonger) {
+TEST(BoxList, ARestartedServiceThatDropsBoxesNeedsOneConfirmation) {
   boxlist::BoxList list({"h"});
-  list.take(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c"), box_text("d"), box_text("e")}));
-  EXPECT_FALSE(list.take(2s, list_text(1, {box_text("a")})).list);
-  EXPECT_FALSE(list.take(33s, list_text(2, {box_text("a")})).remark.empty())
-      << "held, as any that shrinks so";
-  const auto news = list.take(34s, list_text(3, {box_text("a")}));
-  EXPECT_TRUE(news.remark.empty()) << news.remark;
+  list.apply(1s, list_text(500, {box_text("a"), box_text("b"), box_text("c"), box_text("d"), box_text("e")}));
+  EXPECT_FALSE(list.apply(2s, list_text(1, {box_text("a")})).list);
+  EXPECT_FALSE(list.apply(33s, list_text(2, {box_text("a")})).not_applied_cause.empty())
+      << "unconfirmed, as with any list that drops so many boxes";
+  const auto update = list.apply(34s, list_text(3, {box_text("a")}));
+  EXPECT_TRUE(update.not_applied_cause.empty()) << update.not_applied_cause;
   EXPECT_EQ(list.revision(), 3);
   EXPECT_EQ(list.box(1).state, ServerState::gone);
 }
 
-TEST(BoxList, AServiceThatCatchesUpIsNoneBegunAnew) {
+TEST(BoxList, AServiceThatCatchesUpHasNotRestarted) {
   boxlist::BoxList list({"h"});
-  list.take(1s, list_text(500, {box_text("a", "draining")}));
+  list.apply(1s, list_text(500, {box_text("a", "draining")}));
   for (int i = 0; i < 10; ++i) {
-    EXPECT_FALSE(list.take(Duration(2s) + 5s * i, list_text(490, {box_text("a")})).list);
-    EXPECT_TRUE(list.take(Duration(3s) + 5s * i, list_text(500, {box_text("a", "draining")})).list);
+    EXPECT_FALSE(list.apply(Duration(2s) + 5s * i, list_text(490, {box_text("a")})).list);
+    EXPECT_TRUE(list.apply(Duration(3s) + 5s * i, list_text(500, {box_text("a", "draining")})).list);
   }
   EXPECT_EQ(list.box(0).state, ServerState::draining);
 }
 
-TEST(BoxList, AFleetThatVanishesAtAStrokeIsHeldOnce) {
+TEST(BoxList, AListThatDropsMostBoxesNeedsOneConfirmation) {
   boxlist::BoxList list({"h"});
   std::vector<std::string> all;
   for (int i = 0; i < 8; ++i)
     all.push_back(box_text("b" + std::to_string(i)));
-  list.take(1s, list_text(1, all));
-  auto news = list.take(2s, list_text(2, {box_text("b0", "draining")}));
-  ASSERT_TRUE(news.list);
-  EXPECT_EQ(news.list->kind, ServerList::Kind::changes);
-  EXPECT_FALSE(news.remark.empty());
-  EXPECT_EQ(list.box(0).state, ServerState::draining) << "what it says of drains counts at once";
+  list.apply(1s, list_text(1, all));
+  auto update = list.apply(2s, list_text(2, {box_text("b0", "draining")}));
+  ASSERT_TRUE(update.list);
+  EXPECT_EQ(update.list->kind, ServerList::Kind::changes);
+  EXPECT_FALSE(update.not_applied_cause.empty());
+  EXPECT_EQ(list.box(0).state, ServerState::draining) << "the boxes it names are updated at once";
   EXPECT_EQ(list.box(1).state, ServerState::ready);
-  news = list.take(3s, list_text(2, {box_text("b0", "draining")}));
-  EXPECT_EQ(news.list->kind, ServerList::Kind::complete);
+  update = list.apply(3s, list_text(2, {box_text("b0", "draining")}));
+  EXPECT_EQ(update.list->kind, ServerList::Kind::complete);
   EXPECT_EQ(list.box(1).state, ServerState::gone);
 }
 
-TEST(BoxList, AKeptListTellsNoStarts) {
+TEST(BoxList, ACachedListSetsNoStartTimes) {
   boxlist::BoxList list({"h"});
-  const auto news = list.take_cached(0s, list_text(7, {box_text("a")}));
-  EXPECT_EQ(news.list->kind, ServerList::Kind::cached);
-  EXPECT_FALSE(news.list->entries[0].started);
-  EXPECT_TRUE(list.take(1s, list_text(3, {box_text("a")})).list) << "a kept list's revision binds nothing";
+  const auto update = list.apply_cached(0s, list_text(7, {box_text("a")}));
+  EXPECT_EQ(update.list->kind, ServerList::Kind::cached);
+  EXPECT_FALSE(update.list->entries[0].started);
+  EXPECT_TRUE(list.apply(1s, list_text(3, {box_text("a")})).list)
+      << "a cached list's revision is not compared";
 }
 
-TEST(BoxList, AFaultyListChangesNothingAndSaysWhere) {
+TEST(BoxList, AMalformedListChangesNothingAndNamesThePlace) {
   boxlist::BoxList list({"h"});
-  list.take(1s, list_text(1, {box_text("a")}));
+  list.apply(1s, list_text(1, {box_text("a")}));
   const std::pair<std::string, std::string> bad[] = {
       {"{", "byte 2"},
       {"[]", "list"},
@@ -136,10 +139,10 @@
       {list_text(2, {box_text("b", "ready", 1000, -9'000'000'000'000'000'000)}), "boxes[0].started_ms"},
       {R"({"revision":1,"clock_ms":9000000000000000000,"boxes":[]})", "list.clock_ms"}};
   for (const auto& [text, place] : bad) {
-    const auto news = list.take(2s, text);
-    ASSERT_TRUE(news.fault) << text;
-    EXPECT_EQ(news.fault->place, place);
-    EXPECT_FALSE(news.list);
+    const auto update = list.apply(2s, text);
+    ASSERT_TRUE(update.error) << text;
+    EXPECT_EQ(update.error->place, place);
+    EXPECT_FALSE(update.list);
   }
   EXPECT_EQ(list.size(), 1u);
   EXPECT_EQ(list.revision(), 1);
@@ -161,26 +164,26 @@
   return hints;
 }
 
-TEST(Weighing, AUtilThatDeliveriesContradictIsBelievedLess) {
+TEST(Weighing, AUtilContradictedByDeliveriesIsTrustedLess) {
   Weighing weighing(1s, {100});
   EXPECT_DOUBLE_EQ(*weighing.handle(0s, BoxSaid{1, util(0.1), 100}).report->link_fill, 0.1)
-      << "nothing speaks against it yet";
+      << "no delivery contradicts it yet";
   for (int i = 1; i <= 6; ++i) {
     weighing.handle(i * 300ms, Delivered{static_cast<PlaybackId>(i), 1, 0.5, false});
     weighing.handle(i * 300ms, BoxSaid{1, util(0.1), 100});
   }
   const auto fill = *weighing.handle(2s, BoxSaid{1, util(0.1), 100}).report->link_fill;
-  EXPECT_GT(fill, 1.7) << "half the share means twice the link is asked";
+  EXPECT_GT(fill, 1.7) << "half the share means that twice the link is demanded";
   EXPECT_LT(weighing.fill_trust(1), 0.1);
-  EXPECT_DOUBLE_EQ(weighing.fill_trust(2), 0.8) << "another box is not judged by it";
+  EXPECT_DOUBLE_EQ(weighing.fill_trust(2), 0.8) << "the trust in another box is unaffected";
   for (int i = 0; i < 60; ++i) {
     weighing.handle(10s + i * 300ms, Delivered{1, 1, 1.0, false});
     weighing.handle(10s + i * 300ms, BoxSaid{1, util(0.4), 100});
   }
-  EXPECT_GT(weighing.fill_trust(1), 0.7) << "trust comes back with words that fit";
+  EXPECT_GT(weighing.fill_trust(1), 0.7) << "trust recovers with reports that agree with deliveries";
 }
 
-TEST(Weighing, OverfullWordsWhileAllIsDeliveredAreDrawnDown) {
+TEST(Weighing, OverloadReportsAreLoweredWhileEverythingIsDelivered) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 6; ++i)
     weighing.handle(i * 100ms, Delivered{1, 1, 1.0, false});
@@ -189,7 +192,7 @@
   EXPECT_GE(fill, 1.0);
 }
 
-TEST(Weighing, ShortSharesAreNotedOnceASpacingAndOnceMoreWhenFull) {
+TEST(Weighing, LowSharesAreNotedOnceAnIntervalAndOnceOnRecovery) {
   Weighing weighing(1s, {100});
   std::vector<double> notes;
   for (int i = 0; i < 80; ++i) {
@@ -204,13 +207,13 @@
   EXPECT_EQ(std::count(notes.begin(), notes.end(), 1.0), 1);
 }
 
-TEST(Weighing, AViewerThatReadsSlowlySaysNothingOfItsBox) {
+TEST(Weighing, AViewerThatReadsSlowlyIsNoEvidenceAboutItsBox) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 20; ++i)
     EXPECT_TRUE(weighing.handle(i * 100ms, Delivered{4, 2, 0.1, true}).notes.empty());
 }
 
-TEST(Weighing, OneStarvingViewerIsItsOwnLineTwoAreTheBox) {
+TEST(Weighing, OneStarvingViewerBlamesItsLineTwoBlameTheBox) {
   Weighing weighing(1s, {100});
   for (int i = 0; i < 4; ++i)
     weighing.handle(i * 100ms, Delivered{9, 1, 1.0, false});
@@ -221,13 +224,13 @@
   EXPECT_FALSE(second.last_mile);
   ASSERT_EQ(second.notes.size(), 1u);
   EXPECT_LT(second.notes[0].value, 0.98);
-  // One starving viewer counts where the relay measures short shares too.
+  // One starving viewer counts against the box if the relay measures low shares too.
   Weighing other(1s, {100});
   other.handle(0s, Delivered{1, 1, 0.7, false});
   EXPECT_FALSE(other.handle(100ms, ViewerSaid{1, 1, starved(), 100}).last_mile);
 }
 
-TEST(Weighing, DuressAndThinThroughputSayFullWhereNoFigureIsTold) {
+TEST(Weighing, DuressOrLowThroughputCountsAsFullWithoutAUtil) {
   Weighing weighing(1s, {100});
   hints::CmsdDynamic hop;
   EXPECT_FALSE(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill);
@@ -238,7 +241,7 @@
   EXPECT_EQ(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill, 1.0);
 }
 
-TEST(Weighing, ATopIsNeverUnderTheFloor) {
+TEST(Weighing, TheTopRungIsNeverBelowTheFloor) {
   const Weighing weighing(1s, {10, 20, 40, 80});
   hints::Cmcd hints;
   EXPECT_EQ(weighing.top_for(hints, 1, 3, 1), 3);
@@ -254,8 +257,9 @@
   EXPECT_EQ(weighing.top_for(hints, 0, 3, 1), 1);
 }
 
-// Whatever boxes and viewers say, in any order: fills stay finite, shares lie from 0 to 1, notes are spaced.
-TEST(Weighing, HoldsUnderAnyWords) {
+// For random hints of boxes and viewers in any order: link fills stay finite, shares lie from 0 to 1, and
+// notes of one box keep their interval.
+TEST(Weighing, HoldsForRandomHints) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::minstd_rand chance(seed);
     const auto draw = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
