--- a/src/platform/channel/channel.cpp
+++ b/src/platform/channel/channel.cpp
@@ -18,7 +18,7 @@
 constexpr Duration dial_limit{1s};
 constexpr Duration silence_limit{1600ms};  // the platform sends a heartbeat every second
 
-std::optional<ServerState> parse_standing(const std::string& status) {
+std::optional<ServerState> parse_server_state(const std::string& status) {
   if (status == "Ready")
     return ServerState::ready;
   if (status == "Terminating")
@@ -57,7 +57,7 @@
     return std::nullopt;
   ListedServer server;
   const auto name = get_value<std::string>(json, "name");
-  const auto status = parse_standing(get_value<std::string>(json, "status").value_or(""));
+  const auto status = parse_server_state(get_value<std::string>(json, "status").value_or(""));
   if (!name || name->empty() || !status)
     return std::nullopt;
   server.name = *name;
