--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -9,7 +9,7 @@
   using Visitors::operator()...;
 };
 
-LoadReport report_of(Fields& fields) { return load_report(load_values(fields.text("a load report"))); }
+LoadReport report_of(Fields& fields) { return read_load_report(load_values(fields.text("a load report"))); }
 
 Outcome outcome_of(std::string_view code) {
   if (code == "GOOD")
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-Instance::Instance(std::int64_t clock, std::uint64_t seed, const Pairs& settings)
-    : start_(clock), policy_(site_terms(settings), seed) {}
+Instance::Instance(std::int64_t clock, std::uint64_t seed, const FlatSettings& settings)
+    : start_(clock), policy_(read_policy_settings(settings), seed) {}
 
 ServerId Instance::server(std::string_view wire_id) {
   const auto [found, fresh] =
@@ -182,8 +182,8 @@
     instances_.erase(number);
     try {
       instances_.emplace(std::piecewise_construct, std::forward_as_tuple(number),
-                         std::forward_as_tuple(clock_, seed, Pairs(fields.rest())));
-    } catch (const SettingFault& fault) {
+                         std::forward_as_tuple(clock_, seed, FlatSettings(fields.rest())));
+    } catch (const SettingError& fault) {
       throw Malformed(fault.what());
     }
     return;
@@ -194,7 +194,7 @@
     return;
   }
   const auto found = instances_.find(number);
-  Instance stranger(clock_, 0, Pairs(""));  // lines for no instance are still read, then ignored
+  Instance stranger(clock_, 0, FlatSettings(""));  // lines for no instance are still read, then ignored
   auto& instance = found == instances_.end() ? stranger : found->second;
   if (name == "ANNOUNCE")
     return announce(number, instance, fields);
--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -17,7 +17,7 @@
 // One hosted session manager: its brain and the ids it was given at the door.
 class Instance {
  public:
-  Instance(std::int64_t clock, std::uint64_t seed, const Pairs& settings);
+  Instance(std::int64_t clock, std::uint64_t seed, const FlatSettings& settings);
 
   Duration since_start(std::int64_t clock) const { return Duration(clock - start_); }
   std::int64_t start() const { return start_; }
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -26,7 +26,7 @@
   const auto part = text(what);
   if (part == "-")
     return std::nullopt;
-  const auto value = read_number<std::int64_t>(part);
+  const auto value = parse_number<std::int64_t>(part);
   if (!value)
     expected(what);
   return value;
@@ -43,7 +43,7 @@
   const auto part = text(what);
   if (part == "-")
     return std::nullopt;
-  const auto value = read_number<double>(part);
+  const auto value = parse_number<double>(part);
   if (!value)
     expected(what);
   return value;
@@ -75,7 +75,7 @@
 
 std::map<std::string, double> load_values(std::string_view text) {
   std::map<std::string, double> values;
-  if (text != "-" && !read_figures(text, ',', values))
+  if (text != "-" && !parse_named_numbers(text, ',', values))
     throw Malformed("load report '" + std::string(text) + "': expected name:value pairs");
   return values;
 }
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::benchlink {
 
--- a/src/platform/channel/channel.cpp
+++ b/src/platform/channel/channel.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::platform {
 
@@ -107,7 +107,7 @@
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0)
     return std::nullopt;
-  const auto port = read_number<std::uint16_t>(text.substr(colon + 1));
+  const auto port = parse_number<std::uint16_t>(text.substr(colon + 1));
   if (!port || *port == 0)
     return std::nullopt;
   return Endpoint{std::string(text.substr(0, colon)), *port};
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <tuple>
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::platform {
 
@@ -868,7 +868,7 @@
       return;
     link.tests.erase(test);
     return feed(ProbeEnded{id, message.cause.value_or(0) == 1,
-                           message.load ? load_report(*message.load) : LoadReport{}});
+                           message.load ? read_load_report(*message.load) : LoadReport{}});
   }
   if (message.kind == ServerMessage::Kind::release)
     return release_heard(number, message);
@@ -932,7 +932,7 @@
   auto& playback = playbacks_.at(known->second);
   if (playback.server != id)
     return;
-  const auto load = message.load ? load_report(*message.load) : LoadReport{};
+  const auto load = message.load ? read_load_report(*message.load) : LoadReport{};
   const int why = *message.cause;
   if (playback.state == Playback::State::trying && playback.link == number && playback.sent) {
     links_.at(number).tries.erase(known->second);
--- a/src/platform/start.cpp
+++ b/src/platform/start.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::platform {
 
@@ -18,7 +18,7 @@
 }
 
 // Nested JSON as the pairs that the simulator's wire would bring.
-void flatten(const std::string& path, const Json& value, Pairs& pairs) {
+void flatten(const std::string& path, const Json& value, FlatSettings& pairs) {
   if (value.is_object()) {
     for (const auto& [name, inner] : value.items())
       flatten(path.empty() ? name : path + "." + name, inner, pairs);
@@ -35,9 +35,9 @@
         joined += ',';
       joined += plain(value[i]);
     }
-    objects ? pairs.put(path + ".count", std::to_string(value.size())) : pairs.put(path, joined);
+    objects ? pairs.set(path + ".count", std::to_string(value.size())) : pairs.set(path, joined);
   } else {
-    pairs.put(path, plain(value));
+    pairs.set(path, plain(value));
   }
 }
 
@@ -80,25 +80,25 @@
   const auto settings = json.find("settings");
   if (settings == json.end() || !settings->is_object())
     return StartFault{"settings: expected an object"};
-  Pairs pairs;
+  FlatSettings pairs;
   flatten("", *settings, pairs);
   try {
-    terms.site = site_terms(pairs);
+    terms.site = read_policy_settings(pairs);
     for (std::size_t i = 0; i < terms.site.plans.size(); ++i) {
       const auto path = "Classes." + std::to_string(i) + ".";
       terms.plans.push_back(pairs.text(path + "Name"));
       terms.abandon.push_back(Duration(pairs.integer(path + "GiveUp", 0)));
       if (terms.plans.back().empty())
-        throw SettingFault(path + "Name: expected a name");
+        throw SettingError(path + "Name: expected a name");
       if (terms.site.plans[i].startup_target <= Duration(0))
-        throw SettingFault(path + "Aim: expected a time above 0");
+        throw SettingError(path + "Aim: expected a time above 0");
       if (terms.abandon.back() <= Duration(0))
-        throw SettingFault(path + "GiveUp: expected a time above 0");
+        throw SettingError(path + "GiveUp: expected a time above 0");
     }
     if (terms.plans.empty())
-      throw SettingFault("Classes: expected one plan at least");
+      throw SettingError("Classes: expected one plan at least");
     if (terms.site.rung_kb.empty())
-      throw SettingFault("FamilyInfo.RatesKb: expected a ladder");
+      throw SettingError("FamilyInfo.RatesKb: expected a ladder");
     terms.halls = pairs.texts("Zones");
     terms.kinds = pairs.texts("Models");
     const auto dial = pairs.integer("Limits.DialTimeout", 0);
@@ -108,7 +108,7 @@
     const auto tries = pairs.integer("Limits.StreamsPerConn", 0);
     if (tries > 0)
       terms.tries_per_link = static_cast<std::size_t>(tries);
-  } catch (const SettingFault& fault) {
+  } catch (const SettingError& fault) {
     return StartFault{std::string("settings: ") + fault.what()};
   }
   return terms;
--- a/src/platform/wire/server.cpp
+++ b/src/platform/wire/server.cpp
@@ -1,6 +1,6 @@
 #include "platform/wire/server.h"
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::platform {
 
@@ -114,11 +114,11 @@
     } else if (code == note_code) {
       message.note = std::string(value);
     } else if (code == value_code) {
-      message.value = read_number<double>(value);
+      message.value = parse_number<double>(value);
       if (!message.value)
         return "a value is not a number";
     } else if (code == load_code) {
-      if (!read_figures(value, ';', message.load.emplace()))
+      if (!parse_named_numbers(value, ';', message.load.emplace()))
         return "a load report is malformed";
     }
   }
--- a/src/platform/wire/viewer.cpp
+++ b/src/platform/wire/viewer.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "siteterms/siteterms.h"
+#include "platform_settings/platform_settings.h"
 
 namespace violettide::platform {
 
@@ -75,7 +75,7 @@
 }
 
 std::optional<double> parse_non_negative(std::string_view text) {
-  const auto value = read_number<double>(text);
+  const auto value = parse_number<double>(text);
   return value && *value >= 0 ? value : std::nullopt;
 }
 
