--- a/tests/scenario_runner.cpp
+++ b/tests/scenario_runner.cpp
@@ -7,8 +7,8 @@
 #include <map>
 #include <sstream>
 
-#include "benchlink/link.h"
 #include "policy/policy.h"
+#include "simulator_adapter/adapter.h"
 
 using namespace violettide;
 
@@ -299,10 +299,10 @@
     } else if (line.front() == '<') {
       assert(complaint_.empty());
       try {
-        if (const auto reply = link_.take(text))
+        if (const auto reply = adapter_.handle_line(text))
           reply_.str(*reply), reply_.clear();
-      } catch (const benchlink::Malformed& malformed) {
-        complaint_ = malformed.what();
+      } catch (const simulator_adapter::ProtocolError& error) {
+        complaint_ = error.what();
       }
     } else {
       std::string said;
@@ -314,7 +314,7 @@
   bool settled() const { return complaint_.empty(); }
 
  private:
-  benchlink::Link link_;
+  simulator_adapter::Adapter adapter_;
   std::istringstream reply_;
   std::string complaint_;
 };
