--- a/src/platform_settings/platform_settings.cpp
+++ b/src/platform_settings/platform_settings.cpp
@@ -18,6 +18,7 @@
   }
 }
 
+// Throws SettingError if `text`, the value of `path`, is no number.
 template <typename Number>
 Number parse_setting(const std::string& path, std::string_view text) {
   const auto value = parse_number<Number>(text);
@@ -26,8 +27,11 @@
   return *value;
 }
 
+// Times in settings are in microseconds.
 Duration to_duration(std::int64_t value) { return Duration(value); }
 
+// Reads one plan for each of the platform's classes. A list that is too short leaves the default for the
+// plans beyond it: rate scale 1, no floor, the whole ladder, no seat limit.
 std::vector<PlanSettings> read_plans(const FlatSettings& settings) {
   const auto floors = settings.numbers("FamilyInfo.LowestRung");
   const auto tops = settings.numbers("FamilyInfo.ClassTop");
@@ -115,38 +119,38 @@
 }
 
 PolicySettings read_policy_settings(const FlatSettings& settings) {
-  PolicySettings policy;
-  policy.plans = read_plans(settings);
-  policy.rung_kb = settings.numbers("FamilyInfo.RatesKb");
-  policy.rung_revenue = settings.numbers("FamilyInfo.WorthByRung");
-  policy.streams_by_kind = settings.numbers("FamilyInfo.KindSlots");
+  PolicySettings policy_settings;
+  policy_settings.plans = read_plans(settings);
+  policy_settings.rung_kb = settings.numbers("FamilyInfo.RatesKb");
+  policy_settings.rung_revenue = settings.numbers("FamilyInfo.WorthByRung");
+  policy_settings.streams_by_kind = settings.numbers("FamilyInfo.KindSlots");
   const auto weights = settings.text("Weights");
-  policy.has_weights = !weights.empty() && weights != "none";
-  policy.link_kb_per_weight = settings.number("FamilyInfo.KbPerWeight", 0);
-  policy.uplink_kb = settings.number("FamilyInfo.UplinkKb", 0);
-  policy.racks = static_cast<int>(settings.integer("FamilyInfo.Cabinets", 0));
-  policy.cells = std::max(1, static_cast<int>(settings.integer("FamilyInfo.Places", 1)));
-  policy.switch_cost = to_duration(std::llround(settings.number("FamilyInfo.SwitchCostS", 0) * 1e6));
-  policy.measurement_delay = to_duration(settings.integer("FamilyInfo.SeenAfter", 0));
-  policy.front_count = std::max(1, static_cast<int>(settings.integer("Balancers", 1)));
+  policy_settings.has_weights = !weights.empty() && weights != "none";
+  policy_settings.link_kb_per_weight = settings.number("FamilyInfo.KbPerWeight", 0);
+  policy_settings.uplink_kb = settings.number("FamilyInfo.UplinkKb", 0);
+  policy_settings.racks = static_cast<int>(settings.integer("FamilyInfo.Cabinets", 0));
+  policy_settings.cells = std::max(1, static_cast<int>(settings.integer("FamilyInfo.Places", 1)));
+  policy_settings.switch_cost = to_duration(std::llround(settings.number("FamilyInfo.SwitchCostS", 0) * 1e6));
+  policy_settings.measurement_delay = to_duration(settings.integer("FamilyInfo.SeenAfter", 0));
+  policy_settings.front_count = std::max(1, static_cast<int>(settings.integer("Balancers", 1)));
   if (!settings.text("Me").empty())
-    policy.front_index = static_cast<int>(settings.integer("Me", 0));
-  policy.warmup_time = to_duration(settings.integer("Rules.Cold", 0));
-  policy.warmup_initial_share = settings.number("Rules.ColdFrom", 1);
-  policy.overload_multiple = settings.number("Rules.OverloadFactor", 1);
-  policy.retry_budget_window = to_duration(settings.integer("Rules.RatioSpan", 0));
-  policy.retry_budget_base = settings.number("Rules.ExtraFree", 0);
-  policy.retry_budget_share = settings.number("Rules.ExtraShare", 0);
-  policy.max_tries = static_cast<int>(settings.integer("Limits.SendCap", 1));
+    policy_settings.front_index = static_cast<int>(settings.integer("Me", 0));
+  policy_settings.warmup_time = to_duration(settings.integer("Rules.Cold", 0));
+  policy_settings.warmup_initial_share = settings.number("Rules.ColdFrom", 1);
+  policy_settings.overload_multiple = settings.number("Rules.OverloadFactor", 1);
+  policy_settings.retry_budget_window = to_duration(settings.integer("Rules.RatioSpan", 0));
+  policy_settings.retry_budget_base = settings.number("Rules.ExtraFree", 0);
+  policy_settings.retry_budget_share = settings.number("Rules.ExtraShare", 0);
+  policy_settings.max_tries = static_cast<int>(settings.integer("Limits.SendCap", 1));
   if (settings.flag("Limits.RetryAfter")) {
-    policy.max_retry_after = to_duration(settings.integer("Limits.MaxRetryAfter", 0));
+    policy_settings.max_retry_after = to_duration(settings.integer("Limits.MaxRetryAfter", 0));
   }
-  policy.probes_enabled = settings.flag("Limits.MayProbe");
-  policy.list_needs_subscription = settings.text("Discovery") == "ask";
-  policy.probe_cost = settings.number("Prices.Probe", 0);
-  policy.own_hall = static_cast<int>(settings.integer("Locality", 0));
-  policy.cross_hall_cost = settings.number("Prices.CrossZone", 0);
-  return policy;
+  policy_settings.probes_enabled = settings.flag("Limits.MayProbe");
+  policy_settings.list_needs_subscription = settings.text("Discovery") == "ask";
+  policy_settings.probe_cost = settings.number("Prices.Probe", 0);
+  policy_settings.own_hall = static_cast<int>(settings.integer("Locality", 0));
+  policy_settings.cross_hall_cost = settings.number("Prices.CrossZone", 0);
+  return policy_settings;
 }
 
 LoadReport read_load_report(const std::map<std::string, double>& values) {
