--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -32,10 +32,10 @@
   const auto text = settings::file_text(path);
   if (!text)
     return wrong(path + ": can't be read");
-  auto read = platform::read_start(*text);
-  if (const auto* fault = std::get_if<platform::StartFault>(&read))
-    return wrong(path + ": " + fault->cause);
-  auto terms = std::get<platform::StartTerms>(std::move(read));
+  auto read = platform::parse_platform_config(*text);
+  if (const auto* fault = std::get_if<platform::ConfigError>(&read))
+    return wrong(path + ": " + fault->message);
+  auto terms = std::get<platform::PlatformConfig>(std::move(read));
   if (const auto name = told("GW_NAME"); !name.empty())
     terms.name = name;
   if (const auto listen = told("GW_LISTEN"); !listen.empty()) {
@@ -44,7 +44,7 @@
       return wrong("GW_LISTEN: expected address:port");
     terms.listen = *place;
   }
-  terms.wall_at_zero =
+  terms.wall_clock_offset =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   try {
     const auto place = terms.listen;
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -12,543 +12,560 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration sweep_every{100ms};
-constexpr Duration first_word_limit{2s};   // for a viewer's connection to bring a whole message
-constexpr Duration reading_time{20ms};     // from a viewer's connection being chosen to end to its end
-constexpr Duration stood_still{60ms};      // a wait so long says that this process stood still meanwhile
-constexpr Duration at_rest{250ms};         // a viewer who comes has written by then, and read its answer
-constexpr Duration idle_viewer_limit{6s};  // for one that carries nothing; viewers close theirs after 4 s
-constexpr Duration sign_wanted_after{2s};  // a server where playbacks play is dialled after such silence
-constexpr Duration sign_limit{5500ms};     // and given up after so much, if no dial came up since
-constexpr Duration between_signs{500ms};
-constexpr Duration retired_stays{1s};       // for what the server says on the old connection meanwhile
-constexpr Duration turned_off_every{1s};    // said so often at most, against floods in the log
-constexpr Duration stop_at_most{3s};        // what a longer abandon time counts as
-constexpr Duration stop_quiet{800ms};       // requests still come for so long after the word
-constexpr Duration stop_answers_in{400ms};  // beyond the longest abandon time all have their answers
-constexpr Duration stop_reads_in{200ms};    // and viewers have so long to read them; killed 0.1 s later
-constexpr std::size_t most_unsent = 256 * 1024;
-constexpr std::size_t description_most = 8 * 1024;
-constexpr std::size_t name_most = 256;
-constexpr std::size_t most_unsaid = 4096;
-constexpr std::size_t most_released = 4096;
-constexpr Duration handed_over_in{10s};  // from a server's release of what is not known yet
-constexpr int refused_is_gone = 2;
-constexpr int most_leave_turns = 4;
-constexpr double most_left = 2;              // of a plan's abandon time
-constexpr double idle_part = 0.8;            // of a server's idle timeout: no set-up near its end
-constexpr std::size_t own_descriptors = 24;  // the channel, the door, the log, the loop's own
-
-constexpr unsigned ring_shift = 56;
-
-std::int64_t ms_of(Duration span) { return span.count() / 1000; }
-
-bool plain_name(const std::string& text) {
-  if (text.empty() || text.size() > name_most)
+constexpr Duration sweep_interval{100ms};
+constexpr Duration message_timeout{2s};    // for a viewer to complete its first or a partial message
+constexpr Duration close_delay{20ms};      // between scheduling a viewer's close and the close
+constexpr Duration stall_threshold{60ms};  // a longer delay of timers means that this process was stalled
+constexpr Duration eviction_idle_time{
+    250ms};                                   // by then a new viewer has sent its request and read its answer
+constexpr Duration viewer_idle_timeout{6s};   // without playbacks; viewers close such connections after 4 s
+constexpr Duration redial_after_silence{2s};  // of a server with playbacks
+constexpr Duration server_silence_timeout{5500ms};  // then its playbacks count as lost
+constexpr Duration redial_interval{500ms};
+constexpr Duration retired_lifetime{1s};      // to receive what the server still sends on the old connection
+constexpr Duration refusal_log_interval{1s};  // guards against flooding the log
+constexpr Duration max_shutdown_wait{3s};     // longer abandon times are cut to this
+constexpr Duration shutdown_min_time{800ms};  // viewers still send requests for this long after the signal
+constexpr Duration shutdown_answer_margin{400ms};  // on top of the longest abandon time
+constexpr Duration shutdown_flush_timeout{
+    200ms};  // for viewers to read the last answers; the process is killed 0.1 s later
+constexpr std::size_t max_unsent_bytes = 256 * 1024;
+constexpr std::size_t max_description_bytes = 8 * 1024;
+constexpr std::size_t max_name_bytes = 256;
+constexpr std::size_t max_queued_messages = 4096;
+constexpr std::size_t max_unmatched_releases = 4096;
+constexpr Duration unmatched_release_lifetime{10s};  // for the viewer to hand the playback over
+constexpr int refusals_until_lost = 2;
+constexpr int max_shutdown_drains = 4;
+constexpr double max_time_left_factor = 2;  // times the plan's abandon time
+constexpr double idle_timeout_share = 0.8;  // of a server's idle timeout; no set-up is sent after that
+constexpr std::size_t reserved_descriptors =
+    24;  // for the command channel, the listener, the log, the event loop
+
+// A timer's key holds its kind in the top bits and its payload below.
+constexpr unsigned timer_kind_shift = 56;
+
+std::int64_t to_milliseconds(Duration span) { return span.count() / 1000; }
+
+// Accepts printable ASCII without spaces.
+bool is_plain_name(const std::string& text) {
+  if (text.empty() || text.size() > max_name_bytes)
     return false;
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
-std::optional<int> whole_figure(const std::string& text, int least, int most) {
+std::optional<int> parse_integer_in_range(const std::string& text, int min, int max) {
   const auto value = parse_non_negative(text);
-  if (!value || *value != std::floor(*value) || *value < least || *value > most)
+  if (!value || *value != std::floor(*value) || *value < min || *value > max)
     return std::nullopt;
   return static_cast<int>(*value);
 }
 
-Outcome outcome_before_answer(int why) {
-  if (why == cause::full)
+Outcome outcome_before_answer(int cause) {
+  if (cause == cause::full)
     return Outcome::full;
-  if (why == cause::error)
+  if (cause == cause::error)
     return Outcome::error;
-  if (why == cause::not_attempted)
+  if (cause == cause::not_attempted)
     return Outcome::not_sent;
   return Outcome::reset;
 }
 
-Outcome outcome_after_answer(int why) {
-  if (why == cause::ended)
+Outcome outcome_after_answer(int cause) {
+  if (cause == cause::ended)
     return Outcome::served;
-  if (why == cause::cancelled)
+  if (cause == cause::cancelled)
     return Outcome::cancelled;
   return Outcome::reset;
 }
 
+// Returns 0 for a name that is not in the list.
 template <typename List>
-int place_in(const List& list, const std::string& name) {
+int index_in(const List& list, const std::string& name) {
   const auto found = std::find(list.begin(), list.end(), name);
   return found == list.end() ? 0 : static_cast<int>(found - list.begin());
 }
 
 }  // namespace
 
-Platform::Platform(StartTerms terms, std::unique_ptr<Decider> decider)
-    : terms_(std::move(terms)), decider_(std::move(decider)), channel_(~terms_.seed) {
+Platform::Platform(PlatformConfig config, std::unique_ptr<Decider> decider)
+    : config_(std::move(config)), decider_(std::move(decider)), channel_(~config_.seed) {
   if (!decider_)
-    decider_ = make_policy_decider(terms_.site, terms_.seed);
-  next_test_ = terms_.seed * 0x9E3779B97F4A7C15u;  // far from the viewers' ids, as those are drawn as well
+    decider_ = make_policy_decider(config_.policy, config_.seed);
+  next_probe_call_ = config_.seed * 0x9E3779B97F4A7C15u;  // unlikely to collide with the viewers' random ids
 }
 Platform::~Platform() = default;
 
-Held Platform::held() const {
-  return {viewers_.size(), links_.size(), playbacks_.size(), titles_.size(), wheel_.pending()};
+ResourceCounts Platform::resource_counts() const {
+  return {viewers_.size(), server_connections_.size(), playbacks_.size(), titles_.size(), wheel_.pending()};
 }
 
-void Platform::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
-  // Guards against blaming others for this process's own standstill: what came meanwhile is read before any
-  // timer rings.
-  if (begun_ && now - now_ > sweep_every + stood_still)
-    still_ = true;
-  if (std::holds_alternative<InputDrained>(what))
-    still_ = false;
+void Platform::handle(Duration now, const IoEvent& event, std::vector<Action>& actions) {
+  // Guards against taking a stall of this process for silence of its peers: after one, pending input is read
+  // before any timer expires.
+  if (started_ && now - now_ > sweep_interval + stall_threshold)
+    timers_deferred_ = true;
+  if (std::holds_alternative<InputDrained>(event))
+    timers_deferred_ = false;
   now_ = now;
   actions_ = &actions;
-  if (!std::exchange(begun_, true)) {
-    channel_.set_endpoint(terms_.channel);
-    take_lists(channel_.take_configured_events(terms_.known), true);
-    terms_.known.clear();
-    arm(sweep_every, Ring::sweep);
-    say("begun", {{"name", terms_.name}, {"servers", static_cast<std::int64_t>(servers_.size())}});
+  if (!std::exchange(started_, true)) {
+    channel_.set_endpoint(config_.channel);
+    apply_server_lists(channel_.take_configured_events(config_.known_events), true);
+    config_.known_events.clear();
+    start_timer(sweep_interval, TimerKind::sweep);
+    log("begun", {{"name", config_.name}, {"servers", static_cast<std::int64_t>(servers_.size())}});
   }
-  std::vector<std::uint64_t> rung;
-  still_ ? settle() : wheel_.advance(now, rung);
-  for (const auto bell : rung)
-    ring({static_cast<Ring>(bell >> ring_shift), bell & ((std::uint64_t{1} << ring_shift) - 1)});
-  std::visit([this](const auto& happened) { on(happened); }, what);
-  tend_channel();
-  if (const auto next = wheel_.next(); next && *next != woken_for_) {
-    woken_for_ = *next;
+  std::vector<std::uint64_t> expired;
+  timers_deferred_ ? request_input_drain() : wheel_.advance(now, expired);
+  for (const auto timer : expired)
+    on_timer({static_cast<TimerKind>(timer >> timer_kind_shift),
+              timer & ((std::uint64_t{1} << timer_kind_shift) - 1)});
+  std::visit([this](const auto& concrete) { on(concrete); }, event);
+  poll_channel();
+  if (const auto next = wheel_.next(); next && *next != next_wakeup_) {
+    next_wakeup_ = *next;
     actions.push_back(StartTimer{*next});
   }
 }
 
-TimerWheel<std::uint64_t>::Handle Platform::arm(Duration in, Ring ring, std::uint64_t of) {
-  return wheel_.schedule(now_ + in, static_cast<std::uint64_t>(ring) << ring_shift | of);
+TimerWheel<std::uint64_t>::Handle Platform::start_timer(Duration delay, TimerKind kind,
+                                                        std::uint64_t payload) {
+  return wheel_.schedule(now_ + delay, static_cast<std::uint64_t>(kind) << timer_kind_shift | payload);
 }
 
-void Platform::ring(const Bell& bell) {
-  switch (bell.ring) {
-    case Ring::module:
-      return feed(TimerExpired{static_cast<std::uint32_t>(bell.of)});
-    case Ring::try_limit: {
-      const auto id = static_cast<PlaybackId>(bell.of);
-      auto* playback = find(id);
+void Platform::on_timer(const ExpiredTimer& timer) {
+  switch (timer.kind) {
+    case TimerKind::decider:
+      return process_event(TimerExpired{static_cast<std::uint32_t>(timer.payload)});
+    case TimerKind::try_timeout: {
+      const auto id = static_cast<PlaybackId>(timer.payload);
+      auto* playback = find_playback(id);
       if (!playback || playback->state != Playback::State::trying)
         return;
-      // A connection that gave no sign since the try was sent may be to a machine that is no more.
-      if (const auto link = links_.find(playback->link); playback->sent && link != links_.end()) {
-        if (link->second.heard_at <= playback->tried_at && !link->second.retired_at)
-          retire(playback->link);
+      // A connection without data since the try was sent may be half-open: its machine may have vanished.
+      if (const auto connection = server_connections_.find(playback->connection);
+          playback->sent && connection != server_connections_.end()) {
+        if (connection->second.last_heard_at <= playback->try_started_at && !connection->second.retired_at)
+          retire(playback->connection);
       }
-      const auto link = links_.find(playback->link);
-      const bool dialling = link != links_.end() && !link->second.up;
+      const auto connection = server_connections_.find(playback->connection);
+      const bool dialling = connection != server_connections_.end() && !connection->second.established;
       const auto unsent = dialling ? Outcome::no_connection : Outcome::not_sent;
       return end_try(id, playback->sent ? Outcome::late : unsent, {}, false);
     }
-    case Ring::dial: {
-      const auto link = links_.find(static_cast<ConnectionId>(bell.of));
-      if (link == links_.end() || link->second.up)
+    case TimerKind::dial_timeout: {
+      const auto connection = server_connections_.find(static_cast<ConnectionId>(timer.payload));
+      if (connection == server_connections_.end() || connection->second.established)
         return;
-      drop_server_link(link->first, Outcome::no_connection);
-      actions_->push_back(Close{static_cast<ConnectionId>(bell.of), false});
+      drop_server_connection(connection->first, Outcome::no_connection);
+      actions_->push_back(Close{static_cast<ConnectionId>(timer.payload), false});
       return;
     }
-    case Ring::probe:
-      for (auto& [number, link] : links_) {
-        const auto test = std::find_if(link.tests.begin(), link.tests.end(), [&](const auto one) {
-          return (one & ((std::uint64_t{1} << ring_shift) - 1)) == bell.of;
-        });
-        if (test == link.tests.end())
+    case TimerKind::probe_timeout:
+      for (auto& [connection_id, connection] : server_connections_) {
+        const auto probe =
+            std::find_if(connection.probes.begin(), connection.probes.end(), [&](const auto one) {
+              return (one & ((std::uint64_t{1} << timer_kind_shift) - 1)) == timer.payload;
+            });
+        if (probe == connection.probes.end())
           continue;
-        const auto server = link.server;
-        link.tests.erase(test);
-        return feed(ProbeEnded{server, false, {}});
+        const auto server = connection.server;
+        connection.probes.erase(probe);
+        return process_event(ProbeEnded{server, false, {}});
       }
       return;
-    case Ring::sweep:
-      arm(sweep_every, Ring::sweep);
+    case TimerKind::sweep:
+      start_timer(sweep_interval, TimerKind::sweep);
       return sweep();
-    case Ring::part:
-      return part();
-    case Ring::channel:
-      return;  // tended with every happening
-    case Ring::stop:
-      leaving_ = Leaving::at_once;
-      return settle();
+    case TimerKind::close_scheduled_viewers:
+      return close_scheduled_viewers();
+    case TimerKind::channel_poll:
+      return;  // handle() polls the channel after every event
+    case TimerKind::shutdown_deadline:
+      shutdown_phase_ = ShutdownPhase::immediate;
+      return request_input_drain();
   }
 }
 
-void Platform::on(const TimerFired&) { woken_for_ = Duration(-1); }
+void Platform::on(const TimerFired&) { next_wakeup_ = Duration(-1); }
 
-// Guards against connections that say nothing, or nothing whole, or stay for good: they would hold every
-// descriptor. And against servers that went without a sign while playbacks play there.
+// Guards against viewers that send nothing, send partial messages or never close: they would use up the
+// descriptors. Also closes retired and idle connections to servers, checks the liveness of servers with
+// playbacks, and ends a graceful shutdown when no playback is left.
 void Platform::sweep() {
-  for (auto& [link, viewer] : viewers_) {
-    const bool carries = !viewer.open.empty() || viewer.standing > 0;
-    if ((!viewer.spoke && now_ - viewer.since > first_word_limit) ||
-        (viewer.reader.has_partial_message() && now_ - viewer.heard_at > first_word_limit) ||
-        (!carries && now_ - viewer.heard_at > idle_viewer_limit))
-      choose_to_part(link, viewer);
+  for (auto& [connection, viewer] : viewers_) {
+    const bool carries = !viewer.unanswered.empty() || viewer.playing_count > 0;
+    if ((!viewer.has_sent_message && now_ - viewer.accepted_at > message_timeout) ||
+        (viewer.reader.has_partial_message() && now_ - viewer.last_heard_at > message_timeout) ||
+        (!carries && now_ - viewer.last_heard_at > viewer_idle_timeout))
+      schedule_close(connection, viewer);
   }
-  std::vector<ConnectionId> over;
-  for (auto& [number, link] : links_) {
-    if (link.retired_at && link.tries.empty() && now_ - *link.retired_at > retired_stays)
-      over.push_back(number);
+  std::vector<ConnectionId> expired;
+  for (auto& [connection_id, connection] : server_connections_) {
+    if (connection.retired_at && connection.tries.empty() && now_ - *connection.retired_at > retired_lifetime)
+      expired.push_back(connection_id);
   }
-  for (const auto link : over)
-    end_server_link(link);
-  while (!released_.empty() && now_ - released_.front().at > handed_over_in)
-    released_.pop_front();
-  // Guards against a server's idle timeout crossing a set-up on its way, which may then have run for all that
-  // is known; and against connections that nobody needs, which are scarce at servers.
-  if (terms_.idle_limit > Duration(0)) {
-    for (auto& [number, link] : links_) {
-      const bool busy = !link.up || link.retired_at || !link.tries.empty() || !link.tests.empty();
-      if (!busy && now_ - link.used_at >= idle_part * terms_.idle_limit)
-        retire(number);
+  for (const auto connection : expired)
+    close_server_connection(connection);
+  while (!unmatched_releases_.empty() &&
+         now_ - unmatched_releases_.front().received_at > unmatched_release_lifetime)
+    unmatched_releases_.pop_front();
+  // Guards against a server's idle timeout closing the connection while a set-up is in transit: it would be
+  // unknown whether the set-up ran. Also frees unused connections, which servers limit.
+  if (config_.idle_timeout > Duration(0)) {
+    for (auto& [connection_id, connection] : server_connections_) {
+      const bool busy = !connection.established || connection.retired_at || !connection.tries.empty() ||
+                        !connection.probes.empty();
+      if (!busy && now_ - connection.last_used_at >= idle_timeout_share * config_.idle_timeout)
+        retire(connection_id);
     }
   }
   for (ServerId id = 0; id < servers_.size(); ++id) {
-    if (!servers_[id].playing.empty() || !servers_[id].unsaid.empty())
-      care_for(id);
+    if (!servers_[id].playing.empty() || !servers_[id].queued_releases.empty())
+      check_server_liveness(id);
   }
-  if (!stop_asked_ || now_ - *stop_asked_ < stop_quiet)
+  if (!shutdown_requested_at_ || now_ - *shutdown_requested_at_ < shutdown_min_time)
     return;
-  if (!playbacks_.empty() || leaving_ != Leaving::no)
+  if (!playbacks_.empty() || shutdown_phase_ != ShutdownPhase::none)
     return;
-  leaving_ = Leaving::when_empty;
-  accepted_ = false;
-  settle();
+  shutdown_phase_ = ShutdownPhase::when_idle;
+  accepted_since_drain_ = false;
+  request_input_drain();
 }
 
 void Platform::on(const ShutdownRequested&) {
-  if (stop_asked_)
+  if (shutdown_requested_at_)
     return;
-  stop_asked_ = now_;
+  shutdown_requested_at_ = now_;
   Duration longest{0};
-  for (const auto abandon : terms_.abandon)
+  for (const auto abandon : config_.abandon_times)
     longest = std::max(longest, abandon);
-  arm(std::min(longest, stop_at_most) + stop_answers_in, Ring::stop);
-  say("stopping", {{"playbacks", static_cast<std::int64_t>(playbacks_.size())}});
+  start_timer(std::min(longest, max_shutdown_wait) + shutdown_answer_margin, TimerKind::shutdown_deadline);
+  log("stopping", {{"playbacks", static_cast<std::int64_t>(playbacks_.size())}});
 }
 
-// Guards against requests that came while this process stood still being left unread: it goes when all that
-// came is read and answered, and gives its viewers time to read.
-void Platform::leave() {
-  if (leaving_ == Leaving::when_empty && !playbacks_.empty()) {
-    leaving_ = Leaving::no;
+// Guards against leaving requests unread that arrived during a stall of this process: it stops after all
+// pending input is read and answered, and leaves viewers time to read the answers.
+void Platform::shut_down() {
+  if (shutdown_phase_ == ShutdownPhase::when_idle && !playbacks_.empty()) {
+    shutdown_phase_ = ShutdownPhase::none;
     return;
   }
-  // What has just been accepted is read a turn later; not without end, as newcomers may be.
-  if (std::exchange(accepted_, false) && ++leave_turns_ < most_leave_turns)
-    return settle();
-  std::vector<PlaybackId> open;
-  for (const auto& [link, viewer] : viewers_)
-    open.insert(open.end(), viewer.open.begin(), viewer.open.end());
-  std::sort(open.begin(), open.end());
-  for (const auto id : open) {
-    const auto* playback = find(id);
+  // Input of a newly accepted viewer is read one event loop turn later. The number of turns is bounded, as
+  // viewers may keep arriving.
+  if (std::exchange(accepted_since_drain_, false) && ++shutdown_drains_ < max_shutdown_drains)
+    return request_input_drain();
+  std::vector<PlaybackId> unanswered;
+  for (const auto& [connection, viewer] : viewers_)
+    unanswered.insert(unanswered.end(), viewer.unanswered.begin(), viewer.unanswered.end());
+  std::sort(unanswered.begin(), unanswered.end());
+  for (const auto id : unanswered) {
+    const auto* playback = find_playback(id);
     if (!playback)
       continue;
-    to_viewer(playback->viewer, end_line(playback->call, cause::reset));
-    withdraw(id);
+    send_to_viewer(playback->viewer_connection, end_line(playback->call, cause::reset));
+    cancel_request(id);
   }
   std::vector<ConnectionId> all;
-  for (const auto& [link, viewer] : viewers_)
-    all.push_back(link);
+  for (const auto& [connection, viewer] : viewers_)
+    all.push_back(connection);
   std::sort(all.begin(), all.end());
-  for (const auto link : all) {
-    viewer_gone(link);
-    actions_->push_back(Close{link, true});
+  for (const auto connection : all) {
+    remove_viewer(connection);
+    actions_->push_back(Close{connection, true});
   }
-  actions_->push_back(StopLoop{stop_reads_in});
+  actions_->push_back(StopLoop{shutdown_flush_timeout});
 }
 
-// Guards against a try for a viewer who has gone, or to a server said to drain, in what is not read yet:
-// nothing is sent before all that has come is.
-void Platform::settle() {
-  if (!std::exchange(settle_asked_, true))
+// Guards against sending a try for a viewer that has left or to a server that drains, when the unread input
+// says so: all pending input is read first.
+void Platform::request_input_drain() {
+  if (!std::exchange(input_drain_requested_, true))
     actions_->push_back(DrainInput{});
 }
 
 void Platform::on(const InputDrained&) {
-  settle_asked_ = false;
-  if (leaving_ == Leaving::at_once)
-    return leave();
-  const auto due = std::exchange(settling_, {});
+  input_drain_requested_ = false;
+  if (shutdown_phase_ == ShutdownPhase::immediate)
+    return shut_down();
+  const auto due = std::exchange(tries_awaiting_drain_, {});
   for (const auto id : due) {
-    auto* playback = find(id);
+    auto* playback = find_playback(id);
     if (!playback || playback->state != Playback::State::trying || playback->sent)
       continue;
-    const auto link = links_.find(playback->link);
-    if (link != links_.end() && link->second.up)
+    const auto connection = server_connections_.find(playback->connection);
+    if (connection != server_connections_.end() && connection->second.established)
       send_try(*playback);
   }
-  if (leaving_ != Leaving::no)
-    leave();
+  if (shutdown_phase_ != ShutdownPhase::none)
+    shut_down();
 }
 
-void Platform::on(const ConfigReloaded& what) {
-  auto read = read_start(what.text);
-  if (const auto* fault = std::get_if<StartFault>(&read))
-    return say("reread_passed_over", {{"cause", fault->cause}});
-  const auto& terms = std::get<StartTerms>(read);
-  take_lists(channel_.take_configured_events(terms.known), false);
-  channel_.set_endpoint(terms.channel);
-  say("reread", {{"channel", terms.channel->address}, {"last", channel_.last_event()}});
+void Platform::on(const ConfigReloaded& event) {
+  auto parsed = parse_platform_config(event.text);
+  if (const auto* error = std::get_if<ConfigError>(&parsed))
+    return log("reread_passed_over", {{"cause", error->message}});
+  const auto& config = std::get<PlatformConfig>(parsed);
+  apply_server_lists(channel_.take_configured_events(config.known_events), false);
+  channel_.set_endpoint(config.channel);
+  log("reread", {{"channel", config.channel->address}, {"last", channel_.last_event()}});
 }
 
 // ---- connections ----
 
-void Platform::on(const Accepted& what) {
-  if (viewers_.size() >= most_viewers() / 4 * 5) {
-    actions_->push_back(Close{what.connection, false});
+void Platform::on(const Accepted& event) {
+  if (viewers_.size() >= max_viewer_connections() / 4 * 5) {
+    actions_->push_back(Close{event.connection, false});
     return;
   }
-  accepted_ = true;
-  auto& viewer = viewers_[what.connection];
-  viewer.since = viewer.heard_at = now_;
-  if (viewers_.size() > most_viewers())
-    make_place();
+  accepted_since_drain_ = true;
+  auto& viewer = viewers_[event.connection];
+  viewer.accepted_at = viewer.last_heard_at = now_;
+  if (viewers_.size() > max_viewer_connections())
+    evict_idle_viewers();
 }
 
-// Usual viewers take a third at most; the rest of the descriptors are the servers' and the channel's.
-std::size_t Platform::most_viewers() const { return terms_.sockets / 2; }
+// Viewers normally use up to a third of the descriptors; the rest is for servers and the command channel.
+std::size_t Platform::max_viewer_connections() const { return config_.max_sockets / 2; }
 
-// What viewers, even in a flood, and this process itself leave.
-std::size_t Platform::most_server_links() const {
-  const auto others = most_viewers() / 4 * 5 + own_descriptors;
-  return terms_.sockets > others + 1 ? terms_.sockets - others : 1;
+// What is left after the viewers' maximum, floods included, and the process's own descriptors; at least 1.
+std::size_t Platform::max_server_connections() const {
+  const auto others = max_viewer_connections() / 4 * 5 + reserved_descriptors;
+  return config_.max_sockets > others + 1 ? config_.max_sockets - others : 1;
 }
 
-// Guards against floods of connections shutting the usual viewers out: the silent ones go first, then
-// those that carry nothing, the longest unheard of each; none that has just come or just been answered.
-void Platform::make_place() {
+// Guards against floods of connections shutting out regular viewers. Evicts connections that never sent a
+// message first, then those without playbacks, the longest idle first; none that was active just now.
+void Platform::evict_idle_viewers() {
   std::vector<std::tuple<bool, Duration, ConnectionId>> idle;
-  const auto surplus =
-      viewers_.size() - most_viewers() - std::min(parting_.size(), viewers_.size() - most_viewers());
-  for (const auto& [link, viewer] : viewers_) {
-    if (viewer.parts_at || !viewer.open.empty() || viewer.standing > 0)
+  const auto surplus = viewers_.size() - max_viewer_connections() -
+                       std::min(closing_viewers_.size(), viewers_.size() - max_viewer_connections());
+  for (const auto& [connection, viewer] : viewers_) {
+    if (viewer.closing_since || !viewer.unanswered.empty() || viewer.playing_count > 0)
       continue;
-    if (now_ - viewer.heard_at >= at_rest)
-      idle.emplace_back(viewer.spoke, viewer.heard_at, link);
+    if (now_ - viewer.last_heard_at >= eviction_idle_time)
+      idle.emplace_back(viewer.has_sent_message, viewer.last_heard_at, connection);
   }
   std::sort(idle.begin(), idle.end());
   for (std::size_t i = 0; i < std::min(surplus, idle.size()); ++i) {
-    const auto link = std::get<ConnectionId>(idle[i]);
-    choose_to_part(link, viewers_.at(link));
+    const auto connection = std::get<ConnectionId>(idle[i]);
+    schedule_close(connection, viewers_.at(connection));
   }
 }
 
-// Guards against ending a connection with a request on it that is not read yet: after what has come by
-// then is read, it ends only if that was nothing whole.
-void Platform::choose_to_part(ConnectionId link, ViewerLink& viewer) {
-  if (viewer.parts_at)
+// Guards against closing a connection with an unread request: the close is delayed, and a valid message that
+// arrives by then cancels it.
+void Platform::schedule_close(ConnectionId connection, ViewerConnection& viewer) {
+  if (viewer.closing_since)
     return;
-  viewer.parts_at = now_;
-  if (parting_.empty())
-    arm(reading_time, Ring::part);
-  parting_.push_back(link);
+  viewer.closing_since = now_;
+  if (closing_viewers_.empty())
+    start_timer(close_delay, TimerKind::close_scheduled_viewers);
+  closing_viewers_.push_back(connection);
 }
 
-void Platform::part() {
-  std::vector<ConnectionId> kept;
-  for (const auto link : parting_) {
-    const auto found = viewers_.find(link);
-    if (found == viewers_.end() || !found->second.parts_at)
+void Platform::close_scheduled_viewers() {
+  std::vector<ConnectionId> still_closing;
+  for (const auto connection : closing_viewers_) {
+    const auto found = viewers_.find(connection);
+    if (found == viewers_.end() || !found->second.closing_since)
       continue;
-    const auto waited = now_ - *found->second.parts_at;
-    if (waited < reading_time || waited > stood_still) {  // what came meanwhile may be unread still
-      if (waited > stood_still)
-        found->second.parts_at = now_;
-      kept.push_back(link);
+    const auto waited = now_ - *found->second.closing_since;
+    if (waited < close_delay || waited > stall_threshold) {  // a stall: input may be unread
+      if (waited > stall_threshold)
+        found->second.closing_since = now_;
+      still_closing.push_back(connection);
       continue;
     }
-    const bool spoke = found->second.spoke;
-    viewer_gone(link);
-    actions_->push_back(Close{link, spoke});  // in order, as its answer may be unread
+    const bool has_sent_message = found->second.has_sent_message;
+    remove_viewer(connection);
+    actions_->push_back(Close{connection, has_sent_message});  // after sending: its answer may be unread
   }
-  parting_ = std::move(kept);
-  if (!parting_.empty())
-    arm(reading_time, Ring::part);
+  closing_viewers_ = std::move(still_closing);
+  if (!closing_viewers_.empty())
+    start_timer(close_delay, TimerKind::close_scheduled_viewers);
 }
 
-void Platform::on(const Connected& what) {
-  if (what.connection == channel_link_) {
-    actions_->push_back(Send{what.connection, channel_.connected(now_)});
+void Platform::on(const Connected& event) {
+  if (event.connection == channel_connection_) {
+    actions_->push_back(Send{event.connection, channel_.connected(now_)});
     return;
   }
-  const auto found = links_.find(what.connection);
-  if (found == links_.end())
+  const auto found = server_connections_.find(event.connection);
+  if (found == server_connections_.end())
     return;
-  auto& link = found->second;
-  auto& server = servers_[link.server];
-  link.up = true;
-  link.heard_at = link.used_at = now_;
-  answered_sign(link);
-  if (server.dialled == what.connection)
-    server.dialled = 0;
-  if (server.link && server.link != what.connection) {
-    if (const auto old = links_.find(server.link); old != links_.end())
+  auto& connection = found->second;
+  auto& server = servers_[connection.server];
+  connection.established = true;
+  connection.last_heard_at = connection.last_used_at = now_;
+  record_server_activity(connection);
+  if (server.pending_dial == event.connection)
+    server.pending_dial = 0;
+  if (server.connection && server.connection != event.connection) {
+    if (const auto old = server_connections_.find(server.connection); old != server_connections_.end())
       old->second.retired_at = now_;
   }
-  server.link = what.connection;
-  for (auto& bytes : server.unsaid)
-    to_server(what.connection, std::move(bytes));
-  server.unsaid.clear();
+  server.connection = event.connection;
+  for (auto& bytes : server.queued_releases)
+    send_to_server(event.connection, std::move(bytes));
+  server.queued_releases.clear();
   for (const auto id : server.playing) {
     auto& playback = playbacks_.at(id);
-    if (std::exchange(playback.rung_unsaid, false))
-      to_server(what.connection, rung_bytes(playback.call, playback.rung));
+    if (std::exchange(playback.rung_unsent, false))
+      send_to_server(event.connection, rung_bytes(playback.call, playback.rung));
   }
-  for (const auto test : link.tests)
-    to_server(what.connection, test_bytes(test));
-  for (const auto id : link.tries)
-    send_when_settled(id);
+  for (const auto probe : connection.probes)
+    send_to_server(event.connection, test_bytes(probe));
+  for (const auto id : connection.tries)
+    send_after_input_drained(id);
 }
 
-void Platform::on(const Received& what) {
-  if (what.connection == channel_link_) {
-    const auto updates = channel_.received(now_, what.bytes);
-    return take_lists(updates, false);
+void Platform::on(const Received& event) {
+  if (event.connection == channel_connection_) {
+    const auto updates = channel_.received(now_, event.bytes);
+    return apply_server_lists(updates, false);
   }
-  if (const auto found = viewers_.find(what.connection); found != viewers_.end()) {
-    found->second.heard_at = now_;
+  if (const auto found = viewers_.find(event.connection); found != viewers_.end()) {
+    found->second.last_heard_at = now_;
     std::vector<std::variant<ParseError, ViewerMessage>> messages;
-    found->second.reader.feed(what.bytes, messages);
+    found->second.reader.feed(event.bytes, messages);
     for (auto& message : messages) {
-      const auto still = viewers_.find(what.connection);
-      if (still == viewers_.end())
+      const auto viewer = viewers_.find(event.connection);
+      if (viewer == viewers_.end())
         return;
-      if (const auto* unreadable = std::get_if<ParseError>(&message)) {
-        turn_off(what.connection, unreadable->call, unreadable->message);
+      if (const auto* error = std::get_if<ParseError>(&message)) {
+        refuse_message(event.connection, error->call, error->message);
         continue;
       }
-      still->second.spoke = true;
-      still->second.parts_at.reset();
-      viewer_says(what.connection, still->second, std::get<ViewerMessage>(message));
+      viewer->second.has_sent_message = true;
+      viewer->second.closing_since.reset();
+      on_viewer_message(event.connection, viewer->second, std::get<ViewerMessage>(message));
     }
     return;
   }
-  const auto found = links_.find(what.connection);
-  if (found == links_.end())
+  const auto found = server_connections_.find(event.connection);
+  if (found == server_connections_.end())
     return;
-  found->second.heard_at = found->second.used_at = now_;
-  answered_sign(found->second);
+  found->second.last_heard_at = found->second.last_used_at = now_;
+  record_server_activity(found->second);
   std::vector<ServerMessage> messages;
-  const auto unreadable = found->second.reader.feed(what.bytes, messages);
+  const auto error = found->second.reader.feed(event.bytes, messages);
   for (auto& message : messages) {
-    if (!links_.contains(what.connection))
+    if (!server_connections_.contains(event.connection))
       return;
-    server_says(what.connection, message);
+    on_server_message(event.connection, message);
   }
-  if (!unreadable || !links_.contains(what.connection))
+  if (!error || !server_connections_.contains(event.connection))
     return;
-  say("unreadable", {{"server", servers_[links_.at(what.connection).server].name}, {"cause", *unreadable}});
-  drop_server_link(what.connection, Outcome::reset);
-  actions_->push_back(Close{what.connection, false});
+  log("unreadable",
+      {{"server", servers_[server_connections_.at(event.connection).server].name}, {"cause", *error}});
+  drop_server_connection(event.connection, Outcome::reset);
+  actions_->push_back(Close{event.connection, false});
 }
 
-void Platform::on(const HalfClosed& what) {
-  actions_->push_back(Close{what.connection, true});
-  on(Disconnected{what.connection, CloseReason::finished});
+void Platform::on(const HalfClosed& event) {
+  actions_->push_back(Close{event.connection, true});
+  on(Disconnected{event.connection, CloseReason::finished});
 }
 
-void Platform::on(const Disconnected& what) {
-  if (what.connection == channel_link_) {
-    channel_link_ = 0;
+void Platform::on(const Disconnected& event) {
+  if (event.connection == channel_connection_) {
+    channel_connection_ = 0;
     return channel_.disconnected(now_);
   }
-  if (viewers_.contains(what.connection))
-    return viewer_gone(what.connection);
-  const auto found = links_.find(what.connection);
-  if (found == links_.end())
+  if (viewers_.contains(event.connection))
+    return remove_viewer(event.connection);
+  const auto found = server_connections_.find(event.connection);
+  if (found == server_connections_.end())
     return;
   const auto id = found->second.server;
-  const bool refused = what.reason == CloseReason::refused && !found->second.up;
+  const bool refused = event.reason == CloseReason::refused && !found->second.established;
   auto& server = servers_[id];
-  if (what.reason == CloseReason::local_failure) {
-    not_asked(id);
-    return drop_server_link(what.connection, Outcome::not_sent, Outcome::not_sent);
+  if (event.reason == CloseReason::local_failure) {
+    record_local_dial_failure(id);
+    return drop_server_connection(event.connection, Outcome::not_sent, Outcome::not_sent);
   }
-  drop_server_link(what.connection, Outcome::reset);
+  drop_server_connection(event.connection, Outcome::reset);
   if (refused) {
-    if (server.refused++ == 0)
-      server.first_refused = now_;
+    if (server.consecutive_refusals++ == 0)
+      server.first_refused_at = now_;
   }
   if (!server.playing.empty())
-    care_for(id);
+    check_server_liveness(id);
 }
 
-void Platform::on(const Flushed& what) {
-  if (const auto found = viewers_.find(what.connection); found != viewers_.end())
-    found->second.unsent = 0;
+void Platform::on(const Flushed& event) {
+  if (const auto found = viewers_.find(event.connection); found != viewers_.end())
+    found->second.unsent_bytes = 0;
 }
 
 // ---- viewers ----
 
-void Platform::to_viewer(ConnectionId link, std::string line) {
-  const auto found = viewers_.find(link);
+void Platform::send_to_viewer(ConnectionId connection, std::string line) {
+  const auto found = viewers_.find(connection);
   if (found == viewers_.end())
     return;
-  found->second.unsent += line.size();
-  // Guards against a reader that reads nothing.
-  if (found->second.unsent > most_unsent) {
-    viewer_gone(link);
-    actions_->push_back(Close{link, false});
+  found->second.unsent_bytes += line.size();
+  // Guards against unbounded buffering for a viewer that reads nothing.
+  if (found->second.unsent_bytes > max_unsent_bytes) {
+    remove_viewer(connection);
+    actions_->push_back(Close{connection, false});
     return;
   }
-  actions_->push_back(Send{link, std::move(line)});
+  actions_->push_back(Send{connection, std::move(line)});
 }
 
-void Platform::viewer_says(ConnectionId link, ViewerLink& viewer, ViewerMessage& message) {
-  for (auto& line : std::exchange(untold_, {}))
-    actions_->push_back(Send{link, std::move(line)});
+void Platform::on_viewer_message(ConnectionId connection, ViewerConnection& viewer, ViewerMessage& message) {
+  for (auto& line : std::exchange(undelivered_ends_, {}))
+    actions_->push_back(Send{connection, std::move(line)});
   switch (message.kind) {
     case ViewerMessage::Kind::offer:
-      return take_offer(link, viewer, message);
+      return handle_offer(connection, viewer, message);
     case ViewerMessage::Kind::end:
-      return take_end(link, message.call);
+      return handle_end(connection, message.call);
     case ViewerMessage::Kind::test:
-      return to_viewer(link, tested_line(message.call, ready()));
+      return send_to_viewer(connection, tested_line(message.call, is_ready()));
     case ViewerMessage::Kind::ended:
       return;
     case ViewerMessage::Kind::other:
-      return turn_off(link, message.call, "op: expected offer, end, ended or test");
+      return refuse_message(connection, message.call, "op: expected offer, end, ended or test");
   }
 }
 
-// What can't be served is answered, if it has an id, and its connection ended, unless others are served on
-// it: those are owed their answers.
-void Platform::turn_off(ConnectionId link, std::optional<CallId> call, const std::string& cause) {
-  ++turned_off_;
-  if (turned_off_said_ < Duration(0) || now_ - turned_off_said_ >= turned_off_every) {
-    say("turned_off", {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(turned_off_)}});
-    turned_off_ = 0;
-    turned_off_said_ = now_;
+// Answers an invalid message if it has a call id, and closes the connection. It stays open if the message has
+// an id and other playbacks use the connection, as those are owed their answers.
+void Platform::refuse_message(ConnectionId connection, std::optional<CallId> call, const std::string& cause) {
+  ++unlogged_refusals_;
+  if (refusals_logged_at_ < Duration(0) || now_ - refusals_logged_at_ >= refusal_log_interval) {
+    log("turned_off", {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(unlogged_refusals_)}});
+    unlogged_refusals_ = 0;
+    refusals_logged_at_ = now_;
   }
   if (call)
-    to_viewer(link, end_line(*call, platform::cause::invalid_message));
-  const auto viewer = viewers_.find(link);
+    send_to_viewer(connection, end_line(*call, platform::cause::invalid_message));
+  const auto viewer = viewers_.find(connection);
   if (viewer == viewers_.end())
     return;
-  if (call && (!viewer->second.open.empty() || viewer->second.standing > 0))
+  if (call && (!viewer->second.unanswered.empty() || viewer->second.playing_count > 0))
     return;
-  viewer_gone(link);
-  actions_->push_back(Close{link, true});
+  remove_viewer(connection);
+  actions_->push_back(Close{connection, true});
 }
 
-std::optional<std::string> Platform::read_offer(const ViewerMessage& message, Request& request,
-                                                std::string& at) const {
+// Returns an error, or fills in the request. `current_server` is the server of a playback that already plays;
+// empty for a new set-up.
+std::optional<std::string> Platform::parse_offer(const ViewerMessage& message, Request& request,
+                                                 std::string& current_server) const {
   const auto field = [&](const char* name) {
     const auto found = message.fields.find(name);
     return found == message.fields.end() ? std::string() : found->second;
   };
-  const auto plan = std::find(terms_.plans.begin(), terms_.plans.end(), field("class"));
-  if (plan == terms_.plans.end())
+  const auto plan = std::find(config_.plans.begin(), config_.plans.end(), field("class"));
+  if (plan == config_.plans.end())
     return "with.class: no such plan";
-  request.plan = static_cast<int>(plan - terms_.plans.begin());
-  if (!plain_name(field("key")))
+  request.plan = static_cast<int>(plan - config_.plans.begin());
+  if (!is_plain_name(field("key")))
     return "with.key: expected a title";
   if (message.fields.contains("hint")) {
     const auto hint = parse_non_negative(field("hint"));
@@ -560,145 +577,148 @@
   const auto text = field("extras");
   for (std::size_t from = 0; from < text.size();) {
     const auto end = std::min(text.find(';', from), text.size());
-    const auto part = text.substr(from, end - from);
-    const auto colon = part.find(':');
+    const auto pair = text.substr(from, end - from);
+    const auto colon = pair.find(':');
     if (colon == std::string::npos)
       return "with.extras: expected name:value";
-    extras[part.substr(0, colon)] = part.substr(colon + 1);
+    extras[pair.substr(0, colon)] = pair.substr(colon + 1);
     from = end + 1;
   }
-  const auto home = whole_figure(extras["home"], 0, std::max(0, terms_.site.cells - 1));
-  const auto copies = whole_figure(extras["copies"], 1, std::max(1, terms_.site.cells));
-  const auto top = whole_figure(extras["top"], 0, static_cast<int>(terms_.site.rung_kb.size()) - 1);
+  const auto home = parse_integer_in_range(extras["home"], 0, std::max(0, config_.policy.cells - 1));
+  const auto copies = parse_integer_in_range(extras["copies"], 1, std::max(1, config_.policy.cells));
+  const auto top =
+      parse_integer_in_range(extras["top"], 0, static_cast<int>(config_.policy.rung_kb.size()) - 1);
   if (!home || !copies || !top)
     return "with.extras: expected home, copies and top within their bounds";
   request.first_cell = *home;
   request.cell_count = *copies;
   request.top = *top;
-  at = extras["at"];
-  if (!at.empty() && !plain_name(at))
+  current_server = extras["at"];
+  if (!current_server.empty() && !is_plain_name(current_server))
     return "with.extras.at: expected a video server";
-  // What plays already waits for nothing, whatever is left of its time. Others may say somewhat more than
-  // their plan's time, as a busy viewer's line leaves late.
-  const auto left = parse_non_negative(field("left"));
-  const auto plan_ms = static_cast<double>(terms_.abandon[request.plan].count()) / 1000;
-  const auto most_ms = at.empty() ? most_left * plan_ms : 1e12;
-  if (!left || *left <= 0 || *left > most_ms)
+  // A playback that already plays waits for nothing, so its remaining time is not bounded. For others it may
+  // exceed the plan's abandon time somewhat, as a busy viewer sends its message late.
+  const auto time_left = parse_non_negative(field("left"));
+  const auto plan_ms = static_cast<double>(config_.abandon_times[request.plan].count()) / 1000;
+  const auto max_ms = current_server.empty() ? max_time_left_factor * plan_ms : 1e12;
+  if (!time_left || *time_left <= 0 || *time_left > max_ms)
     return "with.left: expected milliseconds";
-  request.abandon_at = now_ + Duration(static_cast<std::int64_t>(*left * 1000));
-  if (!message.description || message.description->empty() || message.description->size() > description_most)
+  request.abandon_at = now_ + Duration(static_cast<std::int64_t>(*time_left * 1000));
+  if (!message.description || message.description->empty() ||
+      message.description->size() > max_description_bytes)
     return "desc: expected a description";
   return std::nullopt;
 }
 
-void Platform::take_offer(ConnectionId link, ViewerLink& viewer, ViewerMessage& message) {
+void Platform::handle_offer(ConnectionId connection, ViewerConnection& viewer, ViewerMessage& message) {
   Request request;
-  std::string at;
-  const auto known = calls_.find(message.call);
-  if (const auto fault = read_offer(message, request, at))
-    return turn_off(link, message.call, *fault);
-  if (known != calls_.end()) {
+  std::string current_server;
+  const auto known = playbacks_by_call_.find(message.call);
+  if (const auto error = parse_offer(message, request, current_server))
+    return refuse_message(connection, message.call, *error);
+  if (known != playbacks_by_call_.end()) {
     auto& playback = playbacks_.at(known->second);
-    // Guards against whoever sends another's id being told of its end in its viewer's place.
+    // Guards against a viewer that sends another viewer's id getting the report of that playback's end.
     const bool same = playback.title == message.fields.at("key") && playback.plan == request.plan &&
-                      servers_[playback.server].name == at;
-    if (!at.empty() && playback.state == Playback::State::playing && same) {
-      // told again what stands: from now on by this connection
-      if (playback.viewer == link)
+                      servers_[playback.server].name == current_server;
+    if (!current_server.empty() && playback.state == Playback::State::playing && same) {
+      // A repeated handover: the end is reported on the newer connection.
+      if (playback.viewer_connection == connection)
         return;
-      if (const auto old = viewers_.find(playback.viewer); old != viewers_.end())
-        --old->second.standing;
-      playback.viewer = link;
-      ++viewer.standing;
+      if (const auto old = viewers_.find(playback.viewer_connection); old != viewers_.end())
+        --old->second.playing_count;
+      playback.viewer_connection = connection;
+      ++viewer.playing_count;
       return;
     }
-    // Guards against two requests under one number: whoever sends them gets one answer, and no playback.
-    if (playback.viewer == link && playback.state != Playback::State::playing) {
+    // Guards against two requests with one id on one connection: they get one answer and no playback.
+    if (playback.viewer_connection == connection && playback.state != Playback::State::playing) {
       const auto id = known->second;
-      withdraw(id);
+      cancel_request(id);
     }
-    return turn_off(link, message.call, "call: in use");
+    return refuse_message(connection, message.call, "call: in use");
   }
-  // Guards against a playback handed over just after its server released it, which is said no second time.
-  if (!at.empty()) {
-    const auto over = std::find_if(released_.begin(), released_.end(), [&](const Released& one) {
-      return one.call == message.call && servers_[one.server].name == at;
-    });
-    if (over != released_.end())
-      return to_viewer(link, end_line(message.call, over->why));
+  // Guards against adopting a playback that its server has just released: a release is not repeated.
+  if (!current_server.empty()) {
+    const auto release = std::find_if(
+        unmatched_releases_.begin(), unmatched_releases_.end(), [&](const UnmatchedRelease& one) {
+          return one.call == message.call && servers_[one.server].name == current_server;
+        });
+    if (release != unmatched_releases_.end())
+      return send_to_viewer(connection, end_line(message.call, release->cause));
   }
-  const auto id = admit(message.call, link, request, message.fields.at("key"));
+  const auto id = add_playback(message.call, connection, request, message.fields.at("key"));
   request.playback = id;
-  request.title = title(message.fields.at("key"));
+  request.title = acquire_title(message.fields.at("key"));
   auto& playback = playbacks_.at(id);
-  if (at.empty()) {
+  if (current_server.empty()) {
     playback.description = std::move(*message.description);
-    viewer.open.insert(id);
-    return feed(request);
+    viewer.unanswered.insert(id);
+    return process_event(request);
   }
-  const auto server = server_named(at);
+  const auto server = server_id(current_server);
   playback.state = Playback::State::playing;
   playback.server = server;
-  playback.rung = terms_.site.plans[request.plan].floor;
+  playback.rung = config_.policy.plans[request.plan].floor;
   if (servers_[server].playing.empty())
-    servers_[server].heard_at = now_;
+    servers_[server].last_heard_at = now_;
   servers_[server].playing.insert(id);
-  ++viewer.standing;
-  last_viewer_ = link;
-  feed(PlaybackAdopted{request, server});
-  care_for(server);
+  ++viewer.playing_count;
+  last_started_viewer_ = connection;
+  process_event(PlaybackAdopted{request, server});
+  check_server_liveness(server);
 }
 
-void Platform::take_end(ConnectionId link, CallId call) {
-  const auto known = calls_.find(call);
-  to_viewer(link, ended_line(call));
-  if (known == calls_.end())
+void Platform::handle_end(ConnectionId connection, CallId call) {
+  const auto known = playbacks_by_call_.find(call);
+  send_to_viewer(connection, ended_line(call));
+  if (known == playbacks_by_call_.end())
     return;
   const auto id = known->second;
   if (playbacks_.at(id).state != Playback::State::playing)
-    return withdraw(id);
-  say_to(playbacks_.at(id).server, release_bytes(call, cause::ended));
-  stop_playing(id, Outcome::cancelled, {}, std::nullopt);
+    return cancel_request(id);
+  send_or_queue_release(playbacks_.at(id).server, release_bytes(call, cause::ended));
+  end_playback(id, Outcome::cancelled, {}, std::nullopt);
 }
 
-// The viewer waits no more: no answer is owed, and a try that is out is given up.
-void Platform::withdraw(PlaybackId id) {
-  auto* playback = find(id);
+// The viewer no longer waits: it is owed no answer, and a running try is cancelled.
+void Platform::cancel_request(PlaybackId id) {
+  auto* playback = find_playback(id);
   if (!playback)
     return;
-  feed(RequestCancelled{id});
-  playback = find(id);
+  process_event(RequestCancelled{id});
+  playback = find_playback(id);
   if (!playback)
     return;
   if (playback->state == Playback::State::trying)
     return end_try(id, Outcome::cancelled, {}, true);
-  forget(id);
+  remove_playback(id);
 }
 
-void Platform::viewer_gone(ConnectionId link) {
-  const auto found = viewers_.find(link);
+void Platform::remove_viewer(ConnectionId connection) {
+  const auto found = viewers_.find(connection);
   if (found == viewers_.end())
     return;
-  const auto open = std::move(found->second.open);
-  const bool had = found->second.standing > 0;
+  const auto unanswered = std::move(found->second.unanswered);
+  const bool had_playbacks = found->second.playing_count > 0;
   viewers_.erase(found);
-  if (last_viewer_ == link)
-    last_viewer_ = 0;
-  for (const auto id : open)
-    withdraw(id);
-  if (!had)
+  if (last_started_viewer_ == connection)
+    last_started_viewer_ = 0;
+  for (const auto id : unanswered)
+    cancel_request(id);
+  if (!had_playbacks)
     return;
   for (auto& [id, playback] : playbacks_) {
-    if (playback.viewer == link)
-      playback.viewer = 0;  // plays on: no connection owns it
+    if (playback.viewer_connection == connection)
+      playback.viewer_connection = 0;  // the playback continues without a connection
   }
 }
 
 // ---- servers ----
 
-ServerId Platform::server_named(const std::string& name) {
-  const auto [found, fresh] = server_names_.try_emplace(name, static_cast<ServerId>(servers_.size()));
-  if (fresh) {
+ServerId Platform::server_id(const std::string& name) {
+  const auto [found, inserted] = server_ids_.try_emplace(name, static_cast<ServerId>(servers_.size()));
+  if (inserted) {
     servers_.emplace_back();
     servers_.back().name = name;
   }
@@ -707,440 +727,452 @@
 
 ConnectionId Platform::dial(ServerId id, bool for_try) {
   auto& server = servers_[id];
-  if (server.dialled)
-    return server.dialled;
-  if (server.place.port == 0 || !make_place_for_dial(for_try))
+  if (server.pending_dial)
+    return server.pending_dial;
+  if (server.endpoint.port == 0 || !reserve_server_connection(for_try))
     return 0;
-  const auto link = next_link_++;
-  auto& made = links_[link];
-  made.server = id;
-  made.heard_at = made.used_at = now_;
-  server.dialled = link;
-  actions_->push_back(Dial{link, server.place.address, server.place.port});
-  arm(terms_.dial_limit, Ring::dial, link);
-  return link;
-}
-
-ConnectionId Platform::link_for(ServerId id) {
-  const auto found = links_.find(servers_[id].link);
-  if (found != links_.end() && found->second.tries.size() < terms_.tries_per_link)
+  const auto connection_id = next_connection_id_++;
+  auto& connection = server_connections_[connection_id];
+  connection.server = id;
+  connection.last_heard_at = connection.last_used_at = now_;
+  server.pending_dial = connection_id;
+  actions_->push_back(Dial{connection_id, server.endpoint.address, server.endpoint.port});
+  start_timer(config_.dial_timeout, TimerKind::dial_timeout, connection_id);
+  return connection_id;
+}
+
+ConnectionId Platform::connection_for(ServerId id) {
+  const auto found = server_connections_.find(servers_[id].connection);
+  if (found != server_connections_.end() && found->second.tries.size() < config_.max_tries_per_connection)
     return found->first;
   return dial(id, true);
 }
 
-// Guards against servers' connections taking the descriptors of the channel and of viewers: beyond their
-// part the one unused for longest goes, one to a server where something plays only for a try.
-bool Platform::make_place_for_dial(bool for_try) {
-  if (links_.size() < most_server_links())
+// Guards against connections to servers using up the descriptors of the channel and of viewers: at the limit
+// the least recently used one is closed. One to a server with playbacks is closed only in favour of a try.
+bool Platform::reserve_server_connection(bool for_try) {
+  if (server_connections_.size() < max_server_connections())
     return true;
-  ConnectionId longest = 0;
-  std::tuple<bool, Duration, ConnectionId> least;
-  for (const auto& [number, link] : links_) {
-    if (!link.up || !link.tries.empty() || !link.tests.empty())
+  ConnectionId evicted = 0;
+  std::tuple<bool, Duration, ConnectionId> lowest_rank;
+  for (const auto& [connection_id, connection] : server_connections_) {
+    if (!connection.established || !connection.tries.empty() || !connection.probes.empty())
       continue;
-    const auto& server = servers_[link.server];
-    const bool wanted = !server.playing.empty() || !server.unsaid.empty();
-    const std::tuple rank(wanted, link.used_at, number);
-    if ((wanted && !for_try) || (longest != 0 && rank >= least))
+    const auto& server = servers_[connection.server];
+    const bool wanted = !server.playing.empty() || !server.queued_releases.empty();
+    const std::tuple rank(wanted, connection.last_used_at, connection_id);
+    if ((wanted && !for_try) || (evicted != 0 && rank >= lowest_rank))
       continue;
-    longest = number;
-    least = rank;
+    evicted = connection_id;
+    lowest_rank = rank;
   }
-  if (longest == 0)
+  if (evicted == 0)
     return false;
-  end_server_link(longest);
+  close_server_connection(evicted);
   return true;
 }
 
-// Guards against this machine's want of descriptors or ports being held against a server.
-void Platform::not_asked(ServerId id) {
+// Guards against counting a lack of descriptors or ports on this machine as silence of the server.
+void Platform::record_local_dial_failure(ServerId id) {
   auto& server = servers_[id];
-  server.heard_at = std::max(server.heard_at, now_ - sign_wanted_after);
-  server.next_dial = std::max(server.next_dial, now_ + between_signs);
+  server.last_heard_at = std::max(server.last_heard_at, now_ - redial_after_silence);
+  server.next_dial_at = std::max(server.next_dial_at, now_ + redial_interval);
 }
 
-void Platform::to_server(ConnectionId link, std::string bytes) {
-  if (const auto found = links_.find(link); found != links_.end())
-    found->second.used_at = now_;
-  actions_->push_back(Send{link, std::move(bytes)});
+void Platform::send_to_server(ConnectionId connection, std::string bytes) {
+  if (const auto found = server_connections_.find(connection); found != server_connections_.end())
+    found->second.last_used_at = now_;
+  actions_->push_back(Send{connection, std::move(bytes)});
 }
 
-void Platform::say_to(ServerId id, std::string bytes) {
+void Platform::send_or_queue_release(ServerId id, std::string bytes) {
   auto& server = servers_[id];
-  if (server.link)
-    return to_server(server.link, std::move(bytes));
-  if (server.unsaid.size() < most_unsaid)
-    server.unsaid.push_back(std::move(bytes));
-  care_for(id);
+  if (server.connection)
+    return send_to_server(server.connection, std::move(bytes));
+  if (server.queued_releases.size() < max_queued_messages)
+    server.queued_releases.push_back(std::move(bytes));
+  check_server_liveness(id);
 }
 
-void Platform::answered_sign(ServerLink& link) {
-  auto& server = servers_[link.server];
-  server.heard_at = now_;
-  server.refused = 0;
+void Platform::record_server_activity(ServerConnection& connection) {
+  auto& server = servers_[connection.server];
+  server.last_heard_at = now_;
+  server.consecutive_refusals = 0;
 }
 
-// A server where playbacks play is wanted on an open connection, on which it says how they end; after a
-// while without a sign a new one is asked for, as those to a machine that vanished stay open.
-void Platform::care_for(ServerId id) {
+// Keeps a connection to a server with playbacks, on which it reports their ends. After a time of silence a
+// new one is dialled as a health check, as a connection to a vanished machine stays half-open.
+void Platform::check_server_liveness(ServerId id) {
   auto& server = servers_[id];
-  const bool silent = now_ - server.heard_at > sign_wanted_after;
-  if (server.link && !silent)
+  const bool silent = now_ - server.last_heard_at > redial_after_silence;
+  if (server.connection && !silent)
     return;
-  const bool lost = now_ - server.heard_at > sign_limit;
-  // A process that drains may refuse new connections while its playbacks play on; one that dies resets its
-  // own.
-  const bool refused = server.refused >= refused_is_gone &&
-                       now_ - server.first_refused >= between_signs / 2 && !connected_to(id);
-  const bool replaced = server.state == ServerState::gone && server.place.port != 0 && !connected_to(id);
-  if (lost || refused || replaced)
-    return cut_all(id, lost ? "no sign" : refused ? "refused" : "gone");
-  if (server.dialled || now_ < server.next_dial)
+  const bool silence_timed_out = now_ - server.last_heard_at > server_silence_timeout;
+  // A draining process may refuse new connections while its playbacks continue, so refusals count only when
+  // no connection is open; the connections of a process that dies are reset.
+  const bool refused = server.consecutive_refusals >= refusals_until_lost &&
+                       now_ - server.first_refused_at >= redial_interval / 2 && !has_connection_to(id);
+  const bool replaced =
+      server.state == ServerState::gone && server.endpoint.port != 0 && !has_connection_to(id);
+  if (silence_timed_out || refused || replaced)
+    return end_all_playbacks(id, silence_timed_out ? "server silent" : refused ? "refused" : "gone");
+  if (server.pending_dial || now_ < server.next_dial_at)
     return;
-  server.next_dial = now_ + between_signs;
-  if (dial(id, false) == 0 && server.place.port != 0)
-    not_asked(id);
+  server.next_dial_at = now_ + redial_interval;
+  if (dial(id, false) == 0 && server.endpoint.port != 0)
+    record_local_dial_failure(id);
 }
 
-// One that takes no more set-ups still brings what its server says.
-bool Platform::connected_to(ServerId id) const {
-  return std::any_of(links_.begin(), links_.end(),
-                     [&](const auto& link) { return link.second.server == id && link.second.up; });
+// Includes retired connections, on which the server still reports.
+bool Platform::has_connection_to(ServerId id) const {
+  return std::any_of(server_connections_.begin(), server_connections_.end(), [&](const auto& connection) {
+    return connection.second.server == id && connection.second.established;
+  });
 }
 
-// From now on for what the server says alone; ended when that has had its time.
-void Platform::retire(ConnectionId number) {
-  auto& link = links_.at(number);
-  link.retired_at = now_;
-  auto& server = servers_[link.server];
-  if (server.link == number)
-    server.link = 0;
+// The connection carries no new set-ups; it is closed after retired_lifetime without tries.
+void Platform::retire(ConnectionId connection_id) {
+  auto& connection = server_connections_.at(connection_id);
+  connection.retired_at = now_;
+  auto& server = servers_[connection.server];
+  if (server.connection == connection_id)
+    server.connection = 0;
 }
 
-void Platform::end_server_link(ConnectionId number) {
-  drop_server_link(number, Outcome::reset);
-  actions_->push_back(Close{number, true});
+void Platform::close_server_connection(ConnectionId connection_id) {
+  drop_server_connection(connection_id, Outcome::reset);
+  actions_->push_back(Close{connection_id, true});
 }
 
-void Platform::cut_all(ServerId id, const char* cause) {
+void Platform::end_all_playbacks(ServerId id, const char* cause) {
   auto& server = servers_[id];
-  say("cut", {{"server", server.name},
+  log("cut", {{"server", server.name},
               {"cause", cause},
               {"playbacks", static_cast<std::int64_t>(server.playing.size())},
-              {"connected", static_cast<std::int64_t>(server.link != 0)},
-              {"silent_ms", ms_of(now_ - server.heard_at)}});
-  server.unsaid.clear();
-  server.refused = 0;
+              {"connected", static_cast<std::int64_t>(server.connection != 0)},
+              {"silent_ms", to_milliseconds(now_ - server.last_heard_at)}});
+  server.queued_releases.clear();
+  server.consecutive_refusals = 0;
   const auto playing = server.playing;
   for (const auto id : playing)
-    stop_playing(id, Outcome::reset, {}, cause::reset);
+    end_playback(id, Outcome::reset, {}, cause::reset);
 }
 
-void Platform::drop_server_link(ConnectionId number, Outcome of_sent, Outcome of_unsent) {
-  const auto found = links_.find(number);
-  if (found == links_.end())
+void Platform::drop_server_connection(ConnectionId connection_id, Outcome outcome_if_sent,
+                                      Outcome outcome_if_unsent) {
+  const auto found = server_connections_.find(connection_id);
+  if (found == server_connections_.end())
     return;
-  auto link = std::move(found->second);
-  links_.erase(found);
-  auto& server = servers_[link.server];
-  if (server.link == number)
-    server.link = 0;
-  if (server.dialled == number)
-    server.dialled = 0;
-  for (const auto id : link.tries) {
-    auto* playback = find(id);
-    if (!playback || playback->state != Playback::State::trying || playback->link != number)
+  auto connection = std::move(found->second);
+  server_connections_.erase(found);
+  auto& server = servers_[connection.server];
+  if (server.connection == connection_id)
+    server.connection = 0;
+  if (server.pending_dial == connection_id)
+    server.pending_dial = 0;
+  for (const auto id : connection.tries) {
+    auto* playback = find_playback(id);
+    if (!playback || playback->state != Playback::State::trying || playback->connection != connection_id)
       continue;
-    playback->link = 0;  // given up with its connection
-    end_try(id, playback->sent ? of_sent : of_unsent, {}, false);
+    playback->connection = 0;  // no release is sent: the connection is gone
+    end_try(id, playback->sent ? outcome_if_sent : outcome_if_unsent, {}, false);
   }
-  const bool left = link.up || of_unsent != Outcome::not_sent;
-  for (std::size_t i = 0; i < link.tests.size(); ++i)
-    feed(ProbeEnded{link.server, false, {}, left});
+  const bool sent = connection.established || outcome_if_unsent != Outcome::not_sent;
+  for (std::size_t i = 0; i < connection.probes.size(); ++i)
+    process_event(ProbeEnded{connection.server, false, {}, sent});
 }
 
-void Platform::server_says(ConnectionId number, ServerMessage& message) {
-  auto& link = links_.at(number);
-  const auto id = link.server;
+void Platform::on_server_message(ConnectionId connection_id, ServerMessage& message) {
+  auto& connection = server_connections_.at(connection_id);
+  const auto id = connection.server;
   if (message.kind == ServerMessage::Kind::tested) {
-    const auto test = link.tests.find(message.call);
-    if (test == link.tests.end())
+    const auto probe = connection.probes.find(message.call);
+    if (probe == connection.probes.end())
       return;
-    link.tests.erase(test);
-    return feed(ProbeEnded{id, message.cause.value_or(0) == 1,
-                           message.load ? load_report(*message.load) : LoadReport{}});
+    connection.probes.erase(probe);
+    return process_event(ProbeEnded{id, message.cause.value_or(0) == 1,
+                                    message.load ? load_report(*message.load) : LoadReport{}});
   }
   if (message.kind == ServerMessage::Kind::release)
-    return release_heard(number, message);
-  const auto known = calls_.find(message.call);
-  // Guards against what a server started after its try was given up playing there for nobody.
-  const bool for_nobody = known == calls_.end() || playbacks_.at(known->second).server != id ||
+    return on_release(connection_id, message);
+  const auto known = playbacks_by_call_.find(message.call);
+  // Guards against a playback without a viewer: a server may accept a try that has ended.
+  const bool for_nobody = known == playbacks_by_call_.end() || playbacks_.at(known->second).server != id ||
                           playbacks_.at(known->second).state == Playback::State::waiting;
   if (for_nobody && message.kind == ServerMessage::Kind::accept)
-    return to_server(number, release_bytes(message.call, cause::ended));
+    return send_to_server(connection_id, release_bytes(message.call, cause::ended));
   if (for_nobody)
     return;
   auto& playback = playbacks_.at(known->second);
   if (message.kind == ServerMessage::Kind::note) {
-    Measurement note;
-    note.playback = known->second;
-    note.server = id;
+    Measurement measurement;
+    measurement.playback = known->second;
+    measurement.server = id;
     if (message.note == "kept_up")
-      note.kind = Measurement::Kind::share;
+      measurement.kind = Measurement::Kind::share;
     else if (message.note == "tier")
-      note.kind = Measurement::Kind::rung;
+      measurement.kind = Measurement::Kind::rung;
     else if (message.note == "wire")
-      note.kind = Measurement::Kind::link_fill;
+      measurement.kind = Measurement::Kind::link_fill;
     else if (message.note == "trunk")
-      note.kind = Measurement::Kind::uplink_fill;
+      measurement.kind = Measurement::Kind::uplink_fill;
     else
       return;
     if (!message.value)
       return;
-    note.value = *message.value;
-    return feed(note);
+    measurement.value = *message.value;
+    return process_event(measurement);
   }
   if (message.kind != ServerMessage::Kind::accept)
     return;
-  if (playback.state != Playback::State::trying || playback.link != number || !playback.sent)
+  if (playback.state != Playback::State::trying || playback.connection != connection_id || !playback.sent)
     return;
-  link.tries.erase(known->second);
+  connection.tries.erase(known->second);
   playback.state = Playback::State::playing;
-  playback.link = 0;
-  wheel_.cancel(playback.limit);
+  playback.connection = 0;
+  wheel_.cancel(playback.try_timer);
   servers_[id].playing.insert(known->second);
   std::string().swap(playback.description);
-  if (const auto viewer = viewers_.find(playback.viewer); viewer != viewers_.end()) {
-    viewer->second.open.erase(known->second);
-    ++viewer->second.standing;
-    last_viewer_ = playback.viewer;
-    to_viewer(playback.viewer, accept_line(message.call, *message.description));
+  if (const auto viewer = viewers_.find(playback.viewer_connection); viewer != viewers_.end()) {
+    viewer->second.unanswered.erase(known->second);
+    ++viewer->second.playing_count;
+    last_started_viewer_ = playback.viewer_connection;
+    send_to_viewer(playback.viewer_connection, accept_line(message.call, *message.description));
   }
-  feed(PlaybackStarted{known->second, id, now_ - playback.tried_at});
+  process_event(PlaybackStarted{known->second, id, now_ - playback.try_started_at});
 }
 
-void Platform::release_heard(ConnectionId number, ServerMessage& message) {
-  const auto id = links_.at(number).server;
-  to_server(number, released_bytes(message.call));
-  const auto known = calls_.find(message.call);
-  if (known == calls_.end()) {
-    released_.push_back({message.call, id, *message.cause, now_});
-    if (released_.size() > most_released)
-      released_.pop_front();
+void Platform::on_release(ConnectionId connection_id, ServerMessage& message) {
+  const auto id = server_connections_.at(connection_id).server;
+  send_to_server(connection_id, released_bytes(message.call));
+  const auto known = playbacks_by_call_.find(message.call);
+  if (known == playbacks_by_call_.end()) {
+    unmatched_releases_.push_back({message.call, id, *message.cause, now_});
+    if (unmatched_releases_.size() > max_unmatched_releases)
+      unmatched_releases_.pop_front();
     return;
   }
   auto& playback = playbacks_.at(known->second);
   if (playback.server != id)
     return;
   const auto load = message.load ? load_report(*message.load) : LoadReport{};
-  const int why = *message.cause;
-  if (playback.state == Playback::State::trying && playback.link == number && playback.sent) {
-    links_.at(number).tries.erase(known->second);
-    playback.link = 0;
-    return end_try(known->second, outcome_before_answer(why), load, false);
+  const int cause = *message.cause;
+  if (playback.state == Playback::State::trying && playback.connection == connection_id && playback.sent) {
+    server_connections_.at(connection_id).tries.erase(known->second);
+    playback.connection = 0;
+    return end_try(known->second, outcome_before_answer(cause), load, false);
   }
   if (playback.state != Playback::State::playing)
     return;
-  const auto outcome = outcome_after_answer(why);
-  stop_playing(known->second, outcome, load,
-               outcome == Outcome::cancelled ? std::nullopt : std::optional<int>(why));
+  const auto outcome = outcome_after_answer(cause);
+  end_playback(known->second, outcome, load,
+               outcome == Outcome::cancelled ? std::nullopt : std::optional<int>(cause));
 }
 
 // ---- playbacks ----
 
-Platform::Playback* Platform::find(PlaybackId id) {
+Platform::Playback* Platform::find_playback(PlaybackId id) {
   const auto found = playbacks_.find(id);
   return found == playbacks_.end() ? nullptr : &found->second;
 }
 
-PlaybackId Platform::admit(CallId call, ConnectionId viewer, const Request& request, std::string title) {
-  const auto id = next_playback_++;
+PlaybackId Platform::add_playback(CallId call, ConnectionId viewer, const Request& request,
+                                  std::string title) {
+  const auto id = next_playback_id_++;
   auto& playback = playbacks_[id];
   playback.call = call;
-  playback.viewer = viewer;
+  playback.viewer_connection = viewer;
   playback.plan = request.plan;
   playback.title = std::move(title);
-  calls_[call] = id;
+  playbacks_by_call_[call] = id;
   return id;
 }
 
-TitleId Platform::title(const std::string& name) {
-  auto [found, fresh] = titles_.try_emplace(name);
-  if (fresh && !free_titles_.empty()) {
-    found->second.id = free_titles_.back();
-    free_titles_.pop_back();
-  } else if (fresh) {
-    found->second.id = next_title_++;
+TitleId Platform::acquire_title(const std::string& name) {
+  auto [found, inserted] = titles_.try_emplace(name);
+  if (inserted && !free_title_ids_.empty()) {
+    found->second.id = free_title_ids_.back();
+    free_title_ids_.pop_back();
+  } else if (inserted) {
+    found->second.id = next_title_id_++;
   }
-  ++found->second.uses;
+  ++found->second.use_count;
   return found->second.id;
 }
 
-void Platform::forget(PlaybackId id) {
+void Platform::remove_playback(PlaybackId id) {
   const auto found = playbacks_.find(id);
   if (found == playbacks_.end())
     return;
   auto& playback = found->second;
-  if (const auto viewer = viewers_.find(playback.viewer); viewer != viewers_.end()) {
-    viewer->second.open.erase(id);
+  if (const auto viewer = viewers_.find(playback.viewer_connection); viewer != viewers_.end()) {
+    viewer->second.unanswered.erase(id);
     if (playback.state == Playback::State::playing)
-      --viewer->second.standing;
+      --viewer->second.playing_count;
   }
   if (playback.state == Playback::State::playing)
     servers_[playback.server].playing.erase(id);
-  if (const auto title = titles_.find(playback.title); title != titles_.end() && --title->second.uses == 0) {
-    free_titles_.push_back(title->second.id);
+  if (const auto title = titles_.find(playback.title);
+      title != titles_.end() && --title->second.use_count == 0) {
+    free_title_ids_.push_back(title->second.id);
     titles_.erase(title);
   }
-  calls_.erase(playback.call);
+  playbacks_by_call_.erase(playback.call);
   playbacks_.erase(found);
 }
 
 void Platform::start_try(const SetUp& command) {
-  auto* playback = find(command.playback);
-  // Guards against the module waiting for good for a try of a viewer who left while it was decided.
+  auto* playback = find_playback(command.playback);
+  // Guards against the decider waiting forever for a try whose viewer left while it was decided.
   if (!playback || playback->state != Playback::State::waiting)
-    return feed(TryEnded{command.playback, command.server, Outcome::not_sent, true, {}});
+    return process_event(TryEnded{command.playback, command.server, Outcome::not_sent, true, {}});
   playback->state = Playback::State::trying;
   playback->server = command.server;
   playback->sent = false;
-  playback->tried_at = now_;
-  playback->try_until = now_ + command.time_limit;
-  playback->link = link_for(command.server);
-  if (playback->link == 0 && servers_[command.server].place.port == 0)
+  playback->try_started_at = now_;
+  playback->try_deadline = now_ + command.time_limit;
+  playback->connection = connection_for(command.server);
+  if (playback->connection == 0 && servers_[command.server].endpoint.port == 0)
     return end_try(command.playback, Outcome::no_connection, {}, false);
-  // With no descriptor left it waits as for a dial: ended at once, it would be tried again at once.
-  const auto limit = playback->link ? command.time_limit : std::min(command.time_limit, terms_.dial_limit);
-  playback->limit = arm(limit, Ring::try_limit, command.playback);
-  if (playback->link == 0)
+  // Without a free descriptor the try waits as long as for a dial: if it ended at once, it would be retried
+  // at once.
+  const auto limit =
+      playback->connection ? command.time_limit : std::min(command.time_limit, config_.dial_timeout);
+  playback->try_timer = start_timer(limit, TimerKind::try_timeout, command.playback);
+  if (playback->connection == 0)
     return;
-  auto& link = links_.at(playback->link);
-  link.tries.insert(command.playback);
-  if (link.up)
-    send_when_settled(command.playback);
+  auto& connection = server_connections_.at(playback->connection);
+  connection.tries.insert(command.playback);
+  if (connection.established)
+    send_after_input_drained(command.playback);
 }
 
-void Platform::send_when_settled(PlaybackId id) {
-  settling_.push_back(id);
-  settle();
+void Platform::send_after_input_drained(PlaybackId id) {
+  tries_awaiting_drain_.push_back(id);
+  request_input_drain();
 }
 
 void Platform::send_try(Playback& playback) {
-  const auto wait = std::max<std::int64_t>(1, ms_of(playback.try_until - now_));
+  const auto wait = std::max<std::int64_t>(1, to_milliseconds(playback.try_deadline - now_));
   playback.sent = true;
-  to_server(playback.link, setup_bytes({playback.call, terms_.plans[playback.plan], playback.title,
-                                        playback.description, wait, playback.rung}));
+  send_to_server(playback.connection,
+                 setup_bytes({playback.call, config_.plans[playback.plan], playback.title,
+                              playback.description, wait, playback.rung}));
 }
 
-// A try ends before its answer. What may still run is given up by a release on its own connection.
-void Platform::end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool over) {
+// Ends a try that has no answer yet. If it was sent, a release on its connection cancels it at the server.
+void Platform::end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool playback_over) {
   auto& playback = playbacks_.at(id);
-  wheel_.cancel(playback.limit);
-  if (const auto link = links_.find(playback.link); link != links_.end()) {
-    link->second.tries.erase(id);
+  wheel_.cancel(playback.try_timer);
+  if (const auto connection = server_connections_.find(playback.connection);
+      connection != server_connections_.end()) {
+    connection->second.tries.erase(id);
     if (playback.sent)
-      to_server(playback.link, release_bytes(playback.call, cause::ended));
+      send_to_server(playback.connection, release_bytes(playback.call, cause::ended));
   }
-  playback.link = 0;
+  playback.connection = 0;
   playback.state = Playback::State::waiting;
   const auto server = playback.server;
-  if (over)
-    forget(id);
-  feed(TryEnded{id, server, outcome, over, load});
+  if (playback_over)
+    remove_playback(id);
+  process_event(TryEnded{id, server, outcome, playback_over, load});
 }
 
-// Guards against an end that nobody is told, as the connection that brought the playback has ended: any
-// open one serves, or the next that says something.
-void Platform::tell_end(const Playback& playback, int why) {
-  auto to = viewers_.find(playback.viewer);
+// Guards against losing the report of an end when the playback's connection is closed: it is sent on another
+// open connection or, if there is none, on the next one that sends a message.
+void Platform::notify_end(const Playback& playback, int cause) {
+  auto to = viewers_.find(playback.viewer_connection);
   if (to == viewers_.end())
-    to = viewers_.find(last_viewer_);
+    to = viewers_.find(last_started_viewer_);
   if (to == viewers_.end()) {
     for (auto one = viewers_.begin(); one != viewers_.end(); ++one) {
       const auto rank = [](const auto& it) {
-        return std::tuple(it->second.standing > 0, it->second.heard_at, it->first);
+        return std::tuple(it->second.playing_count > 0, it->second.last_heard_at, it->first);
       };
-      if (one->second.spoke && (to == viewers_.end() || rank(one) > rank(to)))
+      if (one->second.has_sent_message && (to == viewers_.end() || rank(one) > rank(to)))
         to = one;
     }
   }
-  auto line = end_line(playback.call, why);
+  auto line = end_line(playback.call, cause);
   if (to != viewers_.end())
-    return to_viewer(to->first, std::move(line));
-  if (untold_.size() < most_unsaid)
-    untold_.push_back(std::move(line));
+    return send_to_viewer(to->first, std::move(line));
+  if (undelivered_ends_.size() < max_queued_messages)
+    undelivered_ends_.push_back(std::move(line));
 }
 
-// A playback that plays is over; `tell`: the cause that its viewer is told, if one is owed.
-void Platform::stop_playing(PlaybackId id, Outcome outcome, const LoadReport& load, std::optional<int> tell) {
+// Ends a playing playback. `viewer_cause`: the cause to report to the viewer, if a report is owed.
+void Platform::end_playback(PlaybackId id, Outcome outcome, const LoadReport& load,
+                            std::optional<int> viewer_cause) {
   auto& playback = playbacks_.at(id);
-  if (tell)
-    tell_end(playback, *tell);
+  if (viewer_cause)
+    notify_end(playback, *viewer_cause);
   const auto server = playback.server;
-  forget(id);
-  feed(TryEnded{id, server, outcome, true, load});
+  remove_playback(id);
+  process_event(TryEnded{id, server, outcome, true, load});
 }
 
-void Platform::feed(Event event) {
-  events_.push_back(std::move(event));
-  if (std::exchange(deciding_, true))
+void Platform::process_event(Event event) {
+  event_queue_.push_back(std::move(event));
+  if (std::exchange(processing_events_, true))
     return;
-  while (!events_.empty()) {
-    const auto next = std::move(events_.front());
-    events_.pop_front();
+  while (!event_queue_.empty()) {
+    const auto next = std::move(event_queue_.front());
+    event_queue_.pop_front();
     for (const auto& command : decider_->decide(now_, next))
-      carry_out(command);
+      execute(command);
   }
-  deciding_ = false;
+  processing_events_ = false;
 }
 
-void Platform::carry_out(const Command& command) {
-  const auto final_answer = [&](PlaybackId id, int why, Duration come_back) {
-    auto* playback = find(id);
+void Platform::execute(const Command& command) {
+  const auto final_answer = [&](PlaybackId id, int cause, Duration retry_after) {
+    auto* playback = find_playback(id);
     if (!playback || playback->state != Playback::State::waiting)
       return;
-    const auto viewer = playback->viewer;
+    const auto viewer = playback->viewer_connection;
     const auto call = playback->call;
-    forget(id);
-    to_viewer(viewer, end_line(call, why, ms_of(come_back)));
+    remove_playback(id);
+    send_to_viewer(viewer, end_line(call, cause, to_milliseconds(retry_after)));
   };
   std::visit(Overloaded{
                  [&](const SetUp& o) { start_try(o); },
-                 [&](const SetRung& o) {
-                   auto* playback = find(o.playback);
+                 [&](const SetRung& set_rung) {
+                   auto* playback = find_playback(set_rung.playback);
                    if (!playback)
                      return;
-                   playback->rung = o.rung;
+                   playback->rung = set_rung.rung;
                    if (playback->state != Playback::State::playing)
                      return;
-                   const auto link = servers_[playback->server].link;
-                   playback->rung_unsaid = link == 0;
-                   if (link)
-                     to_server(link, rung_bytes(playback->call, o.rung));
+                   const auto connection = servers_[playback->server].connection;
+                   playback->rung_unsent = connection == 0;
+                   if (connection)
+                     send_to_server(connection, rung_bytes(playback->call, set_rung.rung));
                  },
                  [&](const Reject& o) { final_answer(o.playback, cause::rejected, o.retry_after); },
                  [&](const Abort& o) { final_answer(o.playback, cause::reset, Duration(0)); },
-                 [&](const Probe& o) {
-                   const auto number = link_for(o.server);
-                   if (number == 0)
-                     return feed(ProbeEnded{o.server, false, {}, servers_[o.server].place.port == 0});
-                   const auto test = next_test_++;
-                   auto& link = links_.at(number);
-                   link.tests.insert(test);
-                   arm(terms_.dial_limit, Ring::probe, test & ((std::uint64_t{1} << ring_shift) - 1));
-                   if (link.up)
-                     to_server(number, test_bytes(test));
+                 [&](const Probe& probe) {
+                   const auto connection_id = connection_for(probe.server);
+                   if (connection_id == 0)
+                     return process_event(
+                         ProbeEnded{probe.server, false, {}, servers_[probe.server].endpoint.port == 0});
+                   const auto probe_call = next_probe_call_++;
+                   auto& connection = server_connections_.at(connection_id);
+                   connection.probes.insert(probe_call);
+                   start_timer(config_.dial_timeout, TimerKind::probe_timeout,
+                               probe_call & ((std::uint64_t{1} << timer_kind_shift) - 1));
+                   if (connection.established)
+                     send_to_server(connection_id, test_bytes(probe_call));
                  },
-                 [&](const SetTimer& o) { arm(o.delay, Ring::module, o.token); },
-                 [&](const SubscribeServerList&) {},  // the channel is followed in any case
+                 [&](const SetTimer& o) { start_timer(o.delay, TimerKind::decider, o.token); },
+                 [&](const SubscribeServerList&) {},  // the command channel is always followed
              },
              command);
 }
 
-// ---- the list ----
+// ---- server list and command channel ----
 
-void Platform::take_lists(const std::vector<ServerListUpdate>& lists, bool at_start) {
-  for (const auto& update : lists) {
+void Platform::apply_server_lists(const std::vector<ServerListUpdate>& updates, bool at_start) {
+  for (const auto& update : updates) {
     ServerList list;
     list.kind = !update.snapshot ? ServerList::Kind::changes
                 : at_start       ? ServerList::Kind::cached
@@ -1149,86 +1181,88 @@
       for (auto& server : servers_)
         server.state = ServerState::gone;
     }
-    std::vector<ConnectionId> stale;
-    for (const auto& told : update.servers) {
-      const auto id = server_named(told.name);
+    std::vector<ConnectionId> stale_dials;
+    for (const auto& listed : update.servers) {
+      const auto id = server_id(listed.name);
       auto& server = servers_[id];
-      const bool anew = told.started_ms > server.started_ms && server.started_ms != 0;
-      const bool moved = told.endpoint.port != 0 && server.place.port != 0 && told.endpoint != server.place;
-      server.state = told.state;
-      if (told.endpoint.port != 0)
-        server.place = told.endpoint;
-      if (told.started_ms != 0)
-        server.started_ms = told.started_ms;
-      if ((anew || moved) && server.link)
-        retire(server.link);  // to a process that is no more
-      if ((anew || moved) && server.dialled)
-        stale.push_back(server.dialled);
+      const bool restarted = listed.started_ms > server.started_ms && server.started_ms != 0;
+      const bool moved =
+          listed.endpoint.port != 0 && server.endpoint.port != 0 && listed.endpoint != server.endpoint;
+      server.state = listed.state;
+      if (listed.endpoint.port != 0)
+        server.endpoint = listed.endpoint;
+      if (listed.started_ms != 0)
+        server.started_ms = listed.started_ms;
+      if ((restarted || moved) && server.connection)
+        retire(server.connection);  // its process has ended
+      if ((restarted || moved) && server.pending_dial)
+        stale_dials.push_back(server.pending_dial);
       ServerEntry entry;
       entry.server = id;
-      entry.state = told.state;
-      entry.kind = place_in(terms_.kinds, told.kind);
-      entry.cell = told.cell;
-      entry.hall = place_in(terms_.halls, told.hall);
-      entry.weight = told.weight;
-      if (told.started_ms != 0)
-        entry.started = Duration(told.started_ms * 1000) - terms_.wall_at_zero;
+      entry.state = listed.state;
+      entry.kind = index_in(config_.kinds, listed.kind);
+      entry.cell = listed.cell;
+      entry.hall = index_in(config_.halls, listed.hall);
+      entry.weight = listed.weight;
+      if (listed.started_ms != 0)
+        entry.started = Duration(listed.started_ms * 1000) - config_.wall_clock_offset;
       list.entries.push_back(entry);
-      if (anew)
-        cut_all(id, "started anew");
+      if (restarted)
+        end_all_playbacks(id, "server restarted");
     }
-    feed(list);
-    // Guards against a dial under way to the old address coming up as if it were the new process.
-    for (const auto link : stale) {
-      drop_server_link(link, Outcome::not_sent, Outcome::not_sent);
-      actions_->push_back(Close{link, false});
+    process_event(list);
+    // Guards against a pending dial to the old address being taken for a connection to the new process.
+    for (const auto connection : stale_dials) {
+      drop_server_connection(connection, Outcome::not_sent, Outcome::not_sent);
+      actions_->push_back(Close{connection, false});
     }
   }
-  take_back_unsent();
+  cancel_unsent_tries();
 }
 
-// Guards against a try that waited for its connection, or for what came before it to be read, reaching a
-// server that was said meanwhile to drain or be gone, or the process that was there before.
-void Platform::take_back_unsent() {
+// Guards against sending a try that waited for its connection or for pending input to a server that meanwhile
+// drains or is gone, or to its previous process.
+void Platform::cancel_unsent_tries() {
   std::vector<PlaybackId> unsent;
-  for (const auto& [number, link] : links_) {
-    if (servers_[link.server].state == ServerState::ready && !link.retired_at)
+  for (const auto& [connection_id, connection] : server_connections_) {
+    if (servers_[connection.server].state == ServerState::ready && !connection.retired_at)
       continue;
-    for (const auto id : link.tries) {
+    for (const auto id : connection.tries) {
       if (!playbacks_.at(id).sent)
         unsent.push_back(id);
     }
   }
   std::sort(unsent.begin(), unsent.end());
   for (const auto id : unsent) {
-    const auto* playback = find(id);
+    const auto* playback = find_playback(id);
     if (playback && playback->state == Playback::State::trying && !playback->sent)
       end_try(id, Outcome::not_sent, {}, false);
   }
 }
 
-// Guards against viewers being led to a process that can serve none of them.
-bool Platform::ready() const {
-  return !stop_asked_ && std::any_of(servers_.begin(), servers_.end(),
-                                     [](const auto& server) { return server.state == ServerState::ready; });
+// The readiness of this process. Guards against routing viewers to a process that can't serve them.
+bool Platform::is_ready() const {
+  return !shutdown_requested_at_ && std::any_of(servers_.begin(), servers_.end(), [](const auto& server) {
+    return server.state == ServerState::ready;
+  });
 }
 
-void Platform::tend_channel() {
+void Platform::poll_channel() {
   for (int turn = 0; turn < 3; ++turn) {
     const auto step = channel_.poll(now_);
     if (step == Channel::Step::none) {
-      wheel_.cancel(channel_look_);
-      return void(channel_look_ = arm(channel_.next_poll_at() - now_, Ring::channel));
+      wheel_.cancel(channel_poll_timer_);
+      return void(channel_poll_timer_ = start_timer(channel_.next_poll_at() - now_, TimerKind::channel_poll));
     }
     if (step == Channel::Step::close) {
-      say("channel_given_up", {{"cause", channel_.close_cause()}});
-      actions_->push_back(Close{channel_link_, false});
-      channel_link_ = 0;
+      log("channel_given_up", {{"cause", channel_.close_cause()}});
+      actions_->push_back(Close{channel_connection_, false});
+      channel_connection_ = 0;
       channel_.disconnected(now_);
       continue;
     }
-    channel_link_ = next_link_++;
-    actions_->push_back(Dial{channel_link_, channel_.endpoint()->address, channel_.endpoint()->port});
+    channel_connection_ = next_connection_id_++;
+    actions_->push_back(Dial{channel_connection_, channel_.endpoint()->address, channel_.endpoint()->port});
     channel_.dial_started(now_);
   }
 }
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -1,7 +1,7 @@
-// A session manager on the operators' platform: viewers' set-ups and servers' answers in, orders to
-// sockets out. What happened is told to the module and what the module decides is done; this core adds
-// what only sockets bring: whose message it is, how a try ended, whether a server still gives a sign.
-// Free of I/O and clock.
+// The core of a session manager on the operators' platform. It turns socket events into events for the
+// decider (the placement policy) and executes the decider's commands as socket actions. It owns what depends
+// on connections: which playback a message belongs to, how a try ended, the liveness of servers, limits on
+// descriptors, and the graceful shutdown. Free of I/O and clock: the runtime passes in events and the time.
 #pragma once
 
 #include <deque>
@@ -23,199 +23,224 @@
 
 namespace violettide::platform {
 
-// What it holds now, for tests and logs.
-struct Held {
-  std::size_t viewer_links = 0, server_links = 0, playbacks = 0, titles = 0, timers = 0;
+// The number of objects that are held now, for tests.
+struct ResourceCounts {
+  std::size_t viewer_connections = 0, server_connections = 0, playbacks = 0, titles = 0, timers = 0;
 };
 
+// One session manager. Its names on the wire, in settings and in logs are fixed by the platform.
 class Platform : public Core {
  public:
-  // `decider`: the module, if none is given.
-  Platform(StartTerms terms, std::unique_ptr<Decider> decider);
+  // Without a `decider`, the placement policy with the settings of `config` decides.
+  Platform(PlatformConfig config, std::unique_ptr<Decider> decider);
   ~Platform() override;
-  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
-  Held held() const;
+  // Processes one event at time `now` and appends the resulting actions. The first call also applies the
+  // server list of the configuration.
+  void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) override;
+  ResourceCounts resource_counts() const;
 
  private:
-  struct ViewerLink {
+  // A connection that a viewer opened; it may carry several playbacks.
+  struct ViewerConnection {
     ViewerReader reader;
-    Duration since{0};
-    Duration heard_at{0};
-    bool spoke = false;         // a message that could be read
-    std::set<PlaybackId> open;  // set-ups without an answer
-    std::size_t standing = 0;
-    std::size_t unsent = 0;
-    std::optional<Duration> parts_at;  // chosen to end then, unless it says something whole
+    Duration accepted_at{0};
+    Duration last_heard_at{0};
+    bool has_sent_message = false;          // at least one valid message
+    std::set<PlaybackId> unanswered;        // set-ups without an answer
+    std::size_t playing_count = 0;          // playbacks whose end is reported on this connection
+    std::size_t unsent_bytes = 0;           // passed to the runtime since its last Flushed
+    std::optional<Duration> closing_since;  // when the close was scheduled; a valid message cancels it
   };
-  struct ServerLink {
+  // A connection to a video server, or the dial of one.
+  struct ServerConnection {
     ServerId server = 0;
     ServerReader reader;
-    bool up = false;
-    Duration heard_at{0};
-    std::optional<Duration> retired_at;  // takes no new set-ups
-    std::set<PlaybackId> tries;          // sent, or to be sent once it is up
-    std::set<CallId> tests;
-    Duration used_at{0};  // bytes last went either way
+    bool established = false;
+    Duration last_heard_at{0};
+    std::optional<Duration> retired_at;  // carries no new set-ups from then on
+    std::set<PlaybackId> tries;          // sent, or waiting for the connection
+    std::set<CallId> probes;
+    Duration last_used_at{0};  // the last bytes in either direction
   };
+  // A video server of the list, or one that a viewer named for a playback that already plays.
   struct VideoServer {
     std::string name;
-    Endpoint place;
+    Endpoint endpoint;
     ServerState state = ServerState::gone;
     std::int64_t started_ms = 0;
-    ConnectionId link = 0;  // the one that takes new set-ups; 0: none
-    ConnectionId dialled = 0;
+    ConnectionId connection = 0;    // the one for new set-ups; 0: none
+    ConnectionId pending_dial = 0;  // 0: none
     std::set<PlaybackId> playing;
-    std::vector<std::string> unsaid;  // releases for the next connection
-    Duration heard_at{0};
-    Duration next_dial{0};
-    int refused = 0;  // in a row
-    Duration first_refused{0};
+    std::vector<std::string> queued_releases;  // to be sent on the next connection
+    Duration last_heard_at{0};
+    Duration next_dial_at{0};
+    int consecutive_refusals = 0;  // of dials, since the server was last heard
+    Duration first_refused_at{0};
   };
+  // A requested or playing playback. `connection`, `sent` and the try members belong to the current try.
   struct Playback {
     enum class State { waiting, trying, playing };
     CallId call = 0;
     State state = State::waiting;
-    ConnectionId viewer = 0;
+    ConnectionId viewer_connection = 0;  // 0: closed
     int plan = 0;
-    std::string title, description;
+    std::string title;
+    std::string description;
     ServerId server = 0;
-    ConnectionId link = 0;
+    ConnectionId connection = 0;
     bool sent = false;
-    Duration tried_at{0};
-    Duration try_until{0};
+    Duration try_started_at{0};
+    Duration try_deadline{0};
     int rung = 0;
-    bool rung_unsaid = false;
-    TimerWheel<std::uint64_t>::Handle limit;
+    bool rung_unsent = false;  // waits for the next connection to the server
+    TimerWheel<std::uint64_t>::Handle try_timer;
   };
-  struct Released {
+  // A release of a call that is unknown here: the playback may be handed over to this manager later.
+  struct UnmatchedRelease {
     CallId call = 0;
     ServerId server = 0;
-    int why = 0;
-    Duration at{0};
+    int cause = 0;
+    Duration received_at{0};
   };
-  enum class Ring { module, try_limit, dial, probe, sweep, part, channel, stop };
-  struct Bell {
-    Ring ring = Ring::module;
-    std::uint64_t of = 0;
+  enum class TimerKind {
+    decider,
+    try_timeout,
+    dial_timeout,
+    probe_timeout,
+    sweep,
+    close_scheduled_viewers,
+    channel_poll,
+    shutdown_deadline
   };
+  // `payload` is the token of the decider, the playback, the connection or the probe, depending on `kind`.
+  struct ExpiredTimer {
+    TimerKind kind = TimerKind::decider;
+    std::uint64_t payload = 0;
+  };
+  // The number that the decider knows a title by; reused once no playback has the title.
   struct Title {
     TitleId id = 0;
-    int uses = 0;
+    int use_count = 0;
   };
 
-  void on(const Accepted& what);
-  void on(const Connected& what);
-  void on(const Received& what);
-  void on(const HalfClosed& what);
-  void on(const Disconnected& what);
-  void on(const Flushed& what);
+  void on(const Accepted& event);
+  void on(const Connected& event);
+  void on(const Received& event);
+  void on(const HalfClosed& event);
+  void on(const Disconnected& event);
+  void on(const Flushed& event);
   void on(const Persisted&) {}
   void on(const TimerFired&);
   void on(const ShutdownRequested&);
-  void on(const ConfigReloaded& what);
+  void on(const ConfigReloaded& event);
   void on(const InputDrained&);
-  void ring(const Bell& bell);
+  void on_timer(const ExpiredTimer& timer);
   void sweep();
 
   // ---- viewers ----
-  void viewer_says(ConnectionId link, ViewerLink& viewer, ViewerMessage& message);
-  void take_offer(ConnectionId link, ViewerLink& viewer, ViewerMessage& message);
-  std::optional<std::string> read_offer(const ViewerMessage& message, Request& request,
-                                        std::string& at) const;
-  void turn_off(ConnectionId link, std::optional<CallId> call, const std::string& cause);
-  void take_end(ConnectionId link, CallId call);
-  void withdraw(PlaybackId id);
-  void viewer_gone(ConnectionId link);
-  void make_place();
-  void choose_to_part(ConnectionId link, ViewerLink& viewer);
-  void part();
-  void to_viewer(ConnectionId link, std::string line);
+  void on_viewer_message(ConnectionId connection, ViewerConnection& viewer, ViewerMessage& message);
+  void handle_offer(ConnectionId connection, ViewerConnection& viewer, ViewerMessage& message);
+  std::optional<std::string> parse_offer(const ViewerMessage& message, Request& request,
+                                         std::string& current_server) const;
+  void refuse_message(ConnectionId connection, std::optional<CallId> call, const std::string& cause);
+  void handle_end(ConnectionId connection, CallId call);
+  void cancel_request(PlaybackId id);
+  void remove_viewer(ConnectionId connection);
+  void evict_idle_viewers();
+  void schedule_close(ConnectionId connection, ViewerConnection& viewer);
+  void close_scheduled_viewers();
+  void send_to_viewer(ConnectionId connection, std::string line);
 
   // ---- servers ----
-  ServerId server_named(const std::string& name);
+  ServerId server_id(const std::string& name);
   ConnectionId dial(ServerId id, bool for_try);
-  ConnectionId link_for(ServerId id);
-  void server_says(ConnectionId link, ServerMessage& message);
-  void release_heard(ConnectionId link, ServerMessage& message);
-  void drop_server_link(ConnectionId link, Outcome of_sent, Outcome of_unsent = Outcome::no_connection);
-  void end_server_link(ConnectionId link);
-  void retire(ConnectionId link);
-  bool connected_to(ServerId id) const;
-  bool make_place_for_dial(bool for_try);
-  void not_asked(ServerId id);
-  void send_when_settled(PlaybackId id);
+  ConnectionId connection_for(ServerId id);
+  void on_server_message(ConnectionId connection, ServerMessage& message);
+  void on_release(ConnectionId connection, ServerMessage& message);
+  void drop_server_connection(ConnectionId connection, Outcome outcome_if_sent,
+                              Outcome outcome_if_unsent = Outcome::no_connection);
+  void close_server_connection(ConnectionId connection);
+  void retire(ConnectionId connection);
+  bool has_connection_to(ServerId id) const;
+  bool reserve_server_connection(bool for_try);
+  void record_local_dial_failure(ServerId id);
+  void send_after_input_drained(PlaybackId id);
   void send_try(Playback& playback);
-  void to_server(ConnectionId link, std::string bytes);
-  void say_to(ServerId id, std::string bytes);
-  void care_for(ServerId id);
-  void cut_all(ServerId id, const char* cause);
-  void answered_sign(ServerLink& link);
+  void send_to_server(ConnectionId connection, std::string bytes);
+  void send_or_queue_release(ServerId id, std::string bytes);
+  void check_server_liveness(ServerId id);
+  void end_all_playbacks(ServerId id, const char* cause);
+  void record_server_activity(ServerConnection& connection);
 
   // ---- playbacks ----
-  Playback* find(PlaybackId id);
-  PlaybackId admit(CallId call, ConnectionId viewer, const Request& request, std::string title);
-  TitleId title(const std::string& name);
+  Playback* find_playback(PlaybackId id);
+  PlaybackId add_playback(CallId call, ConnectionId viewer, const Request& request, std::string title);
+  TitleId acquire_title(const std::string& name);
   void start_try(const SetUp& command);
-  void end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool over);
-  void stop_playing(PlaybackId id, Outcome outcome, const LoadReport& load, std::optional<int> tell);
-  void tell_end(const Playback& playback, int why);
-  void forget(PlaybackId id);
-  void feed(Event event);
-  void carry_out(const Command& command);
+  void end_try(PlaybackId id, Outcome outcome, const LoadReport& load, bool playback_over);
+  void end_playback(PlaybackId id, Outcome outcome, const LoadReport& load, std::optional<int> viewer_cause);
+  void notify_end(const Playback& playback, int cause);
+  void remove_playback(PlaybackId id);
+  void process_event(Event event);
+  void execute(const Command& command);
 
-  // ---- the list ----
-  void take_lists(const std::vector<ServerListUpdate>& lists, bool at_start);
-  void take_back_unsent();
-  bool ready() const;
-  void tend_channel();
+  // ---- server list and command channel ----
+  void apply_server_lists(const std::vector<ServerListUpdate>& updates, bool at_start);
+  void cancel_unsent_tries();
+  bool is_ready() const;
+  void poll_channel();
 
-  TimerWheel<std::uint64_t>::Handle arm(Duration in, Ring ring, std::uint64_t of = 0);
-  void say(std::string event, std::vector<LogField> fields) {
+  TimerWheel<std::uint64_t>::Handle start_timer(Duration delay, TimerKind kind, std::uint64_t payload = 0);
+  void log(std::string event, std::vector<LogField> fields) {
     actions_->push_back(LogLine{std::move(event), std::move(fields)});
   }
-  std::size_t most_viewers() const;
-  std::size_t most_server_links() const;
-  void settle();
-  void leave();
+  std::size_t max_viewer_connections() const;
+  std::size_t max_server_connections() const;
+  void request_input_drain();
+  void shut_down();
 
-  StartTerms terms_;
+  PlatformConfig config_;
   std::unique_ptr<Decider> decider_;
   std::vector<Action>* actions_ = nullptr;
   Duration now_{0};
-  bool begun_ = false;
-  std::optional<Duration> stop_asked_;
-  enum class Leaving { no, when_empty, at_once } leaving_ = Leaving::no;  // once settled
-  bool accepted_ = false;  // somebody, since it was looked at last
-  int leave_turns_ = 0;
-  bool settle_asked_ = false;
-  bool still_ = false;                // stood still, and what came meanwhile is not read yet
-  std::vector<PlaybackId> settling_;  // whose tries go out then
+  bool started_ = false;
+  std::optional<Duration> shutdown_requested_at_;
+  enum class ShutdownPhase {
+    none,
+    when_idle,
+    immediate
+  } shutdown_phase_ = ShutdownPhase::none;  // takes effect at the next InputDrained
+  bool accepted_since_drain_ = false;       // a viewer, since shut_down() last checked
+  int shutdown_drains_ = 0;                 // repeated for newly accepted viewers
+  bool input_drain_requested_ = false;
+  bool timers_deferred_ = false;                  // after a stall, until pending input is read
+  std::vector<PlaybackId> tries_awaiting_drain_;  // sent at InputDrained
   TimerWheel<std::uint64_t> wheel_;
-  Duration woken_for_{-1};
-  std::deque<Event> events_;
-  bool deciding_ = false;
+  Duration next_wakeup_{-1};  // of the runtime; negative: none requested
+  std::deque<Event> event_queue_;
+  bool processing_events_ = false;
 
-  std::unordered_map<ConnectionId, ViewerLink> viewers_;
-  std::vector<ConnectionId> parting_;
-  ConnectionId last_viewer_ = 0;     // whose set-up played last
-  std::vector<std::string> untold_;  // ends for the next viewer who says something
-  std::unordered_map<ConnectionId, ServerLink> links_;
-  ConnectionId next_link_ = 1;
+  std::unordered_map<ConnectionId, ViewerConnection> viewers_;
+  std::vector<ConnectionId> closing_viewers_;
+  ConnectionId last_started_viewer_ = 0;       // of the last playback that started; 0: none
+  std::vector<std::string> undelivered_ends_;  // sent to the next viewer that sends a message
+  std::unordered_map<ConnectionId, ServerConnection> server_connections_;
+  ConnectionId next_connection_id_ = 1;
   std::deque<VideoServer> servers_;
-  std::map<std::string, ServerId> server_names_;
+  std::map<std::string, ServerId> server_ids_;
   std::unordered_map<PlaybackId, Playback> playbacks_;
-  std::unordered_map<CallId, PlaybackId> calls_;
-  PlaybackId next_playback_ = 0;
+  std::unordered_map<CallId, PlaybackId> playbacks_by_call_;
+  PlaybackId next_playback_id_ = 0;
   std::map<std::string, Title> titles_;
-  std::vector<TitleId> free_titles_;
-  TitleId next_title_ = 0;
-  CallId next_test_ = 0;
-  std::deque<Released> released_;  // of late, of what nobody knows here
+  std::vector<TitleId> free_title_ids_;
+  TitleId next_title_id_ = 0;
+  CallId next_probe_call_ = 0;
+  std::deque<UnmatchedRelease> unmatched_releases_;  // oldest first
   Channel channel_;
-  ConnectionId channel_link_ = 0;
-  TimerWheel<std::uint64_t>::Handle channel_look_;
-  std::size_t turned_off_ = 0;  // since it was said last
-  Duration turned_off_said_{-1};
+  ConnectionId channel_connection_ = 0;
+  TimerWheel<std::uint64_t>::Handle channel_poll_timer_;
+  std::size_t unlogged_refusals_ = 0;  // since the last log line
+  Duration refusals_logged_at_{-1};    // negative: never
 };
 
 }  // namespace violettide::platform
--- a/src/platform/start.cpp
+++ b/src/platform/start.cpp
@@ -11,17 +11,19 @@
 
 using Json = nlohmann::json;
 
-std::string plain(const Json& value) {
+// Formats a scalar; null is "-".
+std::string to_text(const Json& value) {
   if (value.is_string())
     return value.get<std::string>();
   return value.is_null() ? "-" : value.dump();
 }
 
-// Nested JSON as the pairs that the simulator's wire would bring.
+// Flattens nested JSON into the pairs that the simulator sends, which site_terms() reads: "a.b" for members,
+// "a.0" and "a.count" for arrays of objects, comma-separated text for other arrays.
 void flatten(const std::string& path, const Json& value, Pairs& pairs) {
   if (value.is_object()) {
-    for (const auto& [name, inner] : value.items())
-      flatten(path.empty() ? name : path + "." + name, inner, pairs);
+    for (const auto& [name, member] : value.items())
+      flatten(path.empty() ? name : path + "." + name, member, pairs);
   } else if (value.is_array()) {
     std::string joined;
     bool objects = false;
@@ -33,85 +35,86 @@
         continue;
       if (i > 0)
         joined += ',';
-      joined += plain(value[i]);
+      joined += to_text(value[i]);
     }
     objects ? pairs.put(path + ".count", std::to_string(value.size())) : pairs.put(path, joined);
   } else {
-    pairs.put(path, plain(value));
+    pairs.put(path, to_text(value));
   }
 }
 
-std::string text_of(const Json& json, const char* name) {
+// Returns an empty text if the member is missing or no string.
+std::string text_member(const Json& json, const char* name) {
   const auto found = json.find(name);
   return found != json.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
 }  // namespace
 
-std::variant<StartTerms, StartFault> read_start(std::string_view text) {
+std::variant<PlatformConfig, ConfigError> parse_platform_config(std::string_view text) {
   const auto json = Json::parse(text.begin(), text.end(), nullptr, false);
   if (!json.is_object())
-    return StartFault{"expected a JSON object"};
-  StartTerms terms;
-  terms.name = text_of(json, "name");
-  const auto listen = parse_endpoint(text_of(json, "listen"));
+    return ConfigError{"expected a JSON object"};
+  PlatformConfig config;
+  config.name = text_member(json, "name");
+  const auto listen = parse_endpoint(text_member(json, "listen"));
   if (!listen)
-    return StartFault{"listen: expected address:port"};
-  terms.listen = *listen;
-  const auto seed = text_of(json, "seed");
-  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), terms.seed, 16);
+    return ConfigError{"listen: expected address:port"};
+  config.listen = *listen;
+  const auto seed = text_member(json, "seed");
+  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc{} || end != seed.data() + seed.size())
-    return StartFault{"seed: expected hex digits"};
+    return ConfigError{"seed: expected hex digits"};
   if (const auto limits = json.find("limits"); limits != json.end()) {
     if (!limits->is_object())
-      return StartFault{"limits: expected an object"};
-    if (const auto sockets = limits->find("sockets"); sockets != limits->end()) {
-      const double most = sockets->is_number() ? sockets->get<double>() : 0;
-      if (!(most > 0 && most < 1e9))
-        return StartFault{"limits.sockets: expected a number above 0"};
-      terms.sockets = static_cast<std::size_t>(std::max(64.0, most));
+      return ConfigError{"limits: expected an object"};
+    if (const auto sockets_member = limits->find("sockets"); sockets_member != limits->end()) {
+      const double max_sockets = sockets_member->is_number() ? sockets_member->get<double>() : 0;
+      if (!(max_sockets > 0 && max_sockets < 1e9))
+        return ConfigError{"limits.sockets: expected a number above 0"};
+      config.max_sockets = static_cast<std::size_t>(std::max(64.0, max_sockets));
     }
   }
-  terms.channel = parse_endpoint(text_of(json, "channel"));
-  if (!terms.channel)
-    return StartFault{"channel: expected address:port"};
-  if (const auto known = json.find("known"); known != json.end())
-    terms.known = known->dump();
+  config.channel = parse_endpoint(text_member(json, "channel"));
+  if (!config.channel)
+    return ConfigError{"channel: expected address:port"};
+  if (const auto events = json.find("known"); events != json.end())
+    config.known_events = events->dump();
   const auto settings = json.find("settings");
   if (settings == json.end() || !settings->is_object())
-    return StartFault{"settings: expected an object"};
+    return ConfigError{"settings: expected an object"};
   Pairs pairs;
   flatten("", *settings, pairs);
   try {
-    terms.site = site_terms(pairs);
-    for (std::size_t i = 0; i < terms.site.plans.size(); ++i) {
+    config.policy = site_terms(pairs);
+    for (std::size_t i = 0; i < config.policy.plans.size(); ++i) {
       const auto path = "Classes." + std::to_string(i) + ".";
-      terms.plans.push_back(pairs.text(path + "Name"));
-      terms.abandon.push_back(Duration(pairs.integer(path + "GiveUp", 0)));
-      if (terms.plans.back().empty())
+      config.plans.push_back(pairs.text(path + "Name"));
+      config.abandon_times.push_back(Duration(pairs.integer(path + "GiveUp", 0)));
+      if (config.plans.back().empty())
         throw SettingFault(path + "Name: expected a name");
-      if (terms.site.plans[i].startup_target <= Duration(0))
+      if (config.policy.plans[i].startup_target <= Duration(0))
         throw SettingFault(path + "Aim: expected a time above 0");
-      if (terms.abandon.back() <= Duration(0))
+      if (config.abandon_times.back() <= Duration(0))
         throw SettingFault(path + "GiveUp: expected a time above 0");
     }
-    if (terms.plans.empty())
+    if (config.plans.empty())
       throw SettingFault("Classes: expected one plan at least");
-    if (terms.site.rung_kb.empty())
+    if (config.policy.rung_kb.empty())
       throw SettingFault("FamilyInfo.RatesKb: expected a ladder");
-    terms.halls = pairs.texts("Zones");
-    terms.kinds = pairs.texts("Models");
-    const auto dial = pairs.integer("Limits.DialTimeout", 0);
-    if (dial > 0)
-      terms.dial_limit = Duration(dial);
-    terms.idle_limit = Duration(std::max<std::int64_t>(0, pairs.integer("Limits.ConnIdle", 0)));
+    config.halls = pairs.texts("Zones");
+    config.kinds = pairs.texts("Models");
+    const auto dial_us = pairs.integer("Limits.DialTimeout", 0);
+    if (dial_us > 0)
+      config.dial_timeout = Duration(dial_us);
+    config.idle_timeout = Duration(std::max<std::int64_t>(0, pairs.integer("Limits.ConnIdle", 0)));
     const auto tries = pairs.integer("Limits.StreamsPerConn", 0);
     if (tries > 0)
-      terms.tries_per_link = static_cast<std::size_t>(tries);
-  } catch (const SettingFault& fault) {
-    return StartFault{std::string("settings: ") + fault.what()};
+      config.max_tries_per_connection = static_cast<std::size_t>(tries);
+  } catch (const SettingFault& setting_error) {
+    return ConfigError{std::string("settings: ") + setting_error.what()};
   }
-  return terms;
+  return config;
 }
 
 }  // namespace violettide::platform
--- a/src/platform/start.h
+++ b/src/platform/start.h
@@ -1,4 +1,5 @@
-// What the platform's configuration tells a session manager, read and checked as a whole.
+// The configuration that the operators' platform gives a session manager, at the start and at a reload. It is
+// parsed and checked as a whole: a configuration with an error changes nothing.
 #pragma once
 
 #include <string>
@@ -11,25 +12,28 @@
 
 namespace violettide::platform {
 
-struct StartTerms {
-  std::string name;
-  Endpoint listen;
-  std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::optional<Endpoint> channel;
-  std::string known;  // events of the command channel up to now, JSON
-  PolicySettings site;
-  std::vector<std::string> plans;  // names, in the order of site.plans
-  std::vector<Duration> abandon;   // a plan's viewers wait so long at most
-  std::vector<std::string> halls, kinds;
-  Duration dial_limit{250'000};
-  Duration idle_limit{0};  // servers close connections unused for so long; 0: never
-  std::size_t tries_per_link = 1'000'000;
-  Duration wall_at_zero{0};  // the machine's clock at the core's time 0
+// A valid configuration: at least one plan and a bitrate ladder.
+struct PlatformConfig {
+  std::string name;                 // of the manager, for logs
+  Endpoint listen;                  // for viewers
+  std::uint64_t seed = 0;           // of the random choices of the policy and of redials
+  std::size_t max_sockets = 1024;   // the limit on file descriptors; 64 at least
+  std::optional<Endpoint> channel;  // the command channel
+  std::string known_events;         // JSON: the events of the command channel so far
+  PolicySettings policy;
+  std::vector<std::string> plans;         // names, in the order of policy.plans
+  std::vector<Duration> abandon_times;    // after which a plan's viewers give up; in the same order
+  std::vector<std::string> halls, kinds;  // names; the policy uses their indices
+  Duration dial_timeout{250'000};
+  Duration idle_timeout{0};  // after which servers close unused connections; 0: never
+  std::size_t max_tries_per_connection = 1'000'000;
+  Duration wall_clock_offset{0};  // the Unix time at the core's time 0
 };
-struct StartFault {
-  std::string cause;  // with its place
+// Why a configuration is invalid.
+struct ConfigError {
+  std::string message;  // includes the path of the invalid member
 };
-std::variant<StartTerms, StartFault> read_start(std::string_view json);
+// Parses a configuration. Members that have a default may be missing.
+std::variant<PlatformConfig, ConfigError> parse_platform_config(std::string_view json);
 
 }  // namespace violettide::platform
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -77,7 +77,7 @@
       happen(one);
     settle();
     EXPECT_EQ(sent(link), "") << way.how;
-    EXPECT_EQ(core->held().playbacks, 0u) << way.how;
+    EXPECT_EQ(core->resource_counts().playbacks, 0u) << way.how;
     ASSERT_EQ(of_kind<TryEnded>(told).size(), 1u) << way.how;
     EXPECT_TRUE(of_kind<TryEnded>(told)[0].playback_over) << way.how;
     settles = true;
@@ -92,7 +92,7 @@
     for (const auto& one : way.happens)
       happen(one);
     EXPECT_EQ(sent(link), set_up() + release_bytes(call_number, 16)) << way.how;
-    EXPECT_EQ(core->held().playbacks, 0u) << way.how;
+    EXPECT_EQ(core->resource_counts().playbacks, 0u) << way.how;
   }
 }
 
@@ -113,7 +113,7 @@
         happen(Connected{link});
       settle();
       EXPECT_EQ(sent(link), "") << way.how;
-      EXPECT_EQ(core->held().playbacks, 0u) << way.how;
+      EXPECT_EQ(core->resource_counts().playbacks, 0u) << way.how;
       settles = true;
       tries = 0;
     }
@@ -144,7 +144,7 @@
         hear(link, release(47));
       settle();
       EXPECT_EQ(count(sent(link), set_up()), 0u) << way.how;
-      EXPECT_EQ(core->held().playbacks, 0u) << way.how;
+      EXPECT_EQ(core->resource_counts().playbacks, 0u) << way.how;
       settles = true;
     }
   }
@@ -201,7 +201,7 @@
   hear(link, accept());  // lay unread
   settle();
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
-  EXPECT_EQ(core->held().playbacks, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 1u);
 }
 
 TEST_F(Crossing, AStandstillIsNoSilenceOfServers) {
@@ -213,7 +213,7 @@
   settle();
   settles = true;
   pass(100ms);
-  EXPECT_EQ(core->held().playbacks, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 1u);
 }
 
 TEST_F(Crossing, AfterAStandstillTimersRingOnceAllIsRead) {
@@ -264,7 +264,7 @@
       happen(Disconnected{dial, CloseReason::local_failure});
     pass(500ms);
   }
-  EXPECT_EQ(core->held().playbacks, 1u) << "what plays there goes on";
+  EXPECT_EQ(core->resource_counts().playbacks, 1u) << "what plays there goes on";
   const auto next = connect("10.1.0.1");
   hear(next, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16));
@@ -338,7 +338,7 @@
   hear(link, accept());
   happen(HalfClosed{link});
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
-  EXPECT_EQ(core->held().playbacks, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 1u);
   const auto next = connect("10.1.0.1");
   hear(next, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16)) << "its end is heard on the next connection";
@@ -428,7 +428,7 @@
     EXPECT_EQ(sent(link), set_up(1000 + i)) << "every server is reached";
     hear(link, release(34, 1000 + i));
     pass(1ms);
-    most = std::max(most, core->held().server_links);
+    most = std::max(most, core->resource_counts().server_connections);
   }
   EXPECT_EQ(most, 72u);
   EXPECT_TRUE(hung(first)) << "the one unused for longest went";
@@ -671,9 +671,9 @@
 }
 
 TEST_F(Crossing, AStopBeforeAnythingElseGoesInOrder) {
-  StartTerms terms;
+  PlatformConfig terms;
   terms.plans = {"triage"};
-  terms.abandon = {1800ms};
+  terms.abandon_times = {1800ms};
   terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
       terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
@@ -694,7 +694,7 @@
   hear(viewer, told_again);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_TRUE(of_kind<PlaybackAdopted>(told).empty());
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
   pass(11s);
   come(viewer + 1);
   hear(viewer + 1, told_again);
@@ -707,7 +707,7 @@
   EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u);
   hear(link, release(41));
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
 }
 
 // ---- answers ----
@@ -757,7 +757,7 @@
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
   hear(viewer, offer("00000000000000aa") + offer("00000000000000ab").substr(0, 30));
   EXPECT_EQ(sent(link), set_up(0xaa));
-  EXPECT_EQ(core->held().playbacks, 2u);
+  EXPECT_EQ(core->resource_counts().playbacks, 2u);
 }
 
 TEST_F(Crossing, TheAnswerTheDeadlineAndTheCancelInOneTurnAreOneEnd) {
@@ -783,7 +783,7 @@
     const auto said = sent(viewer);
     EXPECT_LE(count(said, "\"accept\"") + count(said, "\"wait\""), 1u) << "one answer at most";
     EXPECT_EQ(count(said, "\"ended\""), 1u);
-    EXPECT_EQ(core->held().playbacks, 0u);
+    EXPECT_EQ(core->resource_counts().playbacks, 0u);
     settles = true;
   } while (std::next_permutation(order.begin(), order.end()));
 }
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -50,19 +50,19 @@
   PlatformFixture() { make(256); }
 
   void make(std::size_t sockets) {
-    StartTerms terms;
-    terms.sockets = sockets;
+    PlatformConfig terms;
+    terms.max_sockets = sockets;
     terms.plans = {"triage", "escalation"};
-    terms.abandon = {1800ms, 1440ms};
-    terms.site.plans.resize(2);
-    terms.site.rung_kb = {100, 200};
-    terms.site.cells = 2;
+    terms.abandon_times = {1800ms, 1440ms};
+    terms.policy.plans.resize(2);
+    terms.policy.rung_kb = {100, 200};
+    terms.policy.cells = 2;
     terms.kinds = {"std"};
     terms.halls = {"h"};
-    terms.dial_limit = 250ms;
-    terms.idle_limit = 15s;
+    terms.dial_timeout = 250ms;
+    terms.idle_timeout = 15s;
     terms.channel = Endpoint{"10.2.0.1", 7070};
-    terms.known = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
+    terms.known_events = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
     core = std::make_unique<Platform>(terms,
                                       std::make_unique<Script>(&told, [this](Duration, const Event& event) {
                                         return says ? says(event) : std::vector<Command>{};
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -30,8 +30,8 @@
   EXPECT_EQ(sent(viewer), end_line(call_number, 16));
   EXPECT_EQ(outcome(), Outcome::served);
   EXPECT_TRUE(of_kind<TryEnded>(told).back().playback_over);
-  EXPECT_EQ(core->held().playbacks, 0u);
-  EXPECT_EQ(core->held().titles, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().titles, 0u);
 }
 
 TEST_F(PlatformTest, CausesBeforeTheAnswerMeanWhatThePlatformSays) {
@@ -136,19 +136,19 @@
   hear(viewer, offer("00000000000000aa"));
   happen(Disconnected{viewer, CloseReason::reset});
   EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 2u) << "a connection that ends takes its set-ups with it";
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
 }
 
 TEST_F(PlatformTest, AViewerEndsWhatPlaysOnAnyConnection) {
   const auto link = playing();
   sent(link);
   happen(Disconnected{viewer, CloseReason::reset});
-  EXPECT_EQ(core->held().playbacks, 1u) << "no connection owns what plays";
+  EXPECT_EQ(core->resource_counts().playbacks, 1u) << "no connection owns what plays";
   come(viewer + 1);
   hear(viewer + 1, end());
   EXPECT_EQ(sent(link), release_bytes(call_number, 16));
   EXPECT_EQ(outcome(), Outcome::cancelled);
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
 }
 
 TEST_F(PlatformTest, WhatItsViewerEndedOrMovedIsNotTold) {
@@ -263,7 +263,7 @@
   hear(viewer, offer());
   hear(link, accept());
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::invalid_message));
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
 }
 
 TEST_F(PlatformTest, ConnectionsThatSayNothingWholeAreEnded) {
@@ -298,7 +298,7 @@
   EXPECT_FALSE(hung(viewer));
   EXPECT_TRUE(hung(viewer + 1));
   EXPECT_FALSE(hung(viewer + 199)) << "the longest silent goes first";
-  EXPECT_LE(core->held().viewer_links, 40u);
+  EXPECT_LE(core->resource_counts().viewer_connections, 40u);
 }
 
 // All at once, so that none has rested: descriptors are left for the servers and the channel.
@@ -306,7 +306,7 @@
   make(64);
   for (ConnectionId link = viewer; link < viewer + 50; ++link)
     come(link);
-  EXPECT_EQ(core->held().viewer_links, 40u);
+  EXPECT_EQ(core->resource_counts().viewer_connections, 40u);
   EXPECT_FALSE(hung(viewer + 39));
   EXPECT_TRUE(hung(viewer + 40));
 }
@@ -346,10 +346,10 @@
   ASSERT_NE(first, 0u);
   happen(Connected{first});
   pass(4s);
-  EXPECT_EQ(core->held().playbacks, 1u) << "it came up: a sign";
+  EXPECT_EQ(core->resource_counts().playbacks, 1u) << "it came up: a sign";
   EXPECT_TRUE(hung(link)) << "the old connection goes";
   pass(3500ms);  // no dial comes up
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_EQ(outcome(), Outcome::reset);
 }
@@ -360,15 +360,15 @@
   const auto second = dialled("10.1.0.1");
   ASSERT_NE(second, 0u) << "at once, to hear how playbacks end";
   happen(Connected{second});
-  EXPECT_EQ(core->held().playbacks, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 1u);
   happen(Disconnected{second, CloseReason::reset});
   EXPECT_EQ(dialled("10.1.0.1"), 0u) << "not without end where every connection is reset";
   pass(500ms);
   happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
-  EXPECT_EQ(core->held().playbacks, 1u) << "one refusal may be a moment's";
+  EXPECT_EQ(core->resource_counts().playbacks, 1u) << "one refusal may be a moment's";
   pass(550ms);
   happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
-  EXPECT_EQ(core->held().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
 }
 
@@ -379,7 +379,7 @@
     pass(i == 0 ? 2100ms : 550ms);
     happen(Disconnected{dialled("10.1.0.1"), CloseReason::refused});
   }
-  EXPECT_EQ(core->held().playbacks, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 1u);
   hear(link, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16)) << "its own word ends it";
 }
@@ -459,11 +459,11 @@
 
 // Killed after 3.7 s at the latest, however long viewers wait.
 TEST_F(PlatformTest, AStopWaitsNoLongerThanItMayForPlansOfLongTimes) {
-  StartTerms terms;
+  PlatformConfig terms;
   terms.plans = {"triage"};
-  terms.abandon = {9s};
-  terms.site.plans.resize(1);
-  terms.site.rung_kb = {1};
+  terms.abandon_times = {9s};
+  terms.policy.plans.resize(1);
+  terms.policy.rung_kb = {1};
   terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
       terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
@@ -506,12 +506,12 @@
     happen(Flushed{viewer});  // it reads all it is sent
     pass(1ms);
     if (i == 1000)
-      timers = core->held().timers;
+      timers = core->resource_counts().timers;
   }
-  EXPECT_EQ(core->held().playbacks, 0u);
-  EXPECT_EQ(core->held().titles, 0u);
-  EXPECT_LE(core->held().timers, timers + 10);
-  EXPECT_EQ(core->held().viewer_links, 1u);
+  EXPECT_EQ(core->resource_counts().playbacks, 0u);
+  EXPECT_EQ(core->resource_counts().titles, 0u);
+  EXPECT_LE(core->resource_counts().timers, timers + 10);
+  EXPECT_EQ(core->resource_counts().viewer_connections, 1u);
 }
 
 TEST_F(PlatformTest, AnotherConfigurationMovesTheChannelAndOneThatCannotBeReadMovesNothing) {
--- a/tests/program/platform_wire_test.cpp
+++ b/tests/program/platform_wire_test.cpp
@@ -307,27 +307,30 @@
     R"("Limits":{"DialTimeout":125000,"MayProbe":true},"Me":1,"Zones":["hall-a","hall-b"]})";
 
 TEST(Start, ParsesNestedSettings) {
-  const auto read = read_start(R"({"name":"n3","listen":"10.0.0.4:3868","seed":"8c1f30d27a5be964",)"
-                               R"("limits":{"sockets":256},"channel":"10.2.0.1:7070",)" +
-                               settings + "}");
-  const auto& terms = std::get<StartTerms>(read);
+  const auto read =
+      parse_platform_config(R"({"name":"n3","listen":"10.0.0.4:3868","seed":"8c1f30d27a5be964",)"
+                            R"("limits":{"sockets":256},"channel":"10.2.0.1:7070",)" +
+                            settings + "}");
+  const auto& terms = std::get<PlatformConfig>(read);
   EXPECT_EQ(terms.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(terms.sockets, 256u);
+  EXPECT_EQ(terms.max_sockets, 256u);
   EXPECT_EQ(terms.plans, (std::vector<std::string>{"triage", "escalation"}));
-  EXPECT_EQ(terms.abandon[1], 1440ms);
+  EXPECT_EQ(terms.abandon_times[1], 1440ms);
   EXPECT_EQ(terms.halls[1], "hall-b");
-  EXPECT_EQ(terms.dial_limit, 125ms);
-  EXPECT_EQ(terms.site.plans[1].floor, 1);
-  EXPECT_TRUE(terms.site.plans[1].pay_at_setup);
-  EXPECT_FALSE(terms.site.plans[0].pay_at_setup);
-  EXPECT_EQ(terms.site.rung_kb, (std::vector<double>{241, 413}));
-  EXPECT_EQ(terms.site.cells, 12);
-  EXPECT_EQ(terms.site.front_index, 1);
-  EXPECT_TRUE(terms.site.probes_enabled);
+  EXPECT_EQ(terms.dial_timeout, 125ms);
+  EXPECT_EQ(terms.policy.plans[1].floor, 1);
+  EXPECT_TRUE(terms.policy.plans[1].pay_at_setup);
+  EXPECT_FALSE(terms.policy.plans[0].pay_at_setup);
+  EXPECT_EQ(terms.policy.rung_kb, (std::vector<double>{241, 413}));
+  EXPECT_EQ(terms.policy.cells, 12);
+  EXPECT_EQ(terms.policy.front_index, 1);
+  EXPECT_TRUE(terms.policy.probes_enabled);
 }
 
 TEST(Start, AFaultNamesItsSetting) {
-  const auto cause = [](const std::string& text) { return std::get<StartFault>(read_start(text)).cause; };
+  const auto cause = [](const std::string& text) {
+    return std::get<ConfigError>(parse_platform_config(text)).message;
+  };
   EXPECT_EQ(cause("x"), "expected a JSON object");
   EXPECT_EQ(cause("{}"), "listen: expected address:port");
   const std::string start = R"({"listen":"10.0.0.4:3868",)";
@@ -341,10 +344,11 @@
 // Guards against a setting of the wrong type ending the process, at the start or at a reload by SIGHUP.
 TEST(Start, AValueOfTheWrongTypeOrMissingIsNamed) {
   const auto cause = [](const std::string& limits, const std::string& terms) {
-    const auto read = read_start(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","limits":)" +
-                                 limits + R"(,"settings":)" + terms + "}");
-    const auto* fault = std::get_if<StartFault>(&read);
-    return fault ? fault->cause : "";
+    const auto read =
+        parse_platform_config(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","limits":)" +
+                              limits + R"(,"settings":)" + terms + "}");
+    const auto* fault = std::get_if<ConfigError>(&read);
+    return fault ? fault->message : "";
   };
   const std::string plan = R"({"Name":"a","Aim":1000,"GiveUp":2000})";
   const auto with = [&](const std::string& plans, const std::string& more = "") {
@@ -370,11 +374,12 @@
 // A manager without a number draws one. A fixed default would make all managers take the same turns at a
 // server that has just started.
 TEST(Start, TheManagersNumberMayBeMissing) {
-  const auto read = read_start(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","settings":)"
-                               R"({"Classes":[{"Name":"a","Aim":1000,"GiveUp":2000}],)"
-                               R"("FamilyInfo":{"RatesKb":[1]},"Limits":{"ConnIdle":15000000}}})");
-  EXPECT_FALSE(std::get<StartTerms>(read).site.front_index.has_value());
-  EXPECT_EQ(std::get<StartTerms>(read).idle_limit, 15s);
+  const auto read =
+      parse_platform_config(R"({"listen":"10.0.0.4:3868","seed":"1","channel":"10.2.0.1:70","settings":)"
+                            R"({"Classes":[{"Name":"a","Aim":1000,"GiveUp":2000}],)"
+                            R"("FamilyInfo":{"RatesKb":[1]},"Limits":{"ConnIdle":15000000}}})");
+  EXPECT_FALSE(std::get<PlatformConfig>(read).policy.front_index.has_value());
+  EXPECT_EQ(std::get<PlatformConfig>(read).idle_timeout, 15s);
 }
 
 }  // namespace
