--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -1,5 +1,5 @@
-// The session manager on the operators' platform as a core: happenings in, actions out, a script in the
-// module's place; with the words that viewers and servers say.
+// Fixture for tests of the platform's session manager core: the test delivers events, checks the actions, and
+// replaces the decider by a script. Also formats the messages of viewers and servers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 constexpr ConnectionId viewer = first_accepted;
 inline const std::string call = "9b1f03aa5c7e2d41";
-constexpr CallId call_number = 0x9b1f03aa5c7e2d41;
+constexpr CallId call_id = 0x9b1f03aa5c7e2d41;
 
 inline std::string offer(const std::string& id = call, const std::string& left = "1500",
                          const std::string& more = "", const std::string& extras = "home:0;copies:2;top:1") {
@@ -27,7 +27,7 @@
   return R"({"op":"end","call":")" + id + R"(","with":{},"why":16})" + "\n";
 }
 
-inline std::string from_server(int type, CallId id, const std::string& parameters = "") {
+inline std::string server_message(int type, CallId id, const std::string& parameters = "") {
   std::string body(1, static_cast<char>(type));
   for (int shift = 56; shift >= 0; shift -= 8)
     body += static_cast<char>(id >> shift & 255);
@@ -38,41 +38,41 @@
   return std::string(1, static_cast<char>(code)) + static_cast<char>(value.size() >> 8) +
          static_cast<char>(value.size() & 255) + value;
 }
-inline std::string accept(CallId id = call_number) {
-  return from_server(9, id, parameter(174, "server says\r\n"));
+inline std::string accept(CallId id = call_id) {
+  return server_message(9, id, parameter(174, "server says\r\n"));
 }
-inline std::string release(int cause, CallId id = call_number) {
-  return from_server(12, id, parameter(171, std::string(1, static_cast<char>(cause))));
+inline std::string release(int cause, CallId id = call_id) {
+  return server_message(12, id, parameter(171, std::string(1, static_cast<char>(cause))));
 }
 
 class PlatformFixture : public ::testing::Test {
  protected:
-  PlatformFixture() { make(256); }
+  PlatformFixture() { make_core(256); }
 
-  void make(std::size_t sockets) {
-    PlatformConfig terms;
-    terms.max_sockets = sockets;
-    terms.plans = {"triage", "escalation"};
-    terms.abandon_times = {1800ms, 1440ms};
-    terms.policy.plans.resize(2);
-    terms.policy.rung_kb = {100, 200};
-    terms.policy.cells = 2;
-    terms.kinds = {"std"};
-    terms.halls = {"h"};
-    terms.dial_timeout = 250ms;
-    terms.idle_timeout = 15s;
-    terms.channel = Endpoint{"10.2.0.1", 7070};
-    terms.known_events = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
-    core = std::make_unique<Platform>(terms,
-                                      std::make_unique<Script>(&told, [this](Duration, const Event& event) {
-                                        return says ? says(event) : std::vector<Command>{};
+  void make_core(std::size_t sockets) {
+    PlatformConfig config;
+    config.max_sockets = sockets;
+    config.plans = {"triage", "escalation"};
+    config.abandon_times = {1800ms, 1440ms};
+    config.policy.plans.resize(2);
+    config.policy.rung_kb = {100, 200};
+    config.policy.cells = 2;
+    config.kinds = {"std"};
+    config.halls = {"h"};
+    config.dial_timeout = 250ms;
+    config.idle_timeout = 15s;
+    config.channel = Endpoint{"10.2.0.1", 7070};
+    config.known_events = R"({"cursor":1,"cmds":[)" + list_event(1, "Ready", "Ready", true) + "]}";
+    core = std::make_unique<Platform>(config,
+                                      std::make_unique<Script>(&events, [this](Duration, const Event& event) {
+                                        return decide ? decide(event) : std::vector<Command>{};
                                       }));
     actions.clear();
-    happen(TimerFired{});
-    channel_link = dialled("10.2.0.1");
+    deliver(TimerFired{});
+    channel_connection = take_dial("10.2.0.1");
   }
-  static std::string listed(int number, const std::string& a, const std::string& b, bool whole = false,
-                            const std::string& a_since = "0") {
+  static std::string list_event(int number, const std::string& a, const std::string& b, bool snapshot = false,
+                                const std::string& a_since = "0") {
     const auto entry = [](const std::string& name, const std::string& at, const std::string& status,
                           const std::string& since) {
       return R"({"name":")" + name + R"(","address":")" + at +
@@ -80,78 +80,81 @@
              R"(","weight":1,"since_ms":)" + since + "}";
     };
     return R"({"cursor":)" + std::to_string(number) + R"(,"nodes":{"snapshot":)" +
-           (whole ? "true" : "false") + R"(,"endpoints":[)" + entry("s-a", "10.1.0.1", a, a_since) + "," +
+           (snapshot ? "true" : "false") + R"(,"endpoints":[)" + entry("s-a", "10.1.0.1", a, a_since) + "," +
            entry("s-b", "10.1.0.2", b, "0") + "]}}";
   }
 
-  // As the runtime does, it tells of InputDrained when asked, unless a test holds that back to force what
-  // comes first.
-  void happen(const IoEvent& what) {
-    core->handle(now, what, actions);
-    if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<DrainInput>(act); }) > 0)
-      unsettled = true;
-    if (settles)
-      settle();
+  // Answers DrainInput with InputDrained, as the runtime does. A test may clear auto_drain to control which
+  // events arrive before that.
+  void deliver(const IoEvent& event) {
+    core->handle(now, event, actions);
+    if (std::erase_if(actions,
+                      [](const Action& action) { return std::holds_alternative<DrainInput>(action); }) > 0)
+      drain_requested = true;
+    if (auto_drain)
+      drain_input();
   }
-  void settle() {
-    while (std::exchange(unsettled, false)) {
+  void drain_input() {
+    while (std::exchange(drain_requested, false)) {
       core->handle(now, InputDrained{}, actions);
-      if (std::erase_if(actions, [](const Action& act) { return std::holds_alternative<DrainInput>(act); }) >
-          0)
-        unsettled = true;
+      if (std::erase_if(actions,
+                        [](const Action& action) { return std::holds_alternative<DrainInput>(action); }) > 0)
+        drain_requested = true;
     }
   }
-  void pass(Duration time) {  // in steps, as the core's timers ring
+  // In steps of 10 ms, so that timers expire at their times.
+  void advance(Duration time) {
     for (const auto until = now + time; now < until;) {
       now = std::min(until, now + 10ms);
-      happen(TimerFired{});
+      deliver(TimerFired{});
     }
   }
-  void hear(ConnectionId link, const std::string& bytes) { happen(Received{link, bytes}); }
-  void come(ConnectionId link = viewer) { happen(Accepted{link, 0}); }
+  void receive(ConnectionId connection, const std::string& bytes) { deliver(Received{connection, bytes}); }
+  void accept_viewer(ConnectionId connection = viewer) { deliver(Accepted{connection, 0}); }
 
-  // What was dialled last at an address; 0: nothing. Forgets it.
-  ConnectionId dialled(const std::string& address) {
-    ConnectionId link = 0;
-    std::erase_if(actions, [&](const Action& act) {
-      const auto* dial = std::get_if<Dial>(&act);
+  // Removes the dials of an address from the actions and returns the last one; 0: none.
+  ConnectionId take_dial(const std::string& address) {
+    ConnectionId connection = 0;
+    std::erase_if(actions, [&](const Action& action) {
+      const auto* dial = std::get_if<Dial>(&action);
       if (!dial || dial->address != address)
         return false;
-      link = dial->connection;
+      connection = dial->connection;
       return true;
     });
-    return link;
+    return connection;
   }
-  std::string sent(ConnectionId link) {  // and forgets it
+  // Removes what was sent on a connection from the actions and returns it.
+  std::string take_sent(ConnectionId connection) {
     std::string all;
-    std::erase_if(actions, [&](const Action& act) {
-      const auto* send = std::get_if<Send>(&act);
-      if (!send || send->connection != link)
+    std::erase_if(actions, [&](const Action& action) {
+      const auto* send = std::get_if<Send>(&action);
+      if (!send || send->connection != connection)
         return false;
       all += send->bytes;
       return true;
     });
     return all;
   }
-  bool hung(ConnectionId link) const {
-    return std::any_of(actions.begin(), actions.end(), [&](const Action& act) {
-      const auto* hang = std::get_if<Close>(&act);
-      return hang && hang->connection == link;
+  bool closed(ConnectionId connection) const {
+    return std::any_of(actions.begin(), actions.end(), [&](const Action& action) {
+      const auto* close = std::get_if<Close>(&action);
+      return close && close->connection == connection;
     });
   }
-  bool left() const {
+  bool stopped() const {
     return std::any_of(actions.begin(), actions.end(),
-                       [](const Action& act) { return std::holds_alternative<StopLoop>(act); });
+                       [](const Action& action) { return std::holds_alternative<StopLoop>(action); });
   }
-  ConnectionId connect(const std::string& address) {
-    const auto link = dialled(address);
-    EXPECT_NE(link, 0u) << address;
-    happen(Connected{link});
-    return link;
+  ConnectionId connect_to(const std::string& address) {
+    const auto connection = take_dial(address);
+    EXPECT_NE(connection, 0u) << address;
+    deliver(Connected{connection});
+    return connection;
   }
-  // The module sets every playback up at this server, and again there where it is asked anew.
-  void always_at(ServerId server, Duration limit = 500ms) {
-    says = [=, this](const Event& event) -> std::vector<Command> {
+  // The decider tries every playback at this server; after a failed try once more, then it rejects.
+  void set_up_always_at(ServerId server, Duration limit = 500ms) {
+    decide = [=, this](const Event& event) -> std::vector<Command> {
       std::optional<PlaybackId> id;
       if (const auto* request = std::get_if<Request>(&event))
         id = request->playback;
@@ -166,30 +169,30 @@
       return {SetRung{*id, 1}, violettide::SetUp{*id, server, limit}};
     };
   }
-  // A playback that plays at s-a; its connection there.
-  ConnectionId playing() {
-    always_at(0);
-    come();
-    hear(viewer, offer());
-    const auto link = connect("10.1.0.1");
-    hear(link, accept());
-    sent(viewer);
-    return link;
+  // Starts a playback at s-a and returns the connection to that server.
+  ConnectionId start_playing() {
+    set_up_always_at(0);
+    accept_viewer();
+    receive(viewer, offer());
+    const auto connection = connect_to("10.1.0.1");
+    receive(connection, accept());
+    take_sent(viewer);
+    return connection;
   }
-  Outcome outcome() const {
-    const auto ended = of_kind<TryEnded>(told);
+  Outcome last_outcome() const {
+    const auto ended = of_kind<TryEnded>(events);
     EXPECT_FALSE(ended.empty());
     return ended.empty() ? Outcome::served : ended.back().outcome;
   }
 
-  std::vector<Event> told;
-  std::function<std::vector<Command>(const Event&)> says;
+  std::vector<Event> events;
+  std::function<std::vector<Command>(const Event&)> decide;
   std::unique_ptr<Platform> core;
   std::vector<Action> actions;
   Duration now{1s};
-  ConnectionId channel_link = 0;
+  ConnectionId channel_connection = 0;
   int tries = 0;
-  bool settles = true, unsettled = false;
+  bool auto_drain = true, drain_requested = false;
 };
 
 }  // namespace violettide::platform
