--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -13,34 +13,49 @@
 using namespace std::chrono_literals;
 
 constexpr Duration sweep_interval{100ms};
-constexpr Duration message_timeout{2s};    // for a viewer to complete its first or a partial message
-constexpr Duration close_delay{20ms};      // between scheduling a viewer's close and the close
-constexpr Duration stall_threshold{60ms};  // a longer delay of timers means that this process was stalled
-constexpr Duration eviction_idle_time{
-    250ms};                                   // by then a new viewer has sent its request and read its answer
-constexpr Duration viewer_idle_timeout{6s};   // without playbacks; viewers close such connections after 4 s
-constexpr Duration redial_after_silence{2s};  // of a server with playbacks
-constexpr Duration server_silence_timeout{5500ms};  // then its playbacks count as lost
+// For a viewer to complete its first message, or a partial one.
+constexpr Duration message_timeout{2s};
+// Between scheduling the close of a viewer's connection and closing it.
+constexpr Duration close_delay{20ms};
+// A longer delay of timers means that this process was stalled.
+constexpr Duration stall_threshold{60ms};
+// By then a new viewer has sent its request, and a viewer that was answered has read the answer.
+constexpr Duration eviction_idle_time{250ms};
+// For connections without playbacks; viewers close theirs after 4 s.
+constexpr Duration viewer_idle_timeout{6s};
+// A server with playbacks is dialled after this silence.
+constexpr Duration redial_after_silence{2s};
+// After this silence its playbacks count as lost, unless a dial has succeeded since.
+constexpr Duration server_silence_timeout{5500ms};
 constexpr Duration redial_interval{500ms};
-constexpr Duration retired_lifetime{1s};      // to receive what the server still sends on the old connection
-constexpr Duration refusal_log_interval{1s};  // guards against flooding the log
-constexpr Duration max_shutdown_wait{3s};     // longer abandon times are cut to this
-constexpr Duration shutdown_min_time{800ms};  // viewers still send requests for this long after the signal
-constexpr Duration shutdown_answer_margin{400ms};  // on top of the longest abandon time
-constexpr Duration shutdown_flush_timeout{
-    200ms};  // for viewers to read the last answers; the process is killed 0.1 s later
+// For a retired connection, to receive what the server still sends on it.
+constexpr Duration retired_lifetime{1s};
+// Guards against flooding the log.
+constexpr Duration refused_message_log_interval{1s};
+// Longer abandon times are cut to this.
+constexpr Duration max_shutdown_wait{3s};
+// Viewers still send requests for this long after the signal.
+constexpr Duration shutdown_min_time{800ms};
+// On top of the longest abandon time, by which all requests are answered.
+constexpr Duration shutdown_answer_margin{400ms};
+// For viewers to read the last answers; the process is killed 0.1 s later.
+constexpr Duration shutdown_flush_timeout{200ms};
 constexpr std::size_t max_unsent_bytes = 256 * 1024;
 constexpr std::size_t max_description_bytes = 8 * 1024;
 constexpr std::size_t max_name_bytes = 256;
 constexpr std::size_t max_queued_messages = 4096;
 constexpr std::size_t max_unmatched_releases = 4096;
-constexpr Duration unmatched_release_lifetime{10s};  // for the viewer to hand the playback over
-constexpr int refusals_until_lost = 2;
+// From a server's release of an unknown call to the viewer's handover of that playback.
+constexpr Duration unmatched_release_lifetime{10s};
+// A single refused dial may be momentary.
+constexpr int dial_refusals_until_lost = 2;
 constexpr int max_shutdown_drains = 4;
-constexpr double max_time_left_factor = 2;  // times the plan's abandon time
-constexpr double idle_timeout_share = 0.8;  // of a server's idle timeout; no set-up is sent after that
-constexpr std::size_t reserved_descriptors =
-    24;  // for the command channel, the listener, the log, the event loop
+// Times the plan's abandon time.
+constexpr double max_time_left_factor = 2;
+// Of a server's idle timeout: connections idle for longer carry no set-up.
+constexpr double idle_timeout_share = 0.8;
+// For the command channel, the listener, the log and the event loop.
+constexpr std::size_t reserved_descriptors = 24;
 
 // A timer's key holds its kind in the top bits and its payload below.
 constexpr unsigned timer_kind_shift = 56;
@@ -488,8 +503,8 @@
   }
   drop_server_connection(event.connection, Outcome::reset);
   if (refused) {
-    if (server.consecutive_refusals++ == 0)
-      server.first_refused_at = now_;
+    if (server.consecutive_dial_refusals++ == 0)
+      server.first_dial_refusal_at = now_;
   }
   if (!server.playing.empty())
     check_server_liveness(id);
@@ -536,11 +551,13 @@
 // Answers an invalid message if it has a call id, and closes the connection. It stays open if the message has
 // an id and other playbacks use the connection, as those are owed their answers.
 void Platform::refuse_message(ConnectionId connection, std::optional<CallId> call, const std::string& cause) {
-  ++unlogged_refusals_;
-  if (refusals_logged_at_ < Duration(0) || now_ - refusals_logged_at_ >= refusal_log_interval) {
-    log("turned_off", {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(unlogged_refusals_)}});
-    unlogged_refusals_ = 0;
-    refusals_logged_at_ = now_;
+  ++unlogged_refused_messages_;
+  if (refused_message_logged_at_ < Duration(0) ||
+      now_ - refused_message_logged_at_ >= refused_message_log_interval) {
+    log("turned_off",
+        {{"cause", cause}, {"since_the_last", static_cast<std::int64_t>(unlogged_refused_messages_)}});
+    unlogged_refused_messages_ = 0;
+    refused_message_logged_at_ = now_;
   }
   if (call)
     send_to_viewer(connection, end_line(*call, platform::cause::invalid_message));
@@ -797,7 +814,7 @@
 void Platform::record_server_activity(ServerConnection& connection) {
   auto& server = servers_[connection.server];
   server.last_heard_at = now_;
-  server.consecutive_refusals = 0;
+  server.consecutive_dial_refusals = 0;
 }
 
 // Keeps a connection to a server with playbacks, on which it reports their ends. After a time of silence a
@@ -810,8 +827,8 @@
   const bool silence_timed_out = now_ - server.last_heard_at > server_silence_timeout;
   // A draining process may refuse new connections while its playbacks continue, so refusals count only when
   // no connection is open; the connections of a process that dies are reset.
-  const bool refused = server.consecutive_refusals >= refusals_until_lost &&
-                       now_ - server.first_refused_at >= redial_interval / 2 && !has_connection_to(id);
+  const bool refused = server.consecutive_dial_refusals >= dial_refusals_until_lost &&
+                       now_ - server.first_dial_refusal_at >= redial_interval / 2 && !has_connection_to(id);
   const bool replaced =
       server.state == ServerState::gone && server.endpoint.port != 0 && !has_connection_to(id);
   if (silence_timed_out || refused || replaced)
@@ -852,7 +869,7 @@
               {"connected", static_cast<std::int64_t>(server.connection != 0)},
               {"silent_ms", to_milliseconds(now_ - server.last_heard_at)}});
   server.queued_releases.clear();
-  server.consecutive_refusals = 0;
+  server.consecutive_dial_refusals = 0;
   const auto playing = server.playing;
   for (const auto id : playing)
     end_playback(id, Outcome::reset, {}, cause::reset);
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -74,8 +74,8 @@
     std::vector<std::string> queued_releases;  // to be sent on the next connection
     Duration last_heard_at{0};
     Duration next_dial_at{0};
-    int consecutive_refusals = 0;  // of dials, since the server was last heard
-    Duration first_refused_at{0};
+    int consecutive_dial_refusals = 0;  // of dials, since the server was last heard
+    Duration first_dial_refusal_at{0};
   };
   // A requested or playing playback. `connection`, `sent` and the try members belong to the current try.
   struct Playback {
@@ -239,8 +239,8 @@
   Channel channel_;
   ConnectionId channel_connection_ = 0;
   TimerWheel<std::uint64_t>::Handle channel_poll_timer_;
-  std::size_t unlogged_refusals_ = 0;  // since the last log line
-  Duration refusals_logged_at_{-1};    // negative: never
+  std::size_t unlogged_refused_messages_ = 0;  // since the last log line
+  Duration refused_message_logged_at_{-1};     // negative: never
 };
 
 }  // namespace violettide::platform
