--- a/bench/hls.cpp
+++ b/bench/hls.cpp
@@ -96,24 +96,24 @@
 class Storm {
  public:
   explicit Storm(std::size_t players, std::size_t window) : players_(players), window_(window) {
-    manager::FrontTerms terms;
+    manager::ManagerSettings terms;
     terms.name = "m";
-    terms.site.rung_kb = {12.5, 25};
-    terms.site.rung_revenue = {0.5, 1};
-    terms.site.plans.resize(1);
-    terms.site.plans[0].startup_target = 800ms;
-    terms.site.plans[0].top = 1;
-    terms.site.streams_by_kind = {1e6};
-    terms.site.has_weights = true;
-    terms.site.link_kb_per_weight = 1e9;
-    terms.site.max_tries = 3;
-    terms.site.front_count = 1;
+    terms.policy.rung_kb = {12.5, 25};
+    terms.policy.rung_revenue = {0.5, 1};
+    terms.policy.plans.resize(1);
+    terms.policy.plans[0].startup_target = 800ms;
+    terms.policy.plans[0].top = 1;
+    terms.policy.streams_by_kind = {1e6};
+    terms.policy.has_weights = true;
+    terms.policy.link_kb_per_weight = 1e9;
+    terms.policy.max_tries = 3;
+    terms.policy.front_count = 1;
     terms.plans = {{"a", 4s}};
     terms.halls = {"h"};
-    terms.viewer_links = players + 10;
-    terms.links_per_box = players + 10;
-    terms.hls.passes.secrets = {"secret"};
-    terms.wall_at_zero = 1000h;
+    terms.max_viewer_connections = players + 10;
+    terms.max_connections_per_box = players + 10;
+    terms.hls.url_keys.secrets = {"secret"};
+    terms.wall_clock_at_zero = 1000h;
     front_ = std::make_unique<manager::Manager>(
         terms, 1,
         "{\"revision\":1,\"clock_ms\":1,\"boxes\":[{\"name\":\"b\",\"address\":\"127.0.0.1\",\"port\":1,"
@@ -149,14 +149,14 @@
       reloads += since(from);
     }
     reloads /= static_cast<double>(players_ * rounds);
-    const auto held = front_->held();
+    const auto held = front_->resource_usage();
     std::printf(
         "%6zu players, %5zu segments: opened %6.1f us each; reload %6.1f us each (%.0f kB/s of lists a core "
         "could "
         "say); heap a session %.0f bytes, %zu bytes of boxes' lists\n",
         players_, window_, began * 1e6, reloads * 1e6,
         static_cast<double>(bytes) / static_cast<double>(players_ * rounds) / reloads / 1000,
-        (heap() - before) / static_cast<double>(players_), held.lists_bytes);
+        (heap() - before) / static_cast<double>(players_), held.playlist_cache_bytes);
     if (held.playbacks != players_)
       std::printf("only %zu of %zu playbacks are held\n", held.playbacks, players_);
   }
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -166,7 +166,7 @@
 
 class Fronted : public Leaves {
  public:
-  explicit Fronted(manager::FrontTerms terms) : manager_(std::move(terms), 1, "", nullptr) {}
+  explicit Fronted(manager::ManagerSettings terms) : manager_(std::move(terms), 1, "", nullptr) {}
   void happened(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
     manager_.handle(now, what, actions);
   }
@@ -239,25 +239,25 @@
   std::unordered_map<ConnectionId, Peer> links_;
 };
 
-manager::FrontTerms terms_for(std::size_t playbacks) {
-  manager::FrontTerms terms;
-  terms.site.rung_kb = {300};
-  terms.site.rung_revenue = {1};
-  terms.site.plans.resize(1);
-  terms.site.plans[0].startup_target = 800ms;
+manager::ManagerSettings terms_for(std::size_t playbacks) {
+  manager::ManagerSettings terms;
+  terms.policy.rung_kb = {300};
+  terms.policy.rung_revenue = {1};
+  terms.policy.plans.resize(1);
+  terms.policy.plans[0].startup_target = 800ms;
   terms.plans = {{"a", 4s}};
   terms.halls = {"h"};
-  terms.site.streams_by_kind = {static_cast<double>(2 * playbacks + 100)};
-  terms.site.link_kb_per_weight = 300.0 * static_cast<double>(2 * playbacks + 100);
-  terms.site.has_weights = true;
-  terms.site.probes_enabled = true;
-  terms.site.max_tries = 3;
-  terms.site.measurement_delay = 1s;
-  terms.copies = 1;
-  terms.links_per_box = 2 * playbacks + 8;  // probes come beside the tries
-  terms.idle_links_per_box = 2 * playbacks + 8;
-  terms.viewer_links = playbacks + 8;
-  terms.silence = 60s;
+  terms.policy.streams_by_kind = {static_cast<double>(2 * playbacks + 100)};
+  terms.policy.link_kb_per_weight = 300.0 * static_cast<double>(2 * playbacks + 100);
+  terms.policy.has_weights = true;
+  terms.policy.probes_enabled = true;
+  terms.policy.max_tries = 3;
+  terms.policy.measurement_delay = 1s;
+  terms.default_cell_count = 1;
+  terms.max_connections_per_box = 2 * playbacks + 8;  // probes come beside the tries
+  terms.max_idle_connections_per_box = 2 * playbacks + 8;
+  terms.max_viewer_connections = playbacks + 8;
+  terms.idle_timeout = 60s;
   return terms;
 }
 
@@ -274,7 +274,7 @@
     front = std::move(relay);
   } else if (way == Way::manager) {
     auto terms = terms_for(connections);
-    terms.list_port = box.port;
+    terms.box_list_port = box.port;
     front = std::make_unique<Fronted>(std::move(terms));
   }
   std::unique_ptr<runtime::Loop> front_loop;
@@ -357,7 +357,7 @@
     }
   }
   const auto after = mallinfo2();
-  const auto held = front.held();
+  const auto held = front.resource_usage();
   if (held.playbacks != playbacks)
     std::fprintf(stderr, "only %zu of %zu playbacks are held\n", held.playbacks, playbacks);
   return static_cast<double>(after.uordblks + after.hblkhd - used_before) /
@@ -366,8 +366,8 @@
 
 SetUpTime set_up_time(std::size_t playbacks, std::size_t set_ups, std::size_t changes_each) {
   auto terms = terms_for(playbacks + set_ups);
-  terms.catalogued = true;
-  terms.site.probes_enabled = false;
+  terms.has_catalogue = true;
+  terms.policy.probes_enabled = false;
   manager::Manager front(terms, 1,
                          "{\"revision\":1,\"clock_ms\":1,\"boxes\":[{\"name\":\"b\",\"address\":\"127.0.0."
                          "1\",\"port\":1,\"state\":"
@@ -430,8 +430,8 @@
       times.push_back(
           std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - from).count());
   }
-  if (front.held().playbacks != playbacks + set_ups)
-    std::fprintf(stderr, "only %zu playbacks are held\n", front.held().playbacks);
+  if (front.resource_usage().playbacks != playbacks + set_ups)
+    std::fprintf(stderr, "only %zu playbacks are held\n", front.resource_usage().playbacks);
   std::sort(times.begin(), times.end());
   return {times[times.size() / 2], times[times.size() * 99 / 100]};
 }
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -134,7 +134,7 @@
     return day_.deployment.front.plans[plan_of_.at(record.plan())];
   }
   const PlanSettings& plan_terms(const Passed& record) const {
-    return day_.deployment.front.site.plans[plan_of_.at(record.plan())];
+    return day_.deployment.front.policy.plans[plan_of_.at(record.plan())];
   }
 
   void one_answer() {
@@ -142,7 +142,7 @@
       if (!ask.asked)
         continue;
       const auto& asked = *ask.asked;
-      const auto until = asked.at_us() + micros(plan(asked).abandon) + answer_slack_us;
+      const auto until = asked.at_us() + micros(plan(asked).abandon_time) + answer_slack_us;
       std::vector<const Passed*> given;
       for (const auto* answer : ask.answers) {
         if (answer->status() != 0)
@@ -235,7 +235,7 @@
   }
 
   void cold_pace() {
-    const auto& site = day_.deployment.front.site;
+    const auto& site = day_.deployment.front.policy;
     if (site.warmup_time.count() <= 0)
       return;
     struct Cold {
@@ -348,7 +348,7 @@
   }
 
   void budget() {
-    const auto& site = day_.deployment.front.site;
+    const auto& site = day_.deployment.front.policy;
     const auto window = micros(site.retry_budget_window);
     if (window == 0)
       return;
@@ -402,7 +402,7 @@
   // Seats of teams over all managers, told as rule 9: from a playback's answer to its last object it surely
   // has one, and no more of a team are had at once than there are.
   void seats() {
-    if (!day_.deployment.front.entitlement.on)
+    if (!day_.deployment.front.entitlement.enabled)
       return;
     struct Playing {
       std::string team;
@@ -468,13 +468,13 @@
     std::vector<std::set<std::uint64_t>> seen(front.plans.size());
     for (std::size_t i = 0; i < front.plans.size(); ++i)
       verdict_.plans[i].plan = front.plans[i].name;
-    const auto length = static_cast<double>(front.object_length.count()) / 1e6;
+    const auto length = static_cast<double>(front.object_duration.count()) / 1e6;
     for (const auto& record : records_) {
       const auto found = plan_of_.find(record.plan());
       if (found == plan_of_.end())
         continue;
       auto& sum = verdict_.plans[found->second];
-      const auto& site = front.site;
+      const auto& site = front.policy;
       const double worth = site.plans[found->second].revenue;
       if (record.kind() == Passed::ASKED && seen[found->second].insert(record.number()).second)
         sum.offered += record.value() * worth * site.rung_revenue[record.rung()];
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -156,7 +156,7 @@
         std::filesystem::remove(entry.path());
     }
     if (const auto& gate = day_.deployment.front.entitlement.token_validator;
-        day_.deployment.front.entitlement.on) {
+        day_.deployment.front.entitlement.enabled) {
       const auto turns = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
       std::ofstream(folder_ + "/issuer.keys")
           << standins::Issuer::made(gate.issuer, gate.audience, turns).written();
@@ -168,12 +168,12 @@
                 folder_ + "/boxes.err");
     const auto service_ports = ports_in(folder_ + "/boxes.ports", boxes);
     list_port_ = service_ports.at(day_.boxes.size());
-    if (day_.deployment.front.catalogued)
+    if (day_.deployment.front.has_catalogue)
       feed_port_ = service_ports.at(day_.boxes.size() + 1);
     // One secret for all managers of the day: an address must outlive the process that gave it out.
     if (day_.deployment.hls)
       std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << zero << "\n";
-    if (day_.deployment.front.entitlement.on) {
+    if (day_.deployment.front.entitlement.enabled) {
       keys_port_ = service_ports.back();
       std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << zero << "\n";
       for (int i = 0; i < day_.managers; ++i)
@@ -196,7 +196,7 @@
     std::size_t next = 0;
     Duration longest{0};
     for (const auto& plan : day_.deployment.front.plans)
-      longest = std::max(longest, plan.abandon);
+      longest = std::max(longest, plan.abandon_time);
     const auto give_up = zero + static_cast<std::uint64_t>((day_.length + 4 * longest).count()) + 10'000'000;
     std::optional<int> over;
     while (!(over = viewers.ended())) {
@@ -230,7 +230,7 @@
     if (!code || *code != 0)
       throw Unplayable{"the boxes ended with " + (code ? std::to_string(*code) : std::string("nothing")) +
                        ": see " + folder_};
-    if (day_.deployment.front.entitlement.on)
+    if (day_.deployment.front.entitlement.enabled)
       look_for_leaks(stopped);
     trace_.flush();
   }
@@ -290,7 +290,7 @@
       words.push_back("--feed-port");
       words.push_back(std::to_string(feed_port_));
     }
-    if (day_.deployment.front.entitlement.on) {
+    if (day_.deployment.front.entitlement.enabled) {
       words.insert(words.end(),
                    {"--keys-port", std::to_string(keys_port_), "--peers-key", folder_ + "/peers.key"});
       for (int p = 0; p < day_.managers; ++p) {
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -241,7 +241,7 @@
   if (!words.name.empty())
     front.name = words.name;
   if (words.list_port)
-    front.list_port = *words.list_port;
+    front.box_list_port = *words.list_port;
   if (words.port)
     deployment.listen_port = *words.port;
   if (words.control_port)
@@ -249,7 +249,7 @@
   if (words.feed_port)
     front.feed_port = *words.feed_port;
   if (words.fronts)
-    front.site.front_count = *words.fronts;
+    front.policy.front_count = *words.fronts;
   if (!words.keep_in.empty())
     deployment.keep_in = words.keep_in;
   if (!words.hall.empty()) {
@@ -258,35 +258,36 @@
       std::cerr << "violettide: --hall: the settings have no hall named '" << words.hall << "'\n";
       return 2;
     }
-    front.site.own_hall = static_cast<int>(at - front.halls.begin());
+    front.policy.own_hall = static_cast<int>(at - front.halls.begin());
   }
   if (deployment.hls) {
     const auto& file = words.hls_secrets.empty() ? deployment.hls_secrets_from : words.hls_secrets;
-    if (!take_secrets(file, front.hls.passes.secrets))
+    if (!take_secrets(file, front.hls.url_keys.secrets))
       return 2;
   }
   // Guards against an owner that forgets what it gave out, and numbers its claims as before.
-  if (front.entitlement.on && deployment.keep_in.empty()) {
+  if (front.entitlement.enabled && deployment.keep_in.empty()) {
     std::cerr
         << "violettide: seats take a folder that survives a restart: front(keep_in = ...), or --keep-in\n";
     return 2;
   }
   if (!take_peers(words, deployment.peers_key_from, front.name, front.peers))
     return 2;
-  if (words.number && (*words.number < 0 || *words.number >= front.site.front_count)) {
-    std::cerr << "violettide: --number " << *words.number << ": expected 0 to " << front.site.front_count - 1
-              << ", as there are " << front.site.front_count << " managers\n";
+  if (words.number && (*words.number < 0 || *words.number >= front.policy.front_count)) {
+    std::cerr << "violettide: --number " << *words.number << ": expected 0 to "
+              << front.policy.front_count - 1 << ", as there are " << front.policy.front_count
+              << " managers\n";
     return 2;
   }
   if (words.number)
-    front.site.front_index = *words.number;
-  if (!front.site.front_index && static_cast<int>(front.peers.managers.size()) == front.site.front_count)
-    front.site.front_index = static_cast<int>(front.peers.self);
+    front.policy.front_index = *words.number;
+  if (!front.policy.front_index && static_cast<int>(front.peers.managers.size()) == front.policy.front_count)
+    front.policy.front_index = static_cast<int>(front.peers.self);
   if (words.keys_port)
     front.entitlement.keys_port = *words.keys_port;
-  front.wall_at_zero =
+  front.wall_clock_at_zero =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
-  front.peer_door = front.catalogued ? 2 : 1;
+  front.peer_listener = front.has_catalogue ? 2 : 1;
   const auto kept = deployment.keep_in.empty()
                         ? std::string()
                         : settings::file_text(deployment.keep_in + "/boxes.json").value_or("");
@@ -294,7 +295,7 @@
     const auto who = front.name;
     const auto log = log_to(words.log, who);
     std::unique_ptr<entitlement::SeatLog> seats;
-    if (front.entitlement.on) {
+    if (front.entitlement.enabled) {
       seats = std::make_unique<entitlement::SeatLog>(deployment.keep_in);
       // What no longer matters is left out of the log here, once for each start.
       auto terms = front.entitlement.ledger;
@@ -303,9 +304,10 @@
         terms.peers.push_back(peer.name);
       if (terms.peers.empty())
         terms.peers.push_back(front.name);
-      const auto present = entitlement::Ledger(terms, 0, front.wall_at_zero, seats->records()).snapshot();
-      front.entitlement.restart = seats->restart();
-      front.entitlement.kept = present;
+      const auto present =
+          entitlement::Ledger(terms, 0, front.wall_clock_at_zero, seats->records()).snapshot();
+      front.entitlement.restart_number = seats->restart();
+      front.entitlement.stored_records = present;
       seats->replace_all(present);
       log(Duration(0), LogLine{"seats_restored",
                                {{"records", static_cast<std::int64_t>(present.size())},
@@ -317,7 +319,7 @@
     manager::Manager manager(front, seed, kept, nullptr);
     std::vector<runtime::ListenAddress> doors{{deployment.listen_address, deployment.listen_port}};
     std::unique_ptr<cataloguestore::Store> store;
-    if (front.catalogued) {
+    if (front.has_catalogue) {
       doors.push_back({deployment.control_address, deployment.control_port});
       if (!deployment.keep_in.empty()) {
         store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
@@ -342,7 +344,7 @@
     if (words.log.empty()) {
       std::cerr << "violettide: " << who << " listens at http://" << deployment.listen_address << ":"
                 << ports[0] << "/\n";
-      if (front.catalogued)
+      if (front.has_catalogue)
         std::cerr << "violettide: its catalogue at http://" << deployment.control_address << ":" << ports[1]
                   << "/catalogue\n";
     }
@@ -403,10 +405,10 @@
     TraceFile trace(words.folder, "boxes.trace");
     Later later;
     std::vector<runtime::ListenAddress> doors(day.boxes.size(), {"127.0.0.1", 0});
-    doors.push_back({"127.0.0.1", day.deployment.front.list_port});
-    if (day.deployment.front.catalogued)
+    doors.push_back({"127.0.0.1", day.deployment.front.box_list_port});
+    if (day.deployment.front.has_catalogue)
       doors.push_back({"127.0.0.1", day.deployment.front.feed_port});
-    if (day.deployment.front.entitlement.on)
+    if (day.deployment.front.entitlement.enabled)
       doors.push_back({"127.0.0.1", 0});
     runtime::Loop loop(later, doors, log_to(words.folder.empty() ? "" : words.folder + "/boxes.log", "boxes"),
                        "");
@@ -416,7 +418,7 @@
     auto fleet = std::make_unique<standins::Fleet>(day, ports, into_day(loop.origin_us(), words.zero_us),
                                                    [&](const trace::Passed& record) { trace.put(record); });
     fleet->clock_at(loop.origin_us());
-    if (day.deployment.front.entitlement.on)
+    if (day.deployment.front.entitlement.enabled)
       fleet->issue_by(issuer_in(words.folder, day));
     later.core = std::move(fleet);
     write_ports(words.ports_to, ports);
@@ -457,7 +459,7 @@
     later.core = std::make_unique<standins::Viewers>(day, doors, into_day(loop.origin_us(), words.zero_us),
                                                      loop.origin_us(),
                                                      [&](const trace::Passed& record) { trace.put(record); });
-    if (day.deployment.front.entitlement.on)
+    if (day.deployment.front.entitlement.enabled)
       static_cast<standins::Viewers&>(*later.core)
           .licensed_by(
               issuer_in(words.folder, day),
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -25,7 +25,7 @@
 #include "hls/writer.h"
 #include "http/http.h"
 #include "io/io.h"
-#include "manager/terms.h"
+#include "manager/settings.h"
 #include "peers/peers.h"
 #include "policy/policy.h"
 #include "signed_url/signed_url.h"
@@ -34,50 +34,51 @@
 namespace violettide::manager {
 
 // What a manager holds now, for tests, logs and `bench/`.
-struct Held {
-  std::size_t viewer_links = 0, box_links = 0, playbacks = 0, timers = 0;
-  std::size_t parted = 0;       // sides of playbacks that are over, kept for their players
-  std::size_t lists_bytes = 0;  // of boxes' playlists, kept
+struct ResourceUsage {
+  std::size_t viewer_connections = 0, box_connections = 0, playbacks = 0, timers = 0;
+  std::size_t ended_playbacks = 0;       // sides of playbacks that are over, kept for their players
+  std::size_t playlist_cache_bytes = 0;  // of boxes' playlists, kept
 };
 
 class Manager : public Core {
  public:
   // `cached_list`: the list kept from before, empty if there is none.
-  Manager(FrontTerms terms, std::uint64_t seed, std::string cached_list, std::unique_ptr<Decider> decider);
+  Manager(ManagerSettings terms, std::uint64_t seed, std::string cached_list,
+          std::unique_ptr<Decider> decider);
   ~Manager() override;
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
-  Held held() const;
+  ResourceUsage resource_usage() const;
   // The catalogue, to be restored before the first happening.
-  catalogue::Replica& catalogue() { return keeper_; }
+  catalogue::Replica& catalogue() { return replica_; }
   // The seats, where tokens are asked for and the first happening has been.
   const entitlement::Ledger* seats() const { return ledger_.get(); }
   const entitlement::TokenValidator& token_validator() const { return token_validator_; }
 
  private:
-  enum class Use { idle, set_up, object, probe, list, feed, keys };
-  struct ViewerLink;
-  struct BoxLink;
+  enum class ConnectionPurpose { idle, setup_try, object, probe, box_list, catalogue_feed, token_keys };
+  struct ViewerConnection;
+  struct BoxConnection;
   struct Playback;
-  struct HlsSide;
-  enum class Ring {
-    module,
-    abandon,
-    try_limit,
-    box_limit,
-    silence,
-    list,
-    viewer_stuck,
-    stop,
-    weigh,
-    feed,
-    feed_wait,
-    seats
+  struct HlsState;
+  enum class TimerKind {
+    policy,
+    setup_deadline,
+    try_timeout,
+    box_timeout,
+    playback_idle,
+    box_list_poll,
+    viewer_stalled,
+    shutdown_deadline,
+    weighing_tick,
+    catalogue_feed_poll,
+    feed_long_poll,
+    seats_tick
   };
-  struct Bell {
-    Ring ring = Ring::module;
-    std::uint32_t of = 0;
+  struct Timer {
+    TimerKind kind = TimerKind::policy;
+    std::uint32_t target = 0;
   };
-  using Bells = TimerWheel<Bell>;
+  using Timers = TimerWheel<Timer>;
 
   // ---- what happened on sockets ----
   void on(const Accepted& what);
@@ -91,189 +92,196 @@
   void on(const ConfigReloaded&) {}  // it has no file to read again
   void on(const InputDrained&) {}    // nor does it ask for that
   void on(const ShutdownRequested&);
-  void ring(const Bell& bell);
-  void first_moment();
+  void on_timer(const Timer& bell);
+  void start();
 
   // ---- viewers ----
-  void take_requests(ViewerLink& viewer);
-  void serve(ViewerLink& viewer, http::Request request);
-  void serve_media(ViewerLink& viewer);
-  void drop_viewer(ConnectionId link, bool reset);
-  void viewer_gone(ViewerLink& viewer);
-  void answer(ViewerLink& viewer, int status, const std::string& text, const http::Fields& more = {});
-  void done_with(ViewerLink& viewer);
-  void send_to_viewer(ViewerLink& viewer, std::string bytes);
-  void head_to_viewer(ViewerLink& viewer, BoxLink& box, const http::ResponseHead& head);
+  void process_requests(ViewerConnection& viewer);
+  void handle_request(ViewerConnection& viewer, http::Request request);
+  void dispatch_to_playback(ViewerConnection& viewer);
+  void close_viewer(ConnectionId link, bool reset);
+  void on_viewer_closed(ViewerConnection& viewer);
+  void respond(ViewerConnection& viewer, int status, const std::string& text, const http::Fields& more = {});
+  void finish_response(ViewerConnection& viewer);
+  void send_to_viewer(ViewerConnection& viewer, std::string bytes);
+  void send_response_head(ViewerConnection& viewer, BoxConnection& box, const http::ResponseHead& head);
 
   // ---- playbacks ----
-  static std::string key_of(int plan, const std::string& title, const std::string& who);
-  Playback& admit(ViewerLink& viewer);
-  bool out_and_paid(const Playback& playback) const;
-  void answer_all();
-  void ask(Playback& playback);
-  std::optional<Request> request_for(Playback& playback, const ViewerLink& viewer);
-  void settle(Playback& playback, int status, const std::string& text, const http::Fields& more);
-  void forget(PlaybackId id);
-  void lost(Playback& playback, Outcome outcome);
-  void rest(Playback& playback);
-  int rung_for(const Playback& playback, int asked) const;
+  static std::string playback_key(int plan, const std::string& title, const std::string& who);
+  Playback& find_or_create_playback(ViewerConnection& viewer);
+  bool may_have_been_charged(const Playback& playback) const;
+  void answer_waiting_viewers();
+  void request_setup(Playback& playback);
+  std::optional<Request> make_setup_request(Playback& playback, const ViewerConnection& viewer);
+  void end_with_response(Playback& playback, int status, const std::string& text, const http::Fields& more);
+  void remove_playback(PlaybackId id);
+  void on_box_lost(Playback& playback, Outcome outcome);
+  void restart_idle_timer(Playback& playback);
+  int effective_rung(const Playback& playback, int asked) const;
   double rate_kb(const Playback& playback, int rung) const;
 
   // ---- boxes ----
   void start_try(const SetUp& command);
   void start_probe(ServerId server);
-  void fetch(ViewerLink& viewer, Playback& playback);
-  BoxLink* box_link(ServerId server, Use use, bool anew);
-  void send_request(BoxLink& link, std::string text);
-  void from_box(BoxLink& link, http::ResponseReader::Part part);
-  void object_part(BoxLink& link, http::ResponseReader::Part& part);
-  void try_head(BoxLink& link, const http::ResponseHead& head);
-  void try_ran(BoxLink& link, const http::ResponseHead* head);
-  void try_failed(BoxLink& link, Outcome outcome, std::vector<LogField> more);
-  void box_failed(BoxLink& link, Outcome outcome);
-  void box_time_up(BoxLink& link);
-  void release(BoxLink& link, bool reusable);
-  void hang_box(ConnectionId link);
-  void measure(BoxLink& link, bool whole);
-  void hear_box(BoxLink& link, const http::ResponseHead& head, double rate);
-  http::Fields box_fields(const ViewerLink* viewer, const Playback* playback, bool set_up) const;
+  void fetch_from_box(ViewerConnection& viewer, Playback& playback);
+  BoxConnection* acquire_connection(ServerId server, ConnectionPurpose use, bool anew);
+  void send_request(BoxConnection& link, std::string text);
+  void on_box_response(BoxConnection& link, http::ResponseReader::Part part);
+  void forward_object(BoxConnection& link, http::ResponseReader::Part& part);
+  void on_try_response(BoxConnection& link, const http::ResponseHead& head);
+  void on_try_succeeded(BoxConnection& link, const http::ResponseHead* head);
+  void on_try_failed(BoxConnection& link, Outcome outcome, std::vector<LogField> more);
+  void on_box_failure(BoxConnection& link, Outcome outcome);
+  void on_box_timeout(BoxConnection& link);
+  void release_connection(BoxConnection& link, bool reusable);
+  void close_box_connection(ConnectionId link);
+  void measure_delivery(BoxConnection& link, bool whole);
+  void read_box_hints(BoxConnection& link, const http::ResponseHead& head, double rate);
+  http::Fields box_request_fields(const ViewerConnection* viewer, const Playback* playback,
+                                  bool set_up) const;
 
   // ---- seats ----
-  bool peer_link(ConnectionId link) const { return peers_ && peers_->owns_link(link); }
-  static std::string token_of(const http::Request& request);
-  void entitle(Playback& playback);
-  void renew(Playback& playback, const ViewerLink& viewer);
-  void seats_did(const entitlement::LedgerEvent& event);
-  void seats_time();
-  void seats_kept(const Persisted& what);
-  void peers_said(std::vector<peers::ReceivedMessage> heard);
-  void keys_answered(BoxLink& link, bool whole);
-  void fetch_keys();
-  void do_seat(const entitlement::LedgerAction& act);
+  bool is_peer_connection(ConnectionId link) const { return peers_ && peers_->owns_link(link); }
+  static std::string extract_token(const http::Request& request);
+  void claim_seat(Playback& playback);
+  void renew_token(Playback& playback, const ViewerConnection& viewer);
+  void handle_ledger_event(const entitlement::LedgerEvent& event);
+  void on_seats_tick();
+  void on_seat_records_persisted(const Persisted& what);
+  void on_peer_messages(std::vector<peers::ReceivedMessage> heard);
+  void on_token_keys_response(BoxConnection& link, bool whole);
+  void fetch_token_keys();
+  void execute_ledger_action(const entitlement::LedgerAction& act);
 
   // ---- HLS ----
-  enum class Read { other, taken, answered };
-  Read read_hls(ViewerLink& viewer);
-  Read read_pass(ViewerLink& viewer, std::string_view path, std::string_view query);
-  bool adopt(ViewerLink& viewer);
-  void part(Playback& playback, hls::EndReason how, Duration come_back = Duration(0));
-  void hls_side(Playback& playback);
-  std::string box_target(ViewerLink& viewer, Playback& playback, BoxLink& link);
-  bool steer(ViewerLink& viewer, Playback& playback);
-  void collect(BoxLink& link, http::ResponseReader::Part& part);
-  void list_whole(BoxLink& link);
-  void list_unusable(BoxLink& link, const std::string& cause);
-  std::variant<std::string, hls::PlaylistError> lists_text(ViewerLink& viewer, Playback& playback,
-                                                           const std::string& target, std::string text);
-  std::variant<std::string, hls::PlaylistError> media_text(const ViewerLink& viewer, Playback& playback,
-                                                           ServerId server, const std::string& target,
-                                                           std::string text);
-  std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> read_list(
+  enum class HlsRequestResult { not_hls, accepted, answered };
+  HlsRequestResult parse_hls_request(ViewerConnection& viewer);
+  HlsRequestResult parse_signed_url_request(ViewerConnection& viewer, std::string_view path,
+                                            std::string_view query);
+  bool adopt_playback(ViewerConnection& viewer);
+  void record_ended_playback(Playback& playback, hls::EndReason how, Duration come_back = Duration(0));
+  void attach_hls_state(Playback& playback);
+  std::string box_request_target(ViewerConnection& viewer, Playback& playback, BoxConnection& link);
+  bool admit_hls_request(ViewerConnection& viewer, Playback& playback);
+  void collect_playlist(BoxConnection& link, http::ResponseReader::Part& part);
+  void on_playlist_complete(BoxConnection& link);
+  void on_playlist_invalid(BoxConnection& link, const std::string& cause);
+  std::variant<std::string, hls::PlaylistError> rewrite_multivariant_playlist(ViewerConnection& viewer,
+                                                                              Playback& playback,
+                                                                              const std::string& target,
+                                                                              std::string text);
+  std::variant<std::string, hls::PlaylistError> rewrite_media_playlist(const ViewerConnection& viewer,
+                                                                       Playback& playback, ServerId server,
+                                                                       const std::string& target,
+                                                                       std::string text);
+  std::variant<std::shared_ptr<const hls::MediaPlaylist>, hls::PlaylistError> parse_or_reuse_playlist(
       ServerId server, const std::string& target, std::string text, const hls::Variables& variables);
-  hls::RewrittenUri place_at(const hls::Variables& variables, ServerId server, const std::string& base,
-                             std::string_view uri, hls::Tag of) const;
-  hls::RewrittenUri address_of(const ViewerLink& viewer, const Playback& playback, ServerId server, int rung,
-                               const std::string& base, const hls::Variables& variables, std::string_view uri,
-                               hls::Tag of);
-  std::string rendition_address(const ViewerLink& viewer, const Playback& playback, int rung, bool steady,
-                                bool flat, const std::string& place);
-  std::string address(signed_url::Claims pass);
-  int rung_of(const Playback& playback, std::uint64_t bandwidth) const;
-  void answer_list(ViewerLink& viewer, const Playback& playback, const std::string& text);
-  Duration wall() const { return terms_.wall_at_zero + now_; }
+  hls::RewrittenUri resolve_at_box(const hls::Variables& variables, ServerId server, const std::string& base,
+                                   std::string_view uri, hls::Tag of) const;
+  hls::RewrittenUri rewrite_playlist_uri(const ViewerConnection& viewer, const Playback& playback,
+                                         ServerId server, int rung, const std::string& base,
+                                         const hls::Variables& variables, std::string_view uri, hls::Tag of);
+  std::string rendition_url(const ViewerConnection& viewer, const Playback& playback, int rung, bool steady,
+                            bool flat, const std::string& place);
+  std::string sign_url(signed_url::Claims pass);
+  int nearest_rung(const Playback& playback, std::uint64_t bandwidth) const;
+  void respond_with_playlist(ViewerConnection& viewer, const Playback& playback, const std::string& text);
+  Duration wall_clock() const { return settings_.wall_clock_at_zero + now_; }
 
   // ---- the list ----
-  void poll_list();
-  void list_answered(BoxLink& link, bool whole);
-  void take_list(boxlist::ListUpdate news, const char* source);
+  void poll_box_list();
+  void on_box_list_response(BoxConnection& link, bool whole);
+  void apply_box_list(boxlist::ListUpdate news, const char* source);
 
   // ---- the catalogue ----
-  struct Control;
-  void control_requests(Control& control);
-  void control_reply(Control& control, const cataloguewire::Reply& reply);
-  void control_gone(ConnectionId link);
-  void keeper_did(std::vector<catalogue::ReplicaAction> actions);
-  void holders_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole);
-  void hold_anew(Playback& playback);
-  void take_back(Playback& playback);
-  void wake_feeds();
-  void poll_feed();
-  void feed_answered(BoxLink& link, bool whole);
-  const catalogue::Entry* entry_of(const Playback& playback) const;
-  BoxLink& service_link(Use use, const std::string& address, std::uint16_t port, const std::string& target,
-                        const std::string& etag, Duration limit);
-  std::vector<catalogue::ReplicationCandidate> wanting();
+  struct ControlConnection;
+  void process_control_requests(ControlConnection& control);
+  void send_control_reply(ControlConnection& control, const cataloguewire::Reply& reply);
+  void on_control_closed(ConnectionId link);
+  void execute_replica_actions(std::vector<catalogue::ReplicaAction> actions);
+  void on_recordings_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole);
+  void update_holders(Playback& playback);
+  void cancel_unsent_try(Playback& playback);
+  void answer_waiting_feeds();
+  void poll_catalogue_feed();
+  void on_catalogue_feed_response(BoxConnection& link, bool whole);
+  const catalogue::Entry* catalogue_entry(const Playback& playback) const;
+  BoxConnection& request_from_service(ConnectionPurpose use, const std::string& address, std::uint16_t port,
+                                      const std::string& target, const std::string& etag, Duration limit);
+  std::vector<catalogue::ReplicationCandidate> replication_candidates();
 
   // ---- the module ----
-  void tell(const Event& event);
-  void carry_out();
-  void carry_out(const Command& command);
-  void heed(hints::Weighed weighed, ServerId server);
+  void post_event(const Event& event);
+  void process_events();
+  void execute(const Command& command);
+  void apply_weighing(hints::Weighed weighed, ServerId server);
 
-  Bells::Handle arm(Duration in, Ring ring, std::uint32_t of) {
-    return bells_.schedule(now_ + in, {ring, of});
+  Timers::Handle start_timer(Duration in, TimerKind ring, std::uint32_t of) {
+    return timers_.schedule(now_ + in, {ring, of});
   }
-  void say(std::string event, std::vector<LogField> fields = {});
+  void log_event(std::string event, std::vector<LogField> fields = {});
   // Guards against fronts, and viewers turned away together, falling into step: a quarter off, either way.
-  Duration spread(Duration period) { return period * (75 + static_cast<int>(chance_() % 51)) / 100; }
-  http::Fields come_back_soon();
-  std::int64_t said_id(PlaybackId id) const { return static_cast<std::int64_t>(id); }
+  Duration jittered(Duration period) { return period * (75 + static_cast<int>(random_() % 51)) / 100; }
+  http::Fields short_retry_after();
+  std::int64_t log_id(PlaybackId id) const { return static_cast<std::int64_t>(id); }
 
-  FrontTerms terms_;
+  ManagerSettings settings_;
   std::unique_ptr<Decider> decider_;
-  std::minstd_rand chance_;
-  boxlist::BoxList list_;
+  std::minstd_rand random_;
+  boxlist::BoxList box_list_;
   hints::Weighing weighing_;
-  std::string cached_list_;
-  Bells bells_;
-  std::vector<Bell> rung_;
+  std::string cached_box_list_;
+  Timers timers_;
+  std::vector<Timer> expired_timers_;
   Duration now_{0};
   std::vector<Action>* actions_ = nullptr;
-  Duration still_until_{0}, say_stood_still_{0};
-  bool began_ = false, stopping_ = false;
-  std::optional<Duration> wake_at_;
+  Duration stall_recovery_until_{0}, stall_to_log_{0};
+  bool started_ = false, shutting_down_ = false;
+  std::optional<Duration> next_wakeup_;
   std::deque<Event> events_;
-  std::set<ConnectionId> reread_;  // viewers whose pipelined requests may be read now
-  std::unordered_map<ConnectionId, std::unique_ptr<ViewerLink>> viewers_;
-  std::unordered_map<ConnectionId, std::unique_ptr<BoxLink>> boxes_;
-  std::vector<std::vector<ConnectionId>> idle_;  // by server: links that wait for use, the latest last
-  std::vector<std::size_t> links_of_;            // by server
+  std::set<ConnectionId> viewers_to_read_;  // viewers whose pipelined requests may be read now
+  std::unordered_map<ConnectionId, std::unique_ptr<ViewerConnection>> viewer_connections_;
+  std::unordered_map<ConnectionId, std::unique_ptr<BoxConnection>> box_connections_;
+  std::vector<std::vector<ConnectionId>>
+      idle_connections_;                       // by server: links that wait for use, the latest last
+  std::vector<std::size_t> open_connections_;  // by server
   std::unordered_map<PlaybackId, std::unique_ptr<Playback>> playbacks_;
-  std::unordered_map<std::string, PlaybackId> by_key_;
-  std::unordered_map<ConnectionId, PlaybackId> by_link_;  // playbacks known by their connection alone
-  std::unordered_map<std::string, TitleId> titles_;
+  std::unordered_map<std::string, PlaybackId> playback_by_key_;
+  std::unordered_map<ConnectionId, PlaybackId>
+      playback_by_connection_;  // playbacks known by their connection alone
+  std::unordered_map<std::string, TitleId> title_ids_;
   std::map<TitleId, std::uint32_t> title_uses_;
-  std::vector<TitleId> free_titles_;
+  std::vector<TitleId> free_title_ids_;
   PlaybackId next_playback_ = 0;
-  ConnectionId next_link_ = 1;
-  catalogue::Replica keeper_;
+  ConnectionId next_connection_ = 1;
+  catalogue::Replica replica_;
   catalogue::Demand demand_;
-  std::map<ConnectionId, std::unique_ptr<Control>> controls_;
+  std::map<ConnectionId, std::unique_ptr<ControlConnection>> control_connections_;
   std::map<catalogue::RecordingId, std::set<PlaybackId>>
-      asking_;  // that wait for a set-up, or are out for one
-  bool feed_out_ = false, feed_whole_ = false;
+      setups_by_recording_;  // that wait for a set-up, or are out for one
+  bool feed_request_pending_ = false, feed_snapshot_needed_ = false;
   std::unique_ptr<entitlement::Ledger> ledger_;
   entitlement::TokenValidator token_validator_;
   std::unique_ptr<peers::Peers> peers_;
-  std::map<entitlement::SeatKey, PlaybackId> by_seat_;
-  std::set<PlaybackId> wait_for_keys_;
-  bool seats_disk_failed_ = false;
-  signed_url::KeyRing keys_;
-  hls::EndedPlaybacks departures_;
-  std::map<std::string, std::unique_ptr<HlsSide>>
-      parted_;  // by key; what a player that comes back goes on from
-  std::deque<std::string> parted_order_;
-  struct KeptList {
-    std::shared_ptr<const hls::MediaPlaylist> media;
-    std::uint64_t used = 0;
+  std::map<entitlement::SeatKey, PlaybackId> playback_by_seat_;
+  std::set<PlaybackId> awaiting_keys_;
+  bool seat_persistence_failed_ = false;
+  signed_url::KeyRing url_keys_;
+  hls::EndedPlaybacks ended_playbacks_;
+  std::map<std::string, std::unique_ptr<HlsState>>
+      ended_hls_states_;  // by key; what a player that comes back goes on from
+  std::deque<std::string> ended_hls_order_;
+  struct CachedPlaylist {
+    std::shared_ptr<const hls::MediaPlaylist> playlist;
+    std::uint64_t last_use = 0;
   };
-  std::map<std::pair<ServerId, std::string>, KeptList> lists_read_;
-  std::map<std::uint64_t, std::pair<ServerId, std::string>> lists_used_;
-  std::uint64_t list_uses_ = 0;
-  std::size_t lists_bytes_ = 0;
-  std::uint64_t sids_ = 0;
-  std::string list_etag_;
-  bool list_out_ = false;
+  std::map<std::pair<ServerId, std::string>, CachedPlaylist> playlist_cache_;
+  std::map<std::uint64_t, std::pair<ServerId, std::string>> playlist_lru_;
+  std::uint64_t playlist_uses_ = 0;
+  std::size_t playlist_cache_bytes_ = 0;
+  std::uint64_t issued_session_ids_ = 0;
+  std::string box_list_etag_;
+  bool box_list_pending_ = false;
 };
 
 }  // namespace violettide::manager
--- a/src/manager/seats_door.cpp
+++ b/src/manager/manager_seats.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "entitlement/seat_codec/seat_codec.h"
-#include "manager/inside.h"
+#include "manager/manager_internal.h"
 
 namespace violettide::manager {
 
@@ -31,7 +31,7 @@
 
 // Where a token may stand: the Authorization field (RFC 6750), and field, cookie or argument by the name
 // that CTA-5007 gives to common access tokens.
-std::string Manager::token_of(const http::Request& request) {
+std::string Manager::extract_token(const http::Request& request) {
   if (const auto* field = http::find(request.fields, "Authorization")) {
     if (field->size() > 7 && http::same_name(field->substr(0, 7), "Bearer "))
       return field->substr(7);
@@ -53,25 +53,25 @@
   return "";
 }
 
-void Manager::entitle(Playback& playback) {
-  auto& viewer = *viewers_.at(playback.askers.front());
+void Manager::claim_seat(Playback& playback) {
+  auto& viewer = *viewer_connections_.at(playback.waiting_viewers.front());
   if (viewer.token.empty() && playback.hls)
     viewer.token = playback.hls->token;
   const auto refuse = [&](int status, const std::string& cause, const std::string& error) {
-    say("token_refused", {{"playback", said_id(playback.id)}, {"cause", cause}});
-    settle(playback, status, "token: " + cause + "\n",
-           {{"WWW-Authenticate", "Bearer error=\"" + error + "\""}});
+    log_event("token_refused", {{"playback", log_id(playback.id)}, {"cause", cause}});
+    end_with_response(playback, status, "token: " + cause + "\n",
+                      {{"WWW-Authenticate", "Bearer error=\"" + error + "\""}});
   };
   if (viewer.token.empty())
     return refuse(401, "none was shown", "invalid_request");
   const auto judged = token_validator_.validate(
-      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+      wall_clock(), {viewer.token, settings_.plans[playback.plan].name, playback.title, playback.key});
   if (std::holds_alternative<entitlement::AwaitingKeys>(judged)) {
-    wait_for_keys_.insert(playback.id);
-    fetch_keys();
+    awaiting_keys_.insert(playback.id);
+    fetch_token_keys();
     // The issuer was asked not long ago and did not answer: to wait for the next time would hold this one up.
     if (!token_validator_.fetching())
-      settle(playback, 503, "rejected: the issuer's keys can't be had now\n", come_back_soon());
+      end_with_response(playback, 503, "rejected: the issuer's keys can't be had now\n", short_retry_after());
     return;
   }
   if (const auto* bad = std::get_if<entitlement::InvalidToken>(&judged)) {
@@ -83,32 +83,32 @@
   const auto& good = std::get<entitlement::ValidToken>(judged);
   playback.token = viewer.token;
   playback.seat = entitlement::SeatKey{good.team, good.viewer_session};
-  by_seat_[*playback.seat] = playback.id;
-  seats_did(entitlement::SeatClaimed{*playback.seat, good.seats, good.issued, good.until});
+  playback_by_seat_[*playback.seat] = playback.id;
+  handle_ledger_event(entitlement::SeatClaimed{*playback.seat, good.seats, good.issued, good.until});
 }
 
 // A newer token on a request of what plays already: nothing of that is touched, whatever comes of it.
-void Manager::renew(Playback& playback, const ViewerLink& viewer) {
+void Manager::renew_token(Playback& playback, const ViewerConnection& viewer) {
   if (viewer.token.empty() || viewer.token == playback.token || !playback.seat)
     return;
   const auto judged = token_validator_.validate(
-      wall(), {viewer.token, terms_.plans[playback.plan].name, playback.title, playback.key});
+      wall_clock(), {viewer.token, settings_.plans[playback.plan].name, playback.title, playback.key});
   if (std::holds_alternative<entitlement::AwaitingKeys>(judged))
-    return fetch_keys();
+    return fetch_token_keys();
   const auto* good = std::get_if<entitlement::ValidToken>(&judged);
   if (!good || entitlement::SeatKey{good->team, good->viewer_session} != *playback.seat) {
     const auto* bad = std::get_if<entitlement::InvalidToken>(&judged);
-    say("renewal_refused",
-        {{"playback", said_id(playback.id)},
-         {"cause", bad ? std::string(entitlement::describe(bad->error)) : "of another seat"}});
+    log_event("renewal_refused",
+              {{"playback", log_id(playback.id)},
+               {"cause", bad ? std::string(entitlement::describe(bad->error)) : "of another seat"}});
     return;
   }
   playback.token = viewer.token;
-  seats_did(entitlement::SeatClaimed{*playback.seat, good->seats, good->issued, good->until});
+  handle_ledger_event(entitlement::SeatClaimed{*playback.seat, good->seats, good->issued, good->until});
 }
 
-void Manager::seats_did(const entitlement::LedgerEvent& event) {
-  const auto actions = ledger_->handle(wall(), event);
+void Manager::handle_ledger_event(const entitlement::LedgerEvent& event) {
+  const auto actions = ledger_->handle(wall_clock(), event);
   // What one step keeps is kept together, and before anything that it lets go on.
   std::string bytes;
   std::uint64_t last = 0;
@@ -124,136 +124,140 @@
   if (last != 0)
     actions_->push_back(Persist{first_seat_ticket + last, std::move(bytes), false});
   for (const auto& act : actions)
-    do_seat(act);
+    execute_ledger_action(act);
 }
 
-void Manager::do_seat(const entitlement::LedgerAction& act) {
+void Manager::execute_ledger_action(const entitlement::LedgerAction& act) {
   const auto of = [&](const entitlement::SeatKey& key) -> Playback* {
-    const auto known = by_seat_.find(key);
-    const auto found = known == by_seat_.end() ? playbacks_.end() : playbacks_.find(known->second);
+    const auto known = playback_by_seat_.find(key);
+    const auto found = known == playback_by_seat_.end() ? playbacks_.end() : playbacks_.find(known->second);
     return found == playbacks_.end() ? nullptr : found->second.get();
   };
   if (const auto* admit = std::get_if<entitlement::Admit>(&act)) {
     auto* playback = of(admit->key);
-    if (!playback || !playback->request || playback->playing)
+    if (!playback || !playback->pending_request || playback->playing)
       return;
-    say("seat_given",
-        {{"playback", said_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.viewer_session}});
-    tell(*std::exchange(playback->request, std::nullopt));
+    log_event(
+        "seat_given",
+        {{"playback", log_id(playback->id)}, {"team", admit->key.team}, {"who", admit->key.viewer_session}});
+    post_event(*std::exchange(playback->pending_request, std::nullopt));
   } else if (const auto* away = std::get_if<entitlement::RejectClaim>(&act)) {
     auto* playback = of(away->key);
     if (!playback || playback->playing)
       return;
     using Reason = entitlement::RejectClaim::Reason;
-    const Duration longest = terms_.entitlement.longest_come_back;
+    const Duration longest = settings_.entitlement.max_retry_after;
     const Duration come_back =
         std::clamp(away->retry_after, Duration(1'000'000), std::max(Duration(1'000'000), longest));
     const auto* cause = away->reason == Reason::no_free_seat      ? "its team has no free seat"
                         : away->reason == Reason::owner_timed_out ? "its team's seats can't be counted now"
                         : away->reason == Reason::too_many_claims ? "too many seats are asked for"
                                                                   : "its token is past its time";
-    say("seat_refused",
-        {{"playback", said_id(playback->id)}, {"team", away->key.team}, {"cause", std::string(cause)}});
-    part(*playback, hls::EndReason::rejected, come_back);
-    settle(*playback, 503, std::string("rejected: ") + cause + "\n",
-           {{"Retry-After", std::to_string((come_back.count() + 999'999) / 1'000'000)}});
+    log_event("seat_refused",
+              {{"playback", log_id(playback->id)}, {"team", away->key.team}, {"cause", std::string(cause)}});
+    record_ended_playback(*playback, hls::EndReason::rejected, come_back);
+    end_with_response(*playback, 503, std::string("rejected: ") + cause + "\n",
+                      {{"Retry-After", std::to_string((come_back.count() + 999'999) / 1'000'000)}});
   } else if (const auto* end = std::get_if<entitlement::EndPlayback>(&act)) {
     auto* playback = of(end->key);
     if (!playback)
       return;
     const bool lapsed = end->reason == entitlement::EndPlayback::Reason::expired;
     const auto id = playback->id;
-    say("seat_ended", {{"playback", said_id(id)},
-                       {"cause", std::string(lapsed ? "its token's time" : "at another manager")}});
+    log_event("seat_ended", {{"playback", log_id(id)},
+                             {"cause", std::string(lapsed ? "its token's time" : "at another manager")}});
     if (playback->playing) {
-      tell(TryEnded{id, playback->server, Outcome::served, true, {}});
-      part(*playback, hls::EndReason::idle);
-      return forget(id);
+      post_event(TryEnded{id, playback->server, Outcome::served, true, {}});
+      record_ended_playback(*playback, hls::EndReason::idle);
+      return remove_playback(id);
     }
-    tell(RequestCancelled{id});
-    if (playback->try_link) {
-      hang_box(playback->try_link);
-      playback->try_link = 0;
-      tell(TryEnded{id, playback->server, Outcome::cancelled, true, {}});
+    post_event(RequestCancelled{id});
+    if (playback->try_connection) {
+      close_box_connection(playback->try_connection);
+      playback->try_connection = 0;
+      post_event(TryEnded{id, playback->server, Outcome::cancelled, true, {}});
     }
-    settle(*playback, 409, lapsed ? "the token's time is up\n" : "this playback went to another manager\n",
-           {});
+    end_with_response(*playback, 409,
+                      lapsed ? "the token's time is up\n" : "this playback went to another manager\n", {});
   } else if (const auto* message = std::get_if<entitlement::SendToPeer>(&act)) {
     if (peers_)
       peers_->send(now_, message->to, seat_words, entitlement::encode(message->message), *actions_);
   }
 }
 
-void Manager::peers_said(std::vector<peers::ReceivedMessage> heard) {
+void Manager::on_peer_messages(std::vector<peers::ReceivedMessage> heard) {
   for (const auto& remark : peers_->take_warnings())
-    say("peer_refused", {{"cause", remark}});
+    log_event("peer_refused", {{"cause", remark}});
   for (const auto& one : heard) {
     if (one.kind != seat_words || !ledger_)
       continue;
     const auto message = entitlement::decode_message(one.payload);
     if (message)
-      seats_did(entitlement::MessageReceived{one.from, *message});
+      handle_ledger_event(entitlement::MessageReceived{one.from, *message});
     else
-      say("peer_refused", {{"cause", "no word of seats from " + terms_.peers.managers[one.from].name}});
+      log_event("peer_refused",
+                {{"cause", "no word of seats from " + settings_.peers.managers[one.from].name}});
   }
 }
 
-void Manager::seats_kept(const Persisted& what) {
+void Manager::on_seat_records_persisted(const Persisted& what) {
   if (!what.error.empty()) {
     // No later record stands for one that was not kept: from here on no seat is given.
-    if (!std::exchange(seats_disk_failed_, true))
-      say("seats_not_kept", {{"cause", what.error}});
+    if (!std::exchange(seat_persistence_failed_, true))
+      log_event("seats_not_kept", {{"cause", what.error}});
     return;
   }
-  if (!seats_disk_failed_)
-    seats_did(entitlement::RecordsPersisted{what.ticket - first_seat_ticket});
+  if (!seat_persistence_failed_)
+    handle_ledger_event(entitlement::RecordsPersisted{what.ticket - first_seat_ticket});
 }
 
-void Manager::seats_time() {
-  arm(terms_.entitlement.every, Ring::seats, 0);
+void Manager::on_seats_tick() {
+  start_timer(settings_.entitlement.tick_interval, TimerKind::seats_tick, 0);
   if (peers_) {
     peers_->on_tick(now_, *actions_);
-    peers_said({});  // what it remarked meanwhile
+    on_peer_messages({});  // what it remarked meanwhile
   }
   if (!ledger_)
     return;
-  fetch_keys();
-  seats_did(entitlement::Ticked{});
+  fetch_token_keys();
+  handle_ledger_event(entitlement::Ticked{});
 }
 
-void Manager::fetch_keys() {
-  const auto& terms = terms_.entitlement;
-  if (terms.keys_port == 0 || !token_validator_.start_fetch_if_due(wall()))
+void Manager::fetch_token_keys() {
+  const auto& terms = settings_.entitlement;
+  if (terms.keys_port == 0 || !token_validator_.start_fetch_if_due(wall_clock()))
     return;
-  service_link(Use::keys, terms.keys_address, terms.keys_port, terms.keys_path, "", Duration(2'000'000));
+  request_from_service(ConnectionPurpose::token_keys, terms.keys_address, terms.keys_port, terms.keys_path,
+                       "", Duration(2'000'000));
 }
 
-void Manager::keys_answered(BoxLink& link, bool whole) {
+void Manager::on_token_keys_response(BoxConnection& link, bool whole) {
   const auto body = std::move(link.body);
-  const int status = link.head_seen ? link.status : 0;
-  hang_box(link.link);
+  const int status = link.head_received ? link.status : 0;
+  close_box_connection(link.id);
   if (whole && status == 200) {
     std::vector<std::string> left_out;
-    token_validator_.on_keys_received(wall(), body, left_out);
+    token_validator_.on_keys_received(wall_clock(), body, left_out);
     for (const auto& what : left_out)
-      say("key_left_out", {{"cause", what}});
+      log_event("key_left_out", {{"cause", what}});
   } else {
     token_validator_.on_keys_failed();
-    say("keys_failed", {{"status", std::int64_t{status}}});
+    log_event("keys_failed", {{"status", std::int64_t{status}}});
   }
   // Those who waited for this answer are judged by what is known now.
-  const auto waiting = std::exchange(wait_for_keys_, {});
+  const auto waiting = std::exchange(awaiting_keys_, {});
   for (const auto id : waiting) {
     const auto found = playbacks_.find(id);
-    if (found == playbacks_.end() || found->second->askers.empty())
+    if (found == playbacks_.end() || found->second->waiting_viewers.empty())
       continue;
     if (token_validator_.keys() > 0) {
-      entitle(*found->second);
-      if (!wait_for_keys_.contains(id))
+      claim_seat(*found->second);
+      if (!awaiting_keys_.contains(id))
         continue;
-      wait_for_keys_.erase(id);
+      awaiting_keys_.erase(id);
     }
-    settle(*found->second, 503, "rejected: the issuer's keys can't be had now\n", come_back_soon());
+    end_with_response(*found->second, 503, "rejected: the issuer's keys can't be had now\n",
+                      short_retry_after());
   }
 }
 
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -146,7 +146,7 @@
   Deployment made;
   Mistakes mistakes;
   auto& front = made.front;
-  auto& site = front.site;
+  auto& site = front.policy;
   const Call* ladder = nullptr;
   const Call* fleet = nullptr;
   const Call* objects = nullptr;
@@ -177,7 +177,7 @@
       terms.floor = static_cast<int>(call.whole("floor"));
       terms.top = static_cast<int>(call.whole("top"));
       terms.seats = static_cast<int>(call.whole("seats"));
-      if (plan.abandon < terms.startup_target)
+      if (plan.abandon_time < terms.startup_target)
         wrong(call.place_of("abandon"), "viewers would leave before the startup target");
       if (plan.name.empty() || plan.name.find('/') != std::string::npos)
         wrong(call.place_of("name"), "a plan's name is a part of a path");
@@ -197,11 +197,11 @@
       fleet = &call;
       site.cells = static_cast<int>(call.whole("cells"));
       site.racks = static_cast<int>(call.whole("racks"));
-      front.copies = static_cast<int>(call.whole("copies"));
+      front.default_cell_count = static_cast<int>(call.whole("copies"));
       made.link_kb = site.link_kb_per_weight = call.kb_per_s("link");
       made.uplink_kb = site.uplink_kb = call.kb_per_s("uplink");
       site.has_weights = call.flag("weights_told");
-      if (front.copies > site.cells)
+      if (front.default_cell_count > site.cells)
         wrong(call.place_of("copies"), "more copies than cells");
     } else if (call.name == "rules") {
       site.warmup_time = call.span("cold");
@@ -217,16 +217,16 @@
     } else if (call.name == "probes") {
       site.probes_enabled = call.flag("allowed");
       site.probe_cost = call.number("price");
-      front.probe_limit = call.span("limit");
+      front.probe_timeout = call.span("limit");
     } else if (call.name == "objects") {
       objects = &call;
-      front.object_length = call.span("length");
+      front.object_duration = call.span("length");
       site.measurement_delay = call.span("note_lag");
       site.switch_cost = call.span("switch_cost");
     } else if (call.name == "box_list") {
-      front.list_address = call.text("address");
-      front.list_port = static_cast<std::uint16_t>(call.whole("port"));
-      front.list_every = call.span("every");
+      front.box_list_address = call.text("address");
+      front.box_list_port = static_cast<std::uint16_t>(call.whole("port"));
+      front.box_list_interval = call.span("every");
     } else if (call.name == "listen") {
       made.listen_address = call.text("address");
       made.listen_port = static_cast<std::uint16_t>(call.whole("port"));
@@ -234,11 +234,11 @@
       made.control_address = call.text("address");
       made.control_port = static_cast<std::uint16_t>(call.whole("port"));
     } else if (call.name == "catalogue") {
-      front.catalogued = true;
+      front.has_catalogue = true;
       front.feed_address = call.text("feed_address");
       front.feed_port = static_cast<std::uint16_t>(call.whole("feed_port"));
       front.feed_wait = call.span("feed_wait");
-      front.keeper.min_remaining_share = call.number("shrink_believed");
+      front.replica.min_remaining_share = call.number("shrink_believed");
     } else if (call.name == "front") {
       own = &call;
       front.name = call.text("name");
@@ -246,36 +246,36 @@
       site.cross_hall_cost = call.number("crossing_price");
       made.keep_in = call.text("keep_in");
     } else if (call.name == "limits") {
-      front.viewer_links = static_cast<std::size_t>(call.whole("viewer_links"));
-      front.links_per_box = static_cast<std::size_t>(call.whole("links_per_box"));
-      front.idle_links_per_box = static_cast<std::size_t>(call.whole("idle_links_per_box"));
-      front.most_unsent = static_cast<std::size_t>(call.whole("unsent"));
-      front.http.header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
-      front.http.fields = static_cast<std::size_t>(call.whole("fields"));
-      front.connect_limit = call.span("connect");
-      front.silence = call.span("silence");
-      front.stop_limit = call.span("stop");
+      front.max_viewer_connections = static_cast<std::size_t>(call.whole("viewer_links"));
+      front.max_connections_per_box = static_cast<std::size_t>(call.whole("links_per_box"));
+      front.max_idle_connections_per_box = static_cast<std::size_t>(call.whole("idle_links_per_box"));
+      front.max_unsent_bytes = static_cast<std::size_t>(call.whole("unsent"));
+      front.http_limits.header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
+      front.http_limits.fields = static_cast<std::size_t>(call.whole("fields"));
+      front.connect_timeout = call.span("connect");
+      front.idle_timeout = call.span("silence");
+      front.shutdown_timeout = call.span("stop");
     } else if (call.name == "hls") {
       made.hls = true;
       made.hls_secrets_from = call.text("secrets_from");
       auto& terms = front.hls;
-      terms.passes.secrets = call.texts("secrets");
-      for (const auto& secret : terms.passes.secrets) {
+      terms.url_keys.secrets = call.texts("secrets");
+      for (const auto& secret : terms.url_keys.secrets) {
         if (secret.empty())
           wrong(call.place_of("secrets"), "an empty secret signs nothing");
       }
-      terms.direct = call.flag("direct");
-      terms.passes.lifetime = call.span("lifetime");
-      terms.passes.key_period = call.span("period");
-      terms.most_readers = static_cast<int>(call.whole("players"));
-      terms.playlists.bytes = static_cast<std::size_t>(call.whole("list_bytes"));
-      terms.playlists.segments = static_cast<std::size_t>(call.whole("list_segments"));
-      terms.lists_kept_bytes = static_cast<std::size_t>(call.whole("kept_bytes"));
-      terms.show.raise_delay_targets = call.number("steady");
-      terms.show.unlisted_grace_targets = call.number("grace");
+      terms.direct_segments = call.flag("direct");
+      terms.url_keys.lifetime = call.span("lifetime");
+      terms.url_keys.key_period = call.span("period");
+      terms.max_players = static_cast<int>(call.whole("players"));
+      terms.playlist_limits.bytes = static_cast<std::size_t>(call.whole("list_bytes"));
+      terms.playlist_limits.segments = static_cast<std::size_t>(call.whole("list_segments"));
+      terms.playlist_cache_bytes = static_cast<std::size_t>(call.whole("kept_bytes"));
+      terms.rung_policy.raise_delay_targets = call.number("steady");
+      terms.rung_policy.unlisted_grace_targets = call.number("grace");
     } else if (call.name == "entitlement") {
       auto& terms = front.entitlement;
-      terms.on = true;
+      terms.enabled = true;
       terms.token_validator.issuer = call.text("issuer");
       terms.token_validator.audience = call.text("audience");
       terms.token_validator.skew = terms.ledger.skew = call.span("skew");
@@ -290,7 +290,7 @@
       terms.keys_address = call.text("keys_address");
       terms.keys_port = static_cast<std::uint16_t>(call.whole("keys_port"));
       terms.keys_path = call.text("keys_path");
-      terms.longest_come_back = call.span("longest_come_back");
+      terms.max_retry_after = call.span("longest_come_back");
     } else if (call.name == "peer") {
       for (const auto& other : front.peers.managers) {
         if (other.name == call.text("name"))
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -1,13 +1,13 @@
 // A deployment out of its settings script: what the module and the manager read, and where to listen.
 #pragma once
 
-#include "manager/terms.h"
+#include "manager/settings.h"
 #include "settings/script.h"
 
 namespace violettide::settings {
 
 struct Deployment {
-  manager::FrontTerms front;
+  manager::ManagerSettings front;
   std::string listen_address = "127.0.0.1";
   std::uint16_t listen_port = 0;
   std::string control_address = "127.0.0.1";  // of the catalogue's resource
--- a/src/standins/day.cpp
+++ b/src/standins/day.cpp
@@ -110,9 +110,9 @@
 }
 
 bool holds(const Day& day, const BoxTerms& box, std::string_view title) {
-  const auto at = manager::holders_of(day.deployment.front, title);
-  const int cells = std::max(1, day.deployment.front.site.cells);
-  return (box.cell - at.first_cell % cells + cells) % cells < at.cells;
+  const auto at = manager::holder_cells(day.deployment.front, title);
+  const int cells = std::max(1, day.deployment.front.policy.cells);
+  return (box.cell - at.first_cell % cells + cells) % cells < at.cell_count;
 }
 
 std::variant<settings::Deployment, settings::Mistakes> read_settings(const std::string& path,
@@ -163,14 +163,14 @@
   day.length = said_day->span("length");
   day.seed = static_cast<std::uint32_t>(said_day->whole("seed"));
   day.managers = static_cast<int>(said_day->whole("managers"));
-  day.deployment.front.site.front_count = day.managers;
+  day.deployment.front.policy.front_count = day.managers;
   day.list_lag = said_boxes->span("list_lag");
   day.setup_time = said_boxes->span("setup_time");
   day.pace = said_boxes->number("pace");
   day.vary = said_boxes->number("vary");
   day.live_titles = said_boxes->number("live_titles");
   std::minstd_rand chance(day.seed + 1);
-  const auto& site = day.deployment.front.site;
+  const auto& site = day.deployment.front.policy;
   const double spread = said_boxes->number("spread");
   const auto count = static_cast<int>(said_boxes->whole("count"));
   for (int i = 0; i < count; ++i) {
@@ -206,7 +206,7 @@
   for (const auto& call : read.calls) {
     if (call.name != "issuer")
       continue;
-    if (!day.deployment.front.entitlement.on)
+    if (!day.deployment.front.entitlement.enabled)
       wrong(call.place, "the settings lack 'entitlement'");
     day.issuer.rotate = call.span("rotate");
     day.issuer.token_life = call.span("token_life");
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -216,7 +216,7 @@
 }
 
 double Fleet::warmth(const Box& box) const {
-  const auto& site = day_.deployment.front.site;
+  const auto& site = day_.deployment.front.policy;
   if (!box.cold || site.warmup_time <= 0s)
     return 1;
   const double age = seconds(day_now() - box.started) / seconds(site.warmup_time);
@@ -242,7 +242,7 @@
 }
 
 double Fleet::asked_of(int number) const {
-  const auto& site = day_.deployment.front.site;
+  const auto& site = day_.deployment.front.policy;
   double asked = 0;
   for (const auto& [sid, session] : boxes_[number].sessions)
     asked += site.rung_kb[session.rung] * site.plans[session.plan].rate_scale;
@@ -252,7 +252,7 @@
 // More set-ups within the stated time than a cold process stands.
 bool Fleet::pushed_over(int number) {
   auto& box = boxes_[number];
-  const auto& site = day_.deployment.front.site;
+  const auto& site = day_.deployment.front.policy;
   if (!box.cold || day_now() - box.started >= site.warmup_time)
     return false;
   const Duration fall = day_.deployment.fall;
@@ -269,7 +269,7 @@
     box.told_at = day_now();
     box.told_util = asked_of(number) / std::max(1.0, link_of(number));
     box.told_streams = static_cast<std::int64_t>(box.sessions.size());
-    const auto racks = std::max(1, day_.deployment.front.site.racks);
+    const auto racks = std::max(1, day_.deployment.front.policy.racks);
     double asked = 0;
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
       if (day_.boxes[i].cell % racks == day_.boxes[number].cell % racks)
@@ -355,9 +355,9 @@
   manager::MediaPath as_hls;
   if (peer.hls)
     as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
-  const auto path = manager::read_path(day_.deployment.front, request.target);
+  const auto path = manager::parse_media_path(day_.deployment.front, request.target);
   const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
-  if (!media || media->rung >= static_cast<int>(day_.deployment.front.site.rung_kb.size()))
+  if (!media || media->rung >= static_cast<int>(day_.deployment.front.policy.rung_kb.size()))
     return answer(link, peer, 404, {}, "", actions);
   peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
   const auto hints = hints::read_cmcd(request.fields, request.target).hints;
@@ -387,7 +387,7 @@
   }
   const bool full = peer.set_up &&
                     static_cast<double>(box.sessions.size()) >=
-                        day_.deployment.front.site.streams_by_kind[day_.boxes[number].kind] &&
+                        day_.deployment.front.policy.streams_by_kind[day_.boxes[number].kind] &&
                     !box.sessions.contains(peer.sid);
   peer.status = full ? 503 : !peer.set_up && !box.sessions.contains(peer.sid) ? 421 : 200;
   if (peer.set_up && !full)
@@ -431,14 +431,14 @@
       return;
     }
   }
-  const double rate = front.site.rung_kb[peer.rung] * front.site.plans[peer.plan].rate_scale * 1000;
+  const double rate = front.policy.rung_kb[peer.rung] * front.policy.plans[peer.plan].rate_scale * 1000;
   const double varied = 1 + day_.vary * (static_cast<double>(chance_() % 2001) / 1000 - 1);
-  const auto size = static_cast<std::uint64_t>(rate * varied * seconds(front.object_length));
+  const auto size = static_cast<std::uint64_t>(rate * varied * seconds(front.object_duration));
   peer.left = static_cast<double>(size);
   peer.rate = rate * varied * day_.pace;
   hints::CmsdStatic fixed;
   fixed.bitrate = std::llround(rate * 8 / 1000);
-  fixed.object_duration = front.object_length.count() / 1000;
+  fixed.object_duration = front.object_duration.count() / 1000;
   fixed.object_type = "v";
   fixed.stream_type = "v";
   actions.push_back(Send{link, http::head_text(200,
@@ -500,7 +500,7 @@
     if (peer.busy && peer.head_sent && !mute(peer.door))
       asked[peer.door] += peer.rate / 1000;
   }
-  const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.front.site.racks));
+  const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.front.policy.racks));
   std::vector<double> share(boxes_.size(), 1), rack_asked(racks, 0);
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
     if (asked[i] > 0)
@@ -545,7 +545,7 @@
   for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
     std::erase_if(boxes_[i].sessions, [&](const auto& entry) {
       return now_ - entry.second.seen >
-             std::max(day_.deployment.front.silence, 4 * day_.deployment.front.object_length);
+             std::max(day_.deployment.front.idle_timeout, 4 * day_.deployment.front.object_duration);
     });
   }
 }
@@ -619,18 +619,18 @@
 // ---- the catalogue's origin ----
 
 void Fleet::begin_catalogue() {
-  if (!day_.deployment.front.catalogued)
+  if (!day_.deployment.front.has_catalogue)
     return;
   catalogue::ReplicaConfig terms;
   terms.log_capacity = 32;  // short, so that a manager that was away meets a log that no longer reaches back
   catalogue_ = std::make_unique<catalogue::Replica>(
       terms, [](std::string_view) { return ServerId{0}; },
-      static_cast<int>(day_.deployment.front.site.rung_kb.size()));
+      static_cast<int>(day_.deployment.front.policy.rung_kb.size()));
   std::vector<catalogue::Change> all;
   for (int t = 0; t < day_.viewers.titles; ++t) {
     const auto title = "recording-" + std::to_string(t);
     catalogue::Recording recording{title, {}, {}};
-    const auto& site = day_.deployment.front.site;
+    const auto& site = day_.deployment.front.policy;
     for (int rung = 0; rung < static_cast<int>(site.rung_kb.size()); ++rung)
       recording.renditions.push_back(
           {"r" + std::to_string(rung), rung, "avc1", site.rung_kb[rung], std::chrono::minutes(3)});
--- a/src/standins/hls_origin.cpp
+++ b/src/standins/hls_origin.cpp
@@ -57,9 +57,9 @@
     path.replace(audio, 5, "/r0/");
     made.audio = true;
   }
-  const auto read = manager::read_path(day.deployment.front, path);
+  const auto read = manager::parse_media_path(day.deployment.front, path);
   const auto* media = std::get_if<manager::MediaPath>(&read);
-  if (!media || media->rung >= static_cast<int>(day.deployment.front.site.rung_kb.size()))
+  if (!media || media->rung >= static_cast<int>(day.deployment.front.policy.rung_kb.size()))
     return std::nullopt;
   made.plan = media->plan;
   made.rung = media->rung;
@@ -87,7 +87,7 @@
 }
 
 std::int64_t newest_segment(const Day& day, Duration day_now) {
-  return (day_now + before_day) / day.deployment.front.object_length - 1;
+  return (day_now + before_day) / day.deployment.front.object_duration - 1;
 }
 
 bool lacks(std::int64_t segment) { return segment % gap_every == gap_at; }
@@ -95,7 +95,7 @@
 std::string lists_of(const Day& day, const HlsPath& path, const ListIlls& ills) {
   if (ills.nonsense > 0)
     return nonsense(ills.nonsense);
-  const auto& site = day.deployment.front.site;
+  const auto& site = day.deployment.front.policy;
   std::string text =
       "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-INDEPENDENT-SEGMENTS\n"
       "#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"aud\",NAME=\"Original\",DEFAULT=YES,AUTOSELECT=YES,"
@@ -112,7 +112,7 @@
 std::string media_of(const Day& day, const HlsPath& path, Duration day_now, const ListIlls& ills) {
   if (ills.nonsense > 0)
     return nonsense(ills.nonsense);
-  const double length = std::chrono::duration<double>(day.deployment.front.object_length).count();
+  const double length = std::chrono::duration<double>(day.deployment.front.object_duration).count();
   char duration[32];
   std::snprintf(duration, sizeof duration, "#EXTINF:%.3f,\n", length);
   std::string text = "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-TARGETDURATION:" +
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -173,7 +173,7 @@
     // What still plays when the day is long over is left; what is being set up is waited for.
     Duration over = day_.length;
     for (const auto& plan : day_.deployment.front.plans)
-      over = std::max(over, day_.length + plan.abandon);
+      over = std::max(over, day_.length + plan.abandon_time);
     for (auto& [number, viewer] : viewers_) {
       if (day_now() > over && viewer.state != State::over && viewer.state != State::asking)
         leave(viewer, actions, "the day is over");
@@ -212,7 +212,7 @@
             : std::lower_bound(zipf_.begin(), zipf_.end(), draw() * zipf_.back()) - zipf_.begin();
   viewer.title = "recording-" + std::to_string(title);
   viewer.hall = static_cast<int>(draw() * static_cast<double>(day_.deployment.front.halls.size()));
-  const auto& plan = day_.deployment.front.site.plans[viewer.plan];
+  const auto& plan = day_.deployment.front.policy.plans[viewer.plan];
   viewer.top = plan.top;
   if (draw() < terms.small_screens)
     viewer.top = std::max(plan.floor, plan.top - 1);
@@ -241,18 +241,18 @@
   hints::Cmcd said;
   said.session_id = viewer.sid;
   said.object_type = hints::ObjectType::video;
-  said.object_duration = front.object_length.count() / 1000;
+  said.object_duration = front.object_duration.count() / 1000;
   said.startup = viewer.first;
   said.stream_type = hints::StreamType::recorded;
-  const auto& plan = front.site.plans[viewer.plan];
-  said.top_bitrate = std::llround(front.site.rung_kb[viewer.top] * plan.rate_scale * 8) + 1;
+  const auto& plan = front.policy.plans[viewer.plan];
+  said.top_bitrate = std::llround(front.policy.rung_kb[viewer.top] * plan.rate_scale * 8) + 1;
   if (!viewer.first) {
     said.buffer_length = static_cast<std::int64_t>(viewer.buffer_s * 10) * 100;
     said.buffer_starved = std::exchange(viewer.starved, false);
     if (viewer.throughput > 0)
       said.measured_throughput = std::llround(viewer.throughput * 8 / 100) * 100;
   }
-  auto target = viewer.hls ? viewer.hls_ask.target : manager::path_text(front, path, viewer.top);
+  auto target = viewer.hls ? viewer.hls_ask.target : manager::format_media_path(front, path, viewer.top);
   if (viewer.hls) {
     said.format = hints::StreamingFormat::hls;
     if (viewer.hls_ask.kind != HlsPlayer::Ask::Kind::segment)
@@ -340,7 +340,7 @@
   }
   if (viewer.first)
     put(trace::Passed::ASKED, viewer);
-  const Duration patience = day_.deployment.front.plans[viewer.plan].abandon;
+  const Duration patience = day_.deployment.front.plans[viewer.plan].abandon_time;
   arm(viewer, viewer.first ? patience : 3 * patience, Bell::patience);
 }
 
@@ -359,14 +359,14 @@
       viewer.retry_after = std::atoi(wait->c_str());
     const auto said = hints::read_cmsd(http::joined(part.head->fields, "CMSD-Static"),
                                        http::joined(part.head->fields, "CMSD-Dynamic"));
-    const auto& rates = day_.deployment.front.site.rung_kb;
+    const auto& rates = day_.deployment.front.policy.rung_kb;
     if (!said.hops.empty() && said.hops.back().max_suggested_bitrate)
       viewer.suggested_bits = static_cast<double>(*said.hops.back().max_suggested_bitrate) * 1000;
     if (const auto* again = http::find(part.head->fields, "Content-Location"); again && viewer.hls)
       viewer.hls->lists_again_at(*again);
     if (said.fixed && said.fixed->bitrate) {
       const double kb = static_cast<double>(*said.fixed->bitrate) / 8 /
-                        day_.deployment.front.site.plans[viewer.plan].rate_scale;
+                        day_.deployment.front.policy.plans[viewer.plan].rate_scale;
       viewer.rung = static_cast<int>(
           std::min_element(rates.begin(), rates.end(),
                            [&](double a, double b) { return std::fabs(a - kb) < std::fabs(b - kb); }) -
@@ -376,7 +376,7 @@
       put(trace::Passed::ANSWERED, viewer, viewer.status);
       // It plays: patience is for the set-up; a body that stalls is left later.
       if (viewer.status == 200)
-        arm(viewer, 3 * day_.deployment.front.plans[viewer.plan].abandon, Bell::patience);
+        arm(viewer, 3 * day_.deployment.front.plans[viewer.plan].abandon_time, Bell::patience);
     }
   }
   viewer.bytes += part.body.size();
@@ -414,13 +414,13 @@
 
 void Viewers::object_whole(Viewer& viewer, std::vector<Action>& actions) {
   drain_buffer(viewer);
-  const double length = seconds(day_.deployment.front.object_length);
+  const double length = seconds(day_.deployment.front.object_duration);
   viewer.throughput =
       static_cast<double>(viewer.bytes) / 1000 / std::max(0.001, seconds(now_ - viewer.sent_at));
   viewer.ever_played = true;
   viewer.first = false;
   viewer.buffer_s += length;
-  viewer.left_to_watch -= day_.deployment.front.object_length;
+  viewer.left_to_watch -= day_.deployment.front.object_duration;
   ++viewer.object;
   put(trace::Passed::OBJECT, viewer, viewer.status);
   if (viewer.left_to_watch <= 0s)
@@ -436,11 +436,11 @@
   if (!viewer.hls)
     return;
   const auto& front = day_.deployment.front;
-  const auto& plan = front.site.plans[viewer.plan];
+  const auto& plan = front.policy.plans[viewer.plan];
   const auto lists = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
                      http::percent_encoded(viewer.title) + "/index.m3u8";
   viewer.hls = std::make_unique<HlsPlayer>(
-      lists, front.site.rung_kb[viewer.top] * plan.rate_scale * 8000 * (1 + 1e-6));
+      lists, front.policy.rung_kb[viewer.top] * plan.rate_scale * 8000 * (1 + 1e-6));
   viewer.hls_ask = {HlsPlayer::Ask::Kind::lists, lists};
   viewer.goes_on = false;
 }
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -111,10 +111,10 @@
   const auto make = [&](int i, std::string cached) -> Core& {
     auto front = day.deployment.front;
     front.name = "m" + std::to_string(i);
-    front.list_port = Network::port(0, boxes);
+    front.box_list_port = Network::port(0, boxes);
     managers.push_back(std::make_unique<manager::Manager>(
         front, 7 + static_cast<std::uint64_t>(i), std::move(cached),
-        std::make_unique<Bent>(front.site, 7 + static_cast<std::uint64_t>(i), bend)));
+        std::make_unique<Bent>(front.policy, 7 + static_cast<std::uint64_t>(i), bend)));
     outer.emplace_back(*managers.back(), tamper);
     trace::Passed started;
     started.set_at_us(static_cast<std::uint64_t>(net.now().count()));
@@ -141,7 +141,7 @@
   net.run(net.now() + 20s);  // for every silence to be over
   for (const auto& manager : managers) {
     if (manager == managers.back() || !deeds)
-      played.held += manager->held().playbacks;
+      played.held += manager->resource_usage().playbacks;
   }
   played.verdict = audit::check(day, played.records);
   return played;
@@ -432,7 +432,7 @@
   auto day = day_of(
       "day(length = s(4))\nboxes(count = 3)\nviewers(per_second = 1, least_watch = s(1), most_watch = "
       "s(2))\n");
-  day.deployment.front.entitlement.on = true;
+  day.deployment.front.entitlement.enabled = true;
   day.issuer.seats = 1;
   std::vector<Passed> records{passed(Passed::STARTED, 0, "")};
   const auto playback = [&](const std::string& sid, int from, int to, const std::string& team = "red") {
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -533,22 +533,22 @@
   int set_ups = 0;
 
   CatalogueChanges() {
-    manager::FrontTerms terms;
-    terms.site.rung_kb = {10, 20};
-    terms.site.rung_revenue = {0.5, 1};
-    terms.site.plans.resize(1);
-    terms.site.plans[0] = {800ms, false, 1, 1, 0, 1, 0};
-    terms.site.streams_by_kind = {50};
-    terms.site.has_weights = true;
-    terms.site.link_kb_per_weight = 10000;
-    terms.site.max_tries = 4;
-    terms.site.cells = 3;
+    manager::ManagerSettings terms;
+    terms.policy.rung_kb = {10, 20};
+    terms.policy.rung_revenue = {0.5, 1};
+    terms.policy.plans.resize(1);
+    terms.policy.plans[0] = {800ms, false, 1, 1, 0, 1, 0};
+    terms.policy.streams_by_kind = {50};
+    terms.policy.has_weights = true;
+    terms.policy.link_kb_per_weight = 10000;
+    terms.policy.max_tries = 4;
+    terms.policy.cells = 3;
     terms.plans = {{"a", 3s}};
     terms.halls = {"h"};
-    terms.list_port = Network::port(list_host);
-    terms.list_every = 200ms;
-    terms.catalogued = true;
-    terms.silence = 1s;
+    terms.box_list_port = Network::port(list_host);
+    terms.box_list_interval = 200ms;
+    terms.has_catalogue = true;
+    terms.idle_timeout = 1s;
     front = std::make_unique<manager::Manager>(terms, 1, "", nullptr);
     net.add(*front, 2);
     for (int b = 0; b < 3; ++b) {
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -20,22 +20,22 @@
 
   void SetUp() override {
     terms.name = "m";
-    terms.site.rung_kb = {12.5, 25, 50};  // 100, 200 and 400 kbit/s
-    terms.site.rung_revenue = {0.5, 0.8, 1};
-    terms.site.plans.resize(3);
-    for (auto& plan : terms.site.plans)
+    terms.policy.rung_kb = {12.5, 25, 50};  // 100, 200 and 400 kbit/s
+    terms.policy.rung_revenue = {0.5, 0.8, 1};
+    terms.policy.plans.resize(3);
+    for (auto& plan : terms.policy.plans)
       plan.startup_target = 800ms, plan.top = 2;
-    terms.site.plans[0].floor = 0;
-    terms.site.plans[1].pay_at_setup = true;
-    terms.site.plans[2].floor = 1;
-    terms.site.plans[2].seats = 2;
+    terms.policy.plans[0].floor = 0;
+    terms.policy.plans[1].pay_at_setup = true;
+    terms.policy.plans[2].floor = 1;
+    terms.policy.plans[2].seats = 2;
     terms.plans = {{"a", 4s}, {"paid", 4s}, {"seated", 4s}};
     terms.halls = {"h"};
-    terms.site.cells = 2;
-    terms.list_port = Network::port(3);
-    terms.silence = 3s;
-    terms.hls.passes.secrets = {"secret"};
-    terms.wall_at_zero = 1000h;
+    terms.policy.cells = 2;
+    terms.box_list_port = Network::port(3);
+    terms.idle_timeout = 3s;
+    terms.hls.url_keys.secrets = {"secret"};
+    terms.wall_clock_at_zero = 1000h;
     front = make();
     net.add(*front, 1);
     net.add(box[0], 1);
@@ -199,7 +199,7 @@
   std::vector<std::string> asked[2], heads[2];
   bool mute[2] = {false, false};
   std::string more_fields;
-  FrontTerms terms;
+  ManagerSettings terms;
   std::unique_ptr<Manager> front;
   std::vector<Event> told;
   std::map<PlaybackId, int> tries;
@@ -233,14 +233,14 @@
   EXPECT_EQ(heads[0].back().find("su"), std::string::npos) << "no set-up";
   EXPECT_EQ(told_of<PlaybackStarted>().size(), 1u);
   EXPECT_EQ(told_of<Request>().size(), 1u);
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
   const auto audio = lists.body.substr(lists.body.find("URI=\"") + 5);
   EXPECT_EQ(get(audio.substr(0, audio.find('"'))).body, recorded(5));
   // It plays on while its buffer lasts, then its room goes back.
   net.run(net.now() + 6500ms);
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
   net.run(net.now() + 4s);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_TRUE(told_of<TryEnded>()[0].playback_over);
 }
@@ -260,12 +260,12 @@
   EXPECT_EQ(answer(third).body, "r1/1");
   EXPECT_EQ(told_of<TryEnded>().size(), 1u) << "at the silent box";
   EXPECT_EQ(told_of<PlaybackStarted>().size(), 1u);
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
 }
 
 TEST_F(Front, MalformedAndHostileListsAreOneClearOutcome) {
   std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  terms.hls.playlists.bytes = 20'000;
+  terms.hls.playlist_limits.bytes = 20'000;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -305,7 +305,7 @@
     EXPECT_EQ(get("/paid/t/index.m3u8").status, 502);
     decide = {};
   }
-  EXPECT_LE(front->held().box_links, 2 * terms.idle_links_per_box);
+  EXPECT_LE(front->resource_usage().box_connections, 2 * terms.max_idle_connections_per_box);
 }
 
 TEST_F(Front, AMediaListThatIsNoneMovesThePlayback) {
@@ -319,7 +319,7 @@
   EXPECT_EQ(uris(moved.body).size(), 6u);
   EXPECT_TRUE(said("playlist_malformed"));
   EXPECT_EQ(told_of<Request>().size(), 2u) << "lost at one box, placed at another";
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
 }
 
 TEST_F(Front, ALiveWindowGoesOnAtTheNextBox) {
@@ -442,7 +442,7 @@
   const auto paid = uris(get("/paid/t/index.m3u8", sid).body)[0];
   const auto seated = uris(get("/seated/t/index.m3u8", sid).body)[0];
   net.run(net.now() + 20s);
-  ASSERT_EQ(front->held().playbacks, 0u) << "all fell silent";
+  ASSERT_EQ(front->resource_usage().playbacks, 0u) << "all fell silent";
   told.clear();
   EXPECT_EQ(get(beside(plain, "s1.m4s")).body, "r0/1") << "a player that was paused goes on";
   EXPECT_EQ(told_of<Request>().size(), 1u);
@@ -475,8 +475,8 @@
   const auto paid = uris(get("/paid/t/index.m3u8", sid).body)[1];
   const auto seated = uris(get("/seated/t/index.m3u8", sid).body)[0];
   net.kill(front_host);
-  terms.hls.passes.secrets = {"new", "secret"};
-  terms.wall_at_zero += 1h;
+  terms.hls.url_keys.secrets = {"new", "secret"};
+  terms.wall_clock_at_zero += 1h;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -502,8 +502,8 @@
 }
 
 TEST_F(Front, ExpiredAddressesKeepWhatPlaysAndBringNothingBack) {
-  terms.hls.passes.lifetime = 10s;
-  terms.hls.passes.clock_skew = 0s;
+  terms.hls.url_keys.lifetime = 10s;
+  terms.hls.url_keys.clock_skew = 0s;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -515,7 +515,7 @@
   }
   EXPECT_EQ(get(media).status, 200) << "it plays; its address is past its time";
   net.run(net.now() + 20s);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
   EXPECT_EQ(get(media).status, 410);
 }
 
@@ -539,8 +539,8 @@
 }
 
 TEST_F(Front, WhatIsKeptOfListsAndOfPlaybacksThatAreOverIsBounded) {
-  terms.hls.lists_kept_bytes = 5'000;
-  terms.hls.parted_kept = 3;
+  terms.hls.playlist_cache_bytes = 5'000;
+  terms.hls.max_ended_playbacks = 3;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -548,12 +548,12 @@
     const auto title = "t" + std::to_string(i);
     lay("a", title, recorded(20));
     EXPECT_EQ(get(uris(get("/a/" + title + "/index.m3u8", sid).body)[0]).status, 200);
-    EXPECT_LE(front->held().lists_bytes, 5'000u);
-    EXPECT_GT(front->held().lists_bytes, 0u);
+    EXPECT_LE(front->resource_usage().playlist_cache_bytes, 5'000u);
+    EXPECT_GT(front->resource_usage().playlist_cache_bytes, 0u);
   }
   net.run(net.now() + 20s);
-  EXPECT_EQ(front->held().playbacks, 0u);
-  EXPECT_EQ(front->held().parted, 3u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().ended_playbacks, 3u);
 }
 
 TEST_F(Front, AListThatBringsNothingNewIsTold) {
@@ -579,11 +579,12 @@
   EXPECT_NE(made.head.find("Content-Encoding: gzip"), std::string::npos)
       << made.status << made.head << made.body.size();
   EXPECT_TRUE(gzip::decompress(made.body, 1 << 24) == text);
-  EXPECT_GT(front->held().lists_bytes, text.size()) << "read once, kept for the next who asks";
+  EXPECT_GT(front->resource_usage().playlist_cache_bytes, text.size())
+      << "read once, kept for the next who asks";
 }
 
 TEST_F(Front, StraightToTheBoxWhereTheSettingsSaySo) {
-  terms.hls.direct = true;
+  terms.hls.direct_segments = true;
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
@@ -601,14 +602,14 @@
     EXPECT_EQ(manifest.status, 200);
     EXPECT_NE(manifest.body.find("\"TTL\":2"), std::string::npos) << manifest.body;
   }
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
   net.run(net.now() + 10s);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
   EXPECT_EQ(get(steering).status, 410);
 }
 
 TEST_F(Front, WithoutASecretThereIsNoSecondFront) {
-  terms.hls.passes.secrets.clear();
+  terms.hls.url_keys.secrets.clear();
   front = make();
   net.replace(front_host, *front);
   net.run(net.now() + 100ms);
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -21,19 +21,19 @@
 
   void SetUp() override {
     terms.name = "m";
-    terms.site.rung_kb = {10, 20, 40};
-    terms.site.rung_revenue = {0.5, 0.8, 1};
-    terms.site.plans.resize(2);
-    for (auto& plan : terms.site.plans)
+    terms.policy.rung_kb = {10, 20, 40};
+    terms.policy.rung_revenue = {0.5, 0.8, 1};
+    terms.policy.plans.resize(2);
+    for (auto& plan : terms.policy.plans)
       plan.startup_target = 800ms, plan.top = 2;
-    terms.site.plans[0].floor = 1;
-    terms.site.plans[1].pay_at_setup = true;
+    terms.policy.plans[0].floor = 1;
+    terms.policy.plans[1].pay_at_setup = true;
     terms.plans = {{"a", 4s}, {"paid", 4s}};
     terms.halls = {"h"};
-    terms.site.cells = 2;
-    terms.list_port = Network::port(list_host);
-    terms.silence = 3s;
-    terms.viewer_links = 8;
+    terms.policy.cells = 2;
+    terms.box_list_port = Network::port(list_host);
+    terms.idle_timeout = 3s;
+    terms.max_viewer_connections = 8;
     auto script = std::make_unique<Script>(&told, [this](Duration now, const Event& event) {
       return decide ? decide(now, event) : place(event);
     });
@@ -107,7 +107,7 @@
 
   Network net;
   ScriptedPeer box, other_box, list, viewer;
-  FrontTerms terms;
+  ManagerSettings terms;
   std::unique_ptr<Manager> front;
   std::vector<Event> told;
   std::map<PlaybackId, int> tries;
@@ -227,7 +227,7 @@
   send(link, get("/a/t/r2/0"));
   EXPECT_TRUE(got(link).starts_with("HTTP/1.1 503")) << got(link);
   EXPECT_NE(got(link).find("Retry-After: 2\r\n"), std::string::npos);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
 }
 
 TEST_F(Mishaps, ACrowdTurnedAwayTogetherIsNotToldOneTime) {
@@ -274,7 +274,7 @@
 }
 
 TEST_F(Mishaps, OneTooManyThatWaitsForAPaidTryIsNotToldToGoElsewhere) {
-  terms.viewer_links = 40;
+  terms.max_viewer_connections = 40;
   auto script =
       std::make_unique<Script>(&told, [this](Duration, const Event& event) { return place(event); });
   front = std::make_unique<Manager>(terms, 1, "", std::move(script));
@@ -335,7 +335,7 @@
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_EQ(told_of<TryEnded>()[0].outcome, Outcome::cancelled);
   EXPECT_TRUE(box.peers[box.accepted[0]].ended);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
 }
 
 TEST_F(Mishaps, AViewerThatOnlyWritesNoMoreIsNotWithdrawn) {
@@ -365,7 +365,7 @@
     box_sends(box, box_host, box.accepted[i], object("o" + std::to_string(i)));
   EXPECT_TRUE(got(second).ends_with("o1"));
   EXPECT_TRUE(got(third).ends_with("o2"));
-  EXPECT_EQ(front->held().playbacks, 1u);
+  EXPECT_EQ(front->resource_usage().playbacks, 1u);
 }
 
 TEST_F(Mishaps, TooManyWaitersForOneSetUpAreTurnedAway) {
@@ -381,7 +381,7 @@
   act(viewer_host);
   EXPECT_TRUE(got(over).starts_with("HTTP/1.1 503")) << got(over);
   EXPECT_TRUE(viewer.peers[over].half_closed);
-  EXPECT_EQ(front->held().viewer_links, 8u);
+  EXPECT_EQ(front->resource_usage().viewer_connections, 8u);
 }
 
 TEST_F(Mishaps, LaterObjectsFollowTheRungAndTheFloor) {
@@ -442,7 +442,7 @@
   EXPECT_TRUE(viewer.peers[link].ended);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_EQ(told_of<TryEnded>()[0].outcome, Outcome::reset);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
 }
 
 TEST_F(Mishaps, AKeptConnectionThatDiedIsTriedOnceMore) {
@@ -487,9 +487,9 @@
        "GET /a/t/r2/1 HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"s1\"\r\nCMCD-Request: bl=6000\r\n\r\n");
   box_sends(box, box_host, box.accepted[0], object("y"));
   net.run(net.now() + 5s);
-  EXPECT_EQ(front->held().playbacks, 1u) << "six seconds are in its buffer";
+  EXPECT_EQ(front->resource_usage().playbacks, 1u) << "six seconds are in its buffer";
   net.run(net.now() + 4s);
-  EXPECT_EQ(front->held().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
   ASSERT_EQ(told_of<TryEnded>().size(), 1u);
   EXPECT_EQ(told_of<TryEnded>()[0].outcome, Outcome::served);
 }
@@ -503,7 +503,7 @@
   box_sends(box, box_host, box.accepted[0], object("y"));
   viewer.next.push_back(Close{link, false});
   act(viewer_host);
-  EXPECT_EQ(front->held().playbacks, 0u) << "it ends with the connection";
+  EXPECT_EQ(front->resource_usage().playbacks, 0u) << "it ends with the connection";
   EXPECT_EQ(told_of<TryEnded>().size(), 1u);
 }
 
@@ -516,10 +516,10 @@
   box_sends(box, box_host, box.accepted[0], "HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n");
   for (int i = 0; i < 64; ++i)
     box_sends(box, box_host, box.accepted[0], block);
-  EXPECT_LE(net.unread_bytes(viewer_host), terms.most_unsent + 2 * block.size());
+  EXPECT_LE(net.unread_bytes(viewer_host), terms.max_unsent_bytes + 2 * block.size());
   EXPECT_EQ(told_of<TryEnded>().size(), 0u) << "the box is not blamed";
   net.run(net.now() + 20s);
-  EXPECT_EQ(front->held().viewer_links, 0u) << "it may read nothing for so long only";
+  EXPECT_EQ(front->resource_usage().viewer_connections, 0u) << "it may read nothing for so long only";
 }
 
 TEST_F(Mishaps, WhatCameWhileItStoodStillIsReadBeforeItIsLate) {
@@ -565,7 +565,7 @@
     act(viewer_host);
   }
   EXPECT_EQ(told_of<Request>().size(), 0u);
-  EXPECT_EQ(front->held().viewer_links, 0u);
+  EXPECT_EQ(front->resource_usage().viewer_connections, 0u);
 }
 
 TEST_F(Mishaps, PipelinedRequestsAreAnsweredInOrder) {
@@ -633,8 +633,8 @@
       return {};
     return {violettide::SetUp{request->playback, 0, 60s}};
   };
-  terms.plans[0].abandon = terms.plans[1].abandon = 60s;
-  terms.stop_limit = 1s;
+  terms.plans[0].abandon_time = terms.plans[1].abandon_time = 60s;
+  terms.shutdown_timeout = 1s;
   auto script = std::make_unique<Script>(
       &told, [this](Duration now, const Event& event) { return decide(now, event); });
   front = std::make_unique<Manager>(terms, 1, "", std::move(script));
@@ -669,9 +669,9 @@
     viewer.next.push_back(Close{link, false});
   act(viewer_host);
   net.run(net.now() + 30s);
-  EXPECT_EQ(front->held().playbacks, 0u);
-  EXPECT_EQ(front->held().viewer_links, 0u);
-  EXPECT_LE(front->held().timers, 3u) << "the list's, the weighing's and no other";
+  EXPECT_EQ(front->resource_usage().playbacks, 0u);
+  EXPECT_EQ(front->resource_usage().viewer_connections, 0u);
+  EXPECT_LE(front->resource_usage().timers, 3u) << "the list's, the weighing's and no other";
 }
 
 // Forty managers of one hall that start at one moment with the list they kept: how many of their polls fall
@@ -680,12 +680,12 @@
   Network net;
   ScriptedPeer list;
   constexpr int fronts = 40;
-  FrontTerms terms;
+  ManagerSettings terms;
   terms.plans = {{"a", 4s}};
-  terms.site.plans.resize(1);
-  terms.site.rung_kb = {10};
+  terms.policy.plans.resize(1);
+  terms.policy.rung_kb = {10};
   terms.halls = {"h"};
-  terms.list_port = Network::port(fronts);
+  terms.box_list_port = Network::port(fronts);
   std::vector<std::unique_ptr<Manager>> managers;
   for (std::uint64_t seed = 1; seed <= fronts; ++seed) {
     managers.push_back(std::make_unique<Manager>(terms, seed, testing::two_boxes, nullptr));
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -157,27 +157,27 @@
   int number(int least, int most) { return std::uniform_int_distribution<int>(least, most)(chance_); }
 
   std::unique_ptr<manager::Manager> make(int front, bool again) {
-    manager::FrontTerms terms;
+    manager::ManagerSettings terms;
     terms.name = "m" + std::to_string(front);
-    terms.site.rung_kb = {10};
-    terms.site.rung_revenue = {1};
-    terms.site.plans.resize(2);
-    for (auto& plan : terms.site.plans)
+    terms.policy.rung_kb = {10};
+    terms.policy.rung_revenue = {1};
+    terms.policy.plans.resize(2);
+    for (auto& plan : terms.policy.plans)
       plan.startup_target = 1500ms;
-    terms.site.plans[1].pay_at_setup = true;
-    terms.site.streams_by_kind = {50};
-    terms.site.link_kb_per_weight = 1e5;
-    terms.site.cells = 2;
-    terms.site.front_count = fronts;
-    terms.site.front_index = front;
-    terms.site.max_tries = 3;
-    terms.site.max_retry_after = 1s;
+    terms.policy.plans[1].pay_at_setup = true;
+    terms.policy.streams_by_kind = {50};
+    terms.policy.link_kb_per_weight = 1e5;
+    terms.policy.cells = 2;
+    terms.policy.front_count = fronts;
+    terms.policy.front_index = front;
+    terms.policy.max_tries = 3;
+    terms.policy.max_retry_after = 1s;
     terms.plans = {{"free", abandon}, {"paid", abandon}};
     terms.halls = {"h"};
-    terms.copies = 2;
-    terms.list_port = Network::port(list_host);
-    terms.silence = 1s;
-    terms.stop_limit = 800ms;
+    terms.default_cell_count = 2;
+    terms.box_list_port = Network::port(list_host);
+    terms.idle_timeout = 1s;
+    terms.shutdown_timeout = 800ms;
     const auto kept = again ? net_.file(front, "boxes.json").value_or("") : std::string();
     return std::make_unique<manager::Manager>(terms, static_cast<std::uint64_t>(front * 100 + lives_[front]),
                                               kept, nullptr);
--- a/tests/program/runtime_test.cpp
+++ b/tests/program/runtime_test.cpp
@@ -503,12 +503,12 @@
    private:
     bool dialled_ = false;
   };
-  manager::FrontTerms terms;
+  manager::ManagerSettings terms;
   terms.plans = {{"a", 2s}};
-  terms.site.plans.resize(1);
-  terms.site.plans[0].startup_target = 500ms;
-  terms.site.rung_kb = {10};
-  terms.site.max_retry_after = 2s;
+  terms.policy.plans.resize(1);
+  terms.policy.plans[0].startup_target = 500ms;
+  terms.policy.rung_kb = {10};
+  terms.policy.max_retry_after = 2s;
   terms.halls = {"h"};
   Viewer viewer;
   viewer.front = std::make_unique<manager::Manager>(terms, 1, "", nullptr);
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -64,27 +64,27 @@
     };
   }
   std::unique_ptr<Manager> make(int m, std::uint32_t restart, std::vector<entitlement::Record> kept) {
-    FrontTerms terms;
+    ManagerSettings terms;
     terms.name = "m" + std::to_string(m);
-    terms.site.rung_kb = {10};
-    terms.site.rung_revenue = {1};
-    terms.site.plans.resize(1);
-    terms.site.plans[0].startup_target = 2s;
+    terms.policy.rung_kb = {10};
+    terms.policy.rung_revenue = {1};
+    terms.policy.plans.resize(1);
+    terms.policy.plans[0].startup_target = 2s;
     terms.plans = {{"a", 4s}};
     terms.halls = {"h"};
-    terms.site.cells = 1;
-    terms.list_port = Network::port(list_host);
-    terms.silence = 3s;
-    terms.wall_at_zero = wall_at_zero;
-    terms.entitlement.on = true;
+    terms.policy.cells = 1;
+    terms.box_list_port = Network::port(list_host);
+    terms.idle_timeout = 3s;
+    terms.wall_clock_at_zero = wall_at_zero;
+    terms.entitlement.enabled = true;
     terms.entitlement.token_validator.issuer = "issuer";
     terms.entitlement.token_validator.skew = 1s;
     terms.entitlement.token_validator.grace = 2s;
     terms.entitlement.token_validator.min_fetch_interval = 1s;
     terms.entitlement.keys_port = Network::port(issuer_host);
     terms.entitlement.ledger.resume_window = 5s;
-    terms.entitlement.restart = restart;
-    terms.entitlement.kept = std::move(kept);
+    terms.entitlement.restart_number = restart;
+    terms.entitlement.stored_records = std::move(kept);
     for (int p = 0; p < managers; ++p)
       terms.peers.managers.push_back({"m" + std::to_string(p), "", Network::port(p, 2)});
     terms.peers.self = static_cast<peers::PeerIndex>(m);
@@ -271,7 +271,7 @@
   EXPECT_EQ(in_book(), 0u) << "none leaked";
   for (const auto& front : fronts) {
     EXPECT_EQ(front->seats()->counts().held + front->seats()->counts().pending, 0u);
-    EXPECT_EQ(front->held().playbacks, 0u);
+    EXPECT_EQ(front->resource_usage().playbacks, 0u);
   }
 }
 
@@ -352,7 +352,7 @@
   for (const auto& front : fronts) {
     const auto counts = front->seats()->counts();
     EXPECT_EQ(counts.held + counts.pending + counts.granted, 0u) << "leaked";
-    EXPECT_EQ(front->held().playbacks, 0u);
+    EXPECT_EQ(front->resource_usage().playbacks, 0u);
   }
   std::printf("%d play, %d turned away, of %zu asked\n", plays, turned, asked.size());
 }
--- a/tests/program/settings_test.cpp
+++ b/tests/program/settings_test.cpp
@@ -41,13 +41,13 @@
   if (const auto* mistakes = std::get_if<Mistakes>(&read))
     FAIL() << mistakes->front().text();
   const auto& made = std::get<Deployment>(read);
-  EXPECT_EQ(made.front.site.rung_kb, (std::vector<double>{100, 300}));
-  EXPECT_EQ(made.front.plans[1].abandon, std::chrono::seconds(5));
-  EXPECT_TRUE(made.front.site.plans[1].pay_at_setup);
-  EXPECT_EQ(made.front.site.plans[1].seats, 3);
-  EXPECT_EQ(made.front.site.own_hall, 1);
+  EXPECT_EQ(made.front.policy.rung_kb, (std::vector<double>{100, 300}));
+  EXPECT_EQ(made.front.plans[1].abandon_time, std::chrono::seconds(5));
+  EXPECT_TRUE(made.front.policy.plans[1].pay_at_setup);
+  EXPECT_EQ(made.front.policy.plans[1].seats, 3);
+  EXPECT_EQ(made.front.policy.own_hall, 1);
   EXPECT_EQ(made.front.recordings[0].holders.length, std::chrono::minutes(3));
-  EXPECT_EQ(made.front.site.link_kb_per_weight, 1000);
+  EXPECT_EQ(made.front.policy.link_kb_per_weight, 1000);
 }
 
 TEST(Deployment, EveryMistakeHasItsPlaceAndCause) {
