--- a/src/manager/manager_catalogue.cpp
+++ b/src/manager/manager_catalogue.cpp
@@ -1,5 +1,5 @@
-// The manager's side of the catalogue: its HTTP resource at the second door, the feed it follows, and what
-// a change means to playbacks that are being set up.
+// The manager's catalogue part: the HTTP resource at the control listener, the change feed that it follows,
+// and the effect of changes on playbacks that are being set up.
 #include <algorithm>
 
 #include "cataloguewire/json.h"
@@ -8,144 +8,153 @@
 namespace violettide::manager {
 
 namespace {
-constexpr std::size_t most_feed = 512 * 1024 * 1024;
-constexpr double wanting_fill = 0.7;  // of its holders' links: a recording beyond it wants copies
-constexpr Duration usual_life{30'000'000};
-constexpr std::size_t most_wanting = 100;
+constexpr std::size_t max_feed_bytes = 512 * 1024 * 1024;
+// Utilization of its holders' links beyond which a recording should get more copies.
+constexpr double replication_utilization = 0.7;
+constexpr Duration typical_playback_time{30'000'000};
+constexpr std::size_t max_replication_candidates = 100;
 }  // namespace
 
+// Returns the catalogue entry of the playback's recording, null if it has none.
 const catalogue::Entry* Manager::catalogue_entry(const Playback& playback) const {
   return playback.recording ? replica_.current()->find(*playback.recording) : nullptr;
 }
 
-// ---- the resource ----
+// ---- the HTTP resource ----
 
+// Handles the buffered requests of a control connection, until one of them has to wait for its reply.
 void Manager::process_control_requests(ControlConnection& control) {
-  const ConnectionId link = control.id;
+  const ConnectionId connection_id = control.id;
   while (!control.busy) {
     auto request = control.reader.next();
     if (!request) {
-      if (const auto& fault = control.reader.fault()) {
+      if (const auto& error = control.reader.fault()) {
         control.close_after = true;
-        send_control_reply(control, {fault->status, {{"Content-Type", "text/plain"}}, fault->cause + "\n"});
+        send_control_reply(control, {error->status, {{"Content-Type", "text/plain"}}, error->cause + "\n"});
       }
       return;
     }
     control.busy = true;
     control.close_after = !request->keep_alive || shutting_down_;
-    auto meaning =
+    auto parsed =
         settings_.has_catalogue
             ? cataloguewire::read_request(*request, replica_)
             : cataloguewire::CatalogueRequest(cataloguewire::Reply{404, {}, "this front has no catalogue\n"});
-    if (auto* reply = std::get_if<cataloguewire::Reply>(&meaning)) {
+    if (auto* reply = std::get_if<cataloguewire::Reply>(&parsed)) {
       send_control_reply(control, *reply);
-    } else if (auto* asked = std::get_if<catalogue::ChangeRequest>(&meaning)) {
-      asked->request_id = link;
-      execute_replica_actions(replica_.handle(*asked));
-    } else if (std::holds_alternative<cataloguewire::ListReplicationCandidates>(meaning)) {
+    } else if (auto* change = std::get_if<catalogue::ChangeRequest>(&parsed)) {
+      change->request_id = connection_id;
+      execute_replica_actions(replica_.handle(*change));
+    } else if (std::holds_alternative<cataloguewire::ListReplicationCandidates>(parsed)) {
       send_control_reply(control, cataloguewire::replication_candidates_reply(*replica_.current(),
                                                                               replication_candidates()));
     } else {
-      const auto& wait = std::get<cataloguewire::FeedLongPoll>(meaning);
-      if (const auto reply = cataloguewire::feed_reply(replica_, wait.after)) {
+      const auto& poll = std::get<cataloguewire::FeedLongPoll>(parsed);
+      if (const auto reply = cataloguewire::feed_reply(replica_, poll.after)) {
         send_control_reply(control, *reply);
       } else {
-        control.feed_after = wait.after;
-        control.feed_wait_timer = start_timer(wait.wait, TimerKind::feed_long_poll, link);
+        control.feed_after = poll.after;
+        control.feed_wait_timer = start_timer(poll.wait, TimerKind::feed_long_poll, connection_id);
       }
     }
-    if (!control_connections_.contains(link))
+    if (!control_connections_.contains(connection_id))
       return;
   }
 }
 
 void Manager::send_control_reply(ControlConnection& control, const cataloguewire::Reply& reply) {
-  const ConnectionId link = control.id;
+  const ConnectionId connection_id = control.id;
   control.busy = false;
   control.feed_after.reset();
   timers_.cancel(control.feed_wait_timer);
   actions_->push_back(Send{
-      link,
+      connection_id,
       http::head_text(reply.status, reply.fields, reply.body.size(), !control.close_after) + reply.body});
   if (!control.close_after)
     return;
-  actions_->push_back(Close{link, true});
-  control_connections_.erase(link);
+  actions_->push_back(Close{connection_id, true});
+  control_connections_.erase(connection_id);
 }
 
-void Manager::on_control_closed(ConnectionId link) {
-  const auto found = control_connections_.find(link);
+void Manager::on_control_closed(ConnectionId connection_id) {
+  const auto found = control_connections_.find(connection_id);
   if (found == control_connections_.end())
     return;
   timers_.cancel(found->second->feed_wait_timer);
-  actions_->push_back(Close{link, false});
+  actions_->push_back(Close{connection_id, false});
   control_connections_.erase(found);
 }
 
+// Returns the recordings whose demand exceeds what their holders' links can serve, or whose viewers were
+// turned away.
 std::vector<catalogue::ReplicationCandidate> Manager::replication_candidates() {
   const auto& rates = settings_.policy.rung_kb;
-  const double link = settings_.policy.link_kb_per_weight;
-  return demand_.replication_candidates(now_, *replica_.current(), link, rates[rates.size() / 2], usual_life,
-                                        wanting_fill, most_wanting);
+  const double link_kb_per_s = settings_.policy.link_kb_per_weight;
+  return demand_.replication_candidates(now_, *replica_.current(), link_kb_per_s, rates[rates.size() / 2],
+                                        typical_playback_time, replication_utilization,
+                                        max_replication_candidates);
 }
 
-// ---- what the keeper decides ----
+// ---- replica actions ----
 
 void Manager::execute_replica_actions(std::vector<catalogue::ReplicaAction> actions) {
-  for (auto& act : actions) {
-    std::visit(
-        Overloaded{
-            [this](const catalogue::ChangeResult& a) {
-              const auto found = control_connections_.find(static_cast<ConnectionId>(a.request_id));
-              if (found == control_connections_.end() || !found->second->busy)
-                return;  // its asker is gone; the change stands
-              send_control_reply(*found->second, cataloguewire::reply_to(a));
-              if (const auto still = control_connections_.find(static_cast<ConnectionId>(a.request_id));
-                  still != control_connections_.end())
-                process_control_requests(*still->second);
-            },
-            [this](const catalogue::PersistBatch& a) {
-              actions_->push_back(Persist{a.revision, cataloguewire::json_text(a.changes), a.full_snapshot});
-            },
-            [this](const catalogue::RecordingsChanged& a) {
-              log_event("catalogue_changed",
-                        {{"revision", static_cast<std::int64_t>(replica_.current()->revision)},
-                         {"recordings", static_cast<std::int64_t>(a.recordings.size())}});
-              on_recordings_changed(a.recordings, a.full_snapshot);
-              answer_waiting_feeds();
-            },
-            [this](const catalogue::PollFeed& a) {
-              if (!a.cause.empty())
-                log_event("catalogue_feed",
-                          {{"after", static_cast<std::int64_t>(a.after)}, {"cause", a.cause}});
-              feed_snapshot_needed_ = feed_snapshot_needed_ || a.full_snapshot;
-              if (!feed_request_pending_ && settings_.feed_port != 0)
-                start_timer(a.cause.empty() ? Duration(0) : jittered(settings_.box_list_interval),
-                            TimerKind::catalogue_feed_poll, 0);
-            },
-        },
-        act);
+  for (auto& action : actions) {
+    std::visit(Overloaded{
+                   [this](const catalogue::ChangeResult& result) {
+                     const auto found =
+                         control_connections_.find(static_cast<ConnectionId>(result.request_id));
+                     if (found == control_connections_.end() || !found->second->busy)
+                       return;  // the client has disconnected; the change still applies
+                     send_control_reply(*found->second, cataloguewire::reply_to(result));
+                     if (const auto remaining =
+                             control_connections_.find(static_cast<ConnectionId>(result.request_id));
+                         remaining != control_connections_.end())
+                       process_control_requests(*remaining->second);
+                   },
+                   [this](const catalogue::PersistBatch& batch) {
+                     actions_->push_back(Persist{batch.revision, cataloguewire::json_text(batch.changes),
+                                                 batch.full_snapshot});
+                   },
+                   [this](const catalogue::RecordingsChanged& changed) {
+                     log_event("catalogue_changed",
+                               {{"revision", static_cast<std::int64_t>(replica_.current()->revision)},
+                                {"recordings", static_cast<std::int64_t>(changed.recordings.size())}});
+                     on_recordings_changed(changed.recordings, changed.full_snapshot);
+                     answer_waiting_feeds();
+                   },
+                   [this](const catalogue::PollFeed& poll) {
+                     if (!poll.cause.empty())
+                       log_event("catalogue_feed",
+                                 {{"after", static_cast<std::int64_t>(poll.after)}, {"cause", poll.cause}});
+                     feed_snapshot_needed_ = feed_snapshot_needed_ || poll.full_snapshot;
+                     if (!feed_request_pending_ && settings_.feed_port != 0)
+                       start_timer(poll.cause.empty() ? Duration(0) : jittered(settings_.box_list_interval),
+                                   TimerKind::catalogue_feed_poll, 0);
+                   },
+               },
+               action);
   }
 }
 
-void Manager::on(const Persisted& what) {
-  if (what.ticket >= first_seat_ticket)
-    return on_seat_records_persisted(what);
-  if (!what.error.empty())
+void Manager::on(const Persisted& persisted) {
+  if (persisted.ticket >= first_seat_ticket)
+    return on_seat_records_persisted(persisted);
+  if (!persisted.error.empty())
     log_event("catalogue_not_kept",
-              {{"revision", static_cast<std::int64_t>(what.ticket)}, {"cause", what.error}});
-  execute_replica_actions(replica_.handle(
-      catalogue::BatchPersisted{what.ticket, what.error.empty() ? std::nullopt : std::optional(what.error)}));
+              {{"revision", static_cast<std::int64_t>(persisted.ticket)}, {"cause", persisted.error}});
+  execute_replica_actions(replica_.handle(catalogue::BatchPersisted{
+      persisted.ticket, persisted.error.empty() ? std::nullopt : std::optional(persisted.error)}));
 }
 
+// Answers the long polls of other fronts that have changes to read now.
 void Manager::answer_waiting_feeds() {
   std::vector<ConnectionId> waiting;
-  for (const auto& [link, control] : control_connections_) {
+  for (const auto& [connection_id, control] : control_connections_) {
     if (control->feed_after)
-      waiting.push_back(link);
+      waiting.push_back(connection_id);
   }
-  for (const auto link : waiting) {
-    const auto found = control_connections_.find(link);
+  for (const auto connection_id : waiting) {
+    const auto found = control_connections_.find(connection_id);
     if (found == control_connections_.end())
       continue;
     if (const auto reply = cataloguewire::feed_reply(replica_, *found->second->feed_after))
@@ -153,36 +162,40 @@
   }
 }
 
-// Set-ups that are decided on or on their way: from this moment nothing new goes to a location that is not
-// listed any more. What plays there goes on.
-void Manager::on_recordings_changed(const std::vector<catalogue::RecordingId>& recordings, bool whole) {
-  std::vector<PlaybackId> concerned;
-  if (whole) {
+// Updates the holders of playbacks that are being set up, so that no new set-up goes to a location that is no
+// longer listed. Playbacks that play there continue.
+void Manager::on_recordings_changed(const std::vector<catalogue::RecordingId>& recordings,
+                                    bool full_snapshot) {
+  std::vector<PlaybackId> affected;
+  if (full_snapshot) {
     for (const auto& [recording, playbacks] : setups_by_recording_)
-      concerned.insert(concerned.end(), playbacks.begin(), playbacks.end());
+      affected.insert(affected.end(), playbacks.begin(), playbacks.end());
   } else {
     for (const auto recording : recordings) {
       const auto found = setups_by_recording_.find(recording);
       if (found != setups_by_recording_.end())
-        concerned.insert(concerned.end(), found->second.begin(), found->second.end());
+        affected.insert(affected.end(), found->second.begin(), found->second.end());
     }
   }
-  for (const auto id : concerned) {
+  for (const auto id : affected) {
     if (const auto found = playbacks_.find(id); found != playbacks_.end())
       update_holders(*found->second);
   }
 }
 
+// Tells the policy the present holders of the recording; takes a try back if its box is no longer one of
+// them.
 void Manager::update_holders(Playback& playback) {
   const auto* entry = catalogue_entry(playback);
-  static const auto nobody = std::make_shared<const std::vector<ServerId>>();
-  const auto listed = entry ? entry->holders : nobody;
-  post_event(HoldersChanged{playback.id, listed});
-  if (playback.try_connection && !std::binary_search(listed->begin(), listed->end(), playback.server))
+  static const auto no_holders = std::make_shared<const std::vector<ServerId>>();
+  const auto holders = entry ? entry->holders : no_holders;
+  post_event(HoldersChanged{playback.id, holders});
+  if (playback.try_connection && !std::binary_search(holders->begin(), holders->end(), playback.server))
     cancel_unsent_try(playback);
 }
 
-// What is written to the socket may run: it is waited for. What is not is taken back and placed anew.
+// Cancels a try whose request was not written to a socket yet, so that the playback is placed anew. A request
+// that was written may be executed by the box: its response is awaited.
 void Manager::cancel_unsent_try(Playback& playback) {
   const auto found = box_connections_.find(playback.try_connection);
   if (found == box_connections_.end() || found->second->connected)
@@ -197,8 +210,9 @@
   post_event(TryEnded{playback.id, server, Outcome::not_sent, false, {}});
 }
 
-// ---- the feed ----
+// ---- the change feed ----
 
+// Sends the next long poll to the change feed, or a request for the full snapshot if that is needed.
 void Manager::poll_catalogue_feed() {
   if (feed_request_pending_ || shutting_down_)
     return;
@@ -212,30 +226,31 @@
                        "", 2 * settings_.feed_wait);
 }
 
-void Manager::on_catalogue_feed_response(BoxConnection& link, bool whole) {
+// Applies a response of the change feed, and schedules the next poll. `complete`: the whole body arrived.
+void Manager::on_catalogue_feed_response(BoxConnection& connection, bool complete) {
   feed_request_pending_ = false;
-  const auto body = std::move(link.body);
-  const int status = link.head_received ? link.status : 0;
-  close_box_connection(link.id);
-  const auto again = [this](Duration in) { start_timer(in, TimerKind::catalogue_feed_poll, 0); };
-  if (!whole || (status != 200 && status != 410) || body.size() > most_feed) {
+  const auto body = std::move(connection.body);
+  const int status = connection.head_received ? connection.status : 0;
+  close_box_connection(connection.id);
+  const auto poll_again = [this](Duration delay) { start_timer(delay, TimerKind::catalogue_feed_poll, 0); };
+  if (!complete || (status != 200 && status != 410) || body.size() > max_feed_bytes) {
     log_event("catalogue_feed_failed", {{"status", std::int64_t{status}}});
-    return again(jittered(settings_.box_list_interval));
+    return poll_again(jittered(settings_.box_list_interval));
   }
-  if (status == 410) {  // the log no longer reaches back to us
+  if (status == 410) {  // the feed's log no longer has the changes after our revision
     feed_snapshot_needed_ = true;
-    return again(Duration(0));
+    return poll_again(Duration(0));
   }
-  auto read = cataloguewire::read_feed(body);
-  if (const auto* bad = std::get_if<cataloguewire::JsonError>(&read)) {
-    log_event("catalogue_feed_malformed", {{"place", bad->place}, {"cause", bad->cause}});
-    return again(jittered(settings_.box_list_interval));
+  auto parsed = cataloguewire::read_feed(body);
+  if (const auto* error = std::get_if<cataloguewire::JsonError>(&parsed)) {
+    log_event("catalogue_feed_malformed", {{"place", error->place}, {"cause", error->cause}});
+    return poll_again(jittered(settings_.box_list_interval));
   }
-  // The keeper asks on when it has taken these, or why not.
-  if (const auto* fed = std::get_if<catalogue::FeedBatches>(&read))
-    execute_replica_actions(replica_.handle(*fed));
+  // The replica requests the next poll once it has applied or rejected these.
+  if (const auto* batches = std::get_if<catalogue::FeedBatches>(&parsed))
+    execute_replica_actions(replica_.handle(*batches));
   else
-    execute_replica_actions(replica_.handle(std::get<catalogue::FeedSnapshot>(read)));
+    execute_replica_actions(replica_.handle(std::get<catalogue::FeedSnapshot>(parsed)));
 }
 
 }  // namespace violettide::manager
