--- a/src/manager/manager_catalogue.cpp
+++ b/src/manager/manager_catalogue.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t max_feed_bytes = 512 * 1024 * 1024;
 // Utilization of its holders' links beyond which a recording should get more copies.
 constexpr double replication_utilization = 0.7;
-constexpr Duration typical_playback_time{30'000'000};
+constexpr Duration typical_playback_length{30'000'000};
 constexpr std::size_t max_replication_candidates = 100;
 }  // namespace
 
@@ -62,6 +62,7 @@
   }
 }
 
+// Replies to the pending request, and closes the connection if it is not to be kept alive.
 void Manager::send_control_reply(ControlConnection& control, const cataloguewire::Reply& reply) {
   const ConnectionId connection_id = control.id;
   control.busy = false;
@@ -91,7 +92,7 @@
   const auto& rates = settings_.policy.rung_kb;
   const double link_kb_per_s = settings_.policy.link_kb_per_weight;
   return demand_.replication_candidates(now_, *replica_.current(), link_kb_per_s, rates[rates.size() / 2],
-                                        typical_playback_time, replication_utilization,
+                                        typical_playback_length, replication_utilization,
                                         max_replication_candidates);
 }
 
--- a/src/manager/manager_hls.cpp
+++ b/src/manager/manager_hls.cpp
@@ -16,8 +16,8 @@
 constexpr std::string_view steering_file_name = "steering.json";
 constexpr std::size_t min_bytes_to_compress = 1024;
 constexpr double kbit_per_kb = 8;
-constexpr int unchanged_log_targets = 3;       // unchanged for more target durations than this: logged
-constexpr int steering_polls_per_timeout = 3;  // the TTL is this part of the idle timeout
+constexpr int unchanged_log_targets = 3;       // target durations without change after which it is logged
+constexpr int steering_polls_per_timeout = 3;  // the manifest's TTL is the idle timeout divided by this
 
 // Returns the last path segment of a request target.
 std::string_view file_name_of(std::string_view target) {
@@ -283,8 +283,9 @@
     playback.hls->rung_policy.handle(now_, hls::RungDecided{playback.rung});
 }
 
-// Keeps the HLS state of a playback that has ended here, since its player may come back: the sequence numbers
-// that it was shown, its URLs and its token. The oldest states are dropped beyond `max_ended_playbacks`.
+// Keeps the HLS state of a playback that has ended here, since its player may not know and may come back:
+// the sequence numbers that it was shown, its URLs and its token. The oldest states are dropped beyond
+// `max_ended_playbacks`.
 void Manager::record_ended_playback(Playback& playback, hls::EndReason reason, Duration retry_after) {
   if (!playback.hls)
     return;
@@ -467,6 +468,8 @@
     respond_with_playlist(*remaining->second, playback, std::get<std::string>(rewritten));
 }
 
+// Answers with a rewritten playlist, compressed if that is accepted and worthwhile, and with the highest
+// listed bitrate in CMSD-Dynamic.
 void Manager::respond_with_playlist(ViewerConnection& viewer, const Playback& playback,
                                     const std::string& text) {
   hints::CmsdDynamic cmsd;
--- a/src/manager/manager_seats.cpp
+++ b/src/manager/manager_seats.cpp
@@ -135,6 +135,7 @@
     execute_ledger_action(action);
 }
 
+// Executes an action of the ledger, except PersistRecord, which handle_ledger_event() has executed.
 void Manager::execute_ledger_action(const entitlement::LedgerAction& action) {
   const auto playback_of = [&](const entitlement::SeatKey& key) -> Playback* {
     const auto known = playback_by_seat_.find(key);
