--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -1,3 +1,5 @@
+// Viewers' requests, playbacks, connections to boxes, the box list and graceful shutdown. HLS, seats and the
+// catalogue are in manager_hls.cpp, manager_seats.cpp and manager_catalogue.cpp.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -9,28 +11,32 @@
 
 namespace {
 
-constexpr double answer_part = 0.95;  // of the abandon time: an answer must still travel to its viewer
-constexpr double guard_part = 0.975;  // when this core answers by itself, should the module not have
-constexpr std::size_t most_pipelined = 64 * 1024;
-constexpr std::size_t most_list = 4 * 1024 * 1024;
-constexpr std::uint64_t most_batch = 64 * 1024 * 1024;
-constexpr std::size_t most_askers = 16;  // requests that one set-up may answer
-constexpr Duration stands_still{
-    500'000};  // no happening for so long: the module's timer alone rings twice in it
-constexpr Duration catches_up{100'000};  // after it, for what came meanwhile to be read
-constexpr int stuck_abandons = 3;        // a viewer may read nothing for so many abandon times
-constexpr Duration measure_every{1'000'000};
-constexpr Duration least_measured{5'000};  // shorter deliveries measure the loopback, not the box
+// Parts of the abandon time. The policy must decide by the first, which leaves time for the response to reach
+// the viewer; if it has not decided by the second, the manager responds by itself.
+constexpr double decision_fraction = 0.95;
+constexpr double deadline_fraction = 0.975;
+constexpr std::size_t max_pipelined_bytes = 64 * 1024;       // unread requests before reading is paused
+constexpr std::size_t max_list_bytes = 4 * 1024 * 1024;      // of the box list, and of the token keys
+constexpr std::uint64_t max_batch_bytes = 64 * 1024 * 1024;  // of a request to the control port
+constexpr std::size_t max_waiting_viewers = 16;              // requests that wait for one set-up
+// No event for this long means that the process was stalled: the policy's timer alone fires twice in it.
+constexpr Duration stall_threshold{500'000};
+constexpr Duration stall_recovery_time{100'000};  // after a stall, to read the input that came during it
+constexpr int stall_abandon_times = 3;            // abandon times that a viewer may read nothing for
+constexpr Duration measure_interval{1'000'000};
+// Shorter deliveries measure the loopback interface, not the box.
+constexpr Duration min_measured_time{5'000};
 constexpr double kbit_per_kb = 8;
-constexpr ConnectionId peer_links = 1u << 30;  // links to other managers are numbered from there
+constexpr ConnectionId first_peer_connection = 1u << 30;  // first id of connections to other managers
 
-double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
-Duration part_of(Duration span, double part) {
-  return Duration(static_cast<std::int64_t>(static_cast<double>(span.count()) * part));
+double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+Duration fraction_of(Duration duration, double fraction) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * fraction));
 }
 
-// Fields that end at each hop (RFC 9110, 7.6.1), and those that this hop writes itself.
-bool ends_here(std::string_view name, std::string_view connection) {
+// Whether a field is not forwarded: hop-by-hop fields (RFC 9110, 7.6.1), and those that this hop writes
+// itself. `connection`: the value of the Connection field.
+bool is_hop_by_hop(std::string_view name, std::string_view connection) {
   for (const auto own : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
                          "Upgrade", "Content-Length", "CMSD-Dynamic", "Via"}) {
     if (http::same_name(name, own))
@@ -50,20 +56,20 @@
   return false;
 }
 
-std::string listed(const std::string& before, const std::string& own) {
-  return before.empty() ? own : before + ", " + own;
+std::string append_to_list(const std::string& list, const std::string& entry) {
+  return list.empty() ? entry : list + ", " + entry;
 }
 
 }  // namespace
 
-Manager::Manager(ManagerSettings terms, std::uint64_t seed, std::string cached_list,
+Manager::Manager(ManagerSettings settings, std::uint64_t seed, std::string cached_box_list,
                  std::unique_ptr<Decider> decider)
-    : settings_(std::move(terms)),
+    : settings_(std::move(settings)),
       decider_(decider ? std::move(decider) : make_policy_decider(settings_.policy, seed)),
       box_list_(settings_.halls),
       weighing_(std::max<Duration>(settings_.policy.measurement_delay, settings_.object_duration),
                 settings_.policy.rung_kb),
-      cached_box_list_(std::move(cached_list)),
+      cached_box_list_(std::move(cached_box_list)),
       replica_(
           settings_.replica, [this](std::string_view name) { return box_list_.index(name); },
           static_cast<int>(settings_.policy.rung_kb.size())),
@@ -84,18 +90,18 @@
   actions_->push_back(LogLine{std::move(event), std::move(fields)});
 }
 
-void Manager::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
-  if (started_ && now - now_ > stands_still) {
-    stall_recovery_until_ = now + catches_up;
+void Manager::handle(Duration now, const IoEvent& event, std::vector<Action>& actions) {
+  if (started_ && now - now_ > stall_threshold) {
+    stall_recovery_until_ = now + stall_recovery_time;
     stall_to_log_ = now - now_;
   }
   now_ = std::max(now_, now);
   actions_ = &actions;
   if (!started_)
     start();
-  if (const auto still = std::exchange(stall_to_log_, Duration(0)); still > Duration(0))
-    log_event("stood_still", {{"ms", still.count() / 1000}});
-  std::visit([this](const auto& happened) { on(happened); }, what);
+  if (const auto stall = std::exchange(stall_to_log_, Duration(0)); stall > Duration(0))
+    log_event("stood_still", {{"ms", stall.count() / 1000}});
+  std::visit([this](const auto& concrete_event) { on(concrete_event); }, event);
   process_events();
   expired_timers_.clear();
   timers_.advance(now_, expired_timers_);
@@ -103,9 +109,9 @@
     on_timer(expired_timers_[i]);
     process_events();
   }
-  const auto next = timers_.next();
-  if (next && (!next_wakeup_ || *next_wakeup_ <= now_ || *next < *next_wakeup_)) {
-    next_wakeup_ = std::max(*next, now_ + std::chrono::milliseconds(1));
+  const auto next_due = timers_.next();
+  if (next_due && (!next_wakeup_ || *next_wakeup_ <= now_ || *next_due < *next_wakeup_)) {
+    next_wakeup_ = std::max(*next_due, now_ + std::chrono::milliseconds(1));
     actions.push_back(StartTimer{*next_wakeup_});
   }
 }
@@ -114,7 +120,8 @@
   started_ = true;
   if (!cached_box_list_.empty())
     apply_box_list(box_list_.apply_cached(now_, cached_box_list_), "kept");
-  // One that knows no box asks at once; others of a hall that starts together ask apart.
+  // Polls at once if no box is known. Otherwise the first poll is delayed at random, which guards against all
+  // managers of a hall that start together polling together.
   start_timer(cached_box_list_.empty()
                   ? Duration(0)
                   : settings_.box_list_interval * static_cast<int>(random_() % 100) / 100,
@@ -123,32 +130,33 @@
     start_timer(Duration(0), TimerKind::catalogue_feed_poll, 0);
   start_timer(settings_.object_duration, TimerKind::weighing_tick, 0);
   if (!settings_.peers.managers.empty())
-    peers_ = std::make_unique<peers::Peers>(settings_.peers, peer_links);
+    peers_ = std::make_unique<peers::Peers>(settings_.peers, first_peer_connection);
   if (settings_.entitlement.enabled) {
-    auto own = settings_.entitlement.ledger;
-    own.peers.clear();
+    auto ledger_settings = settings_.entitlement.ledger;
+    ledger_settings.peers.clear();
     for (const auto& peer : settings_.peers.managers)
-      own.peers.push_back(peer.name);
-    if (own.peers.empty())
-      own.peers.push_back(settings_.name);
-    own.self = settings_.peers.self;
-    ledger_ = std::make_unique<entitlement::Ledger>(std::move(own), settings_.entitlement.restart_number,
-                                                    wall_clock(), settings_.entitlement.stored_records);
+      ledger_settings.peers.push_back(peer.name);
+    if (ledger_settings.peers.empty())
+      ledger_settings.peers.push_back(settings_.name);
+    ledger_settings.self = settings_.peers.self;
+    ledger_ = std::make_unique<entitlement::Ledger>(std::move(ledger_settings),
+                                                    settings_.entitlement.restart_number, wall_clock(),
+                                                    settings_.entitlement.stored_records);
   }
   if (peers_ || ledger_)
     start_timer(Duration(0), TimerKind::seats_tick, 0);
 }
 
-void Manager::on_timer(const Timer& bell) {
-  switch (bell.kind) {
+void Manager::on_timer(const Timer& timer) {
+  switch (timer.kind) {
     case TimerKind::policy:
-      return post_event(TimerExpired{bell.target});
+      return post_event(TimerExpired{timer.target});
     case TimerKind::box_list_poll:
       return poll_box_list();
     case TimerKind::catalogue_feed_poll:
       return poll_catalogue_feed();
     case TimerKind::feed_long_poll:
-      if (const auto found = control_connections_.find(bell.target);
+      if (const auto found = control_connections_.find(timer.target);
           found != control_connections_.end() && found->second->feed_after)
         send_control_reply(*found->second, cataloguewire::empty_feed_reply(replica_.current()->revision));
       return;
@@ -159,12 +167,13 @@
       return apply_weighing(weighing_.handle(now_, hints::TimePassed{}), 0);
     case TimerKind::try_timeout:
     case TimerKind::box_timeout:
-      if (const auto found = box_connections_.find(bell.target); found != box_connections_.end())
+      if (const auto found = box_connections_.find(timer.target); found != box_connections_.end())
         on_box_timeout(*found->second);
       return;
     case TimerKind::setup_deadline: {
-      // Guards against a request that nothing answers, whatever the cause: its viewer's time is nearly up.
-      const auto found = playbacks_.find(bell.target);
+      // Guards against a set-up that stays undecided for any reason: the viewer's abandon time is nearly
+      // over.
+      const auto found = playbacks_.find(timer.target);
       if (found == playbacks_.end() || found->second->playing)
         return;
       auto& playback = *found->second;
@@ -177,18 +186,18 @@
       return end_with_response(playback, 504, "the set-up took too long\n", {});
     }
     case TimerKind::playback_idle: {
-      const auto found = playbacks_.find(bell.target);
+      const auto found = playbacks_.find(timer.target);
       if (found == playbacks_.end() || found->second->objects_in_flight > 0)
         return;
-      log_event("playback_over", {{"playback", log_id(bell.target)}, {"cause", std::string("silence")}});
-      post_event(TryEnded{bell.target, found->second->server, Outcome::served, true, {}});
+      log_event("playback_over", {{"playback", log_id(timer.target)}, {"cause", std::string("silence")}});
+      post_event(TryEnded{timer.target, found->second->server, Outcome::served, true, {}});
       record_ended_playback(*found->second, hls::EndReason::idle);
-      return remove_playback(bell.target);
+      return remove_playback(timer.target);
     }
     case TimerKind::viewer_stalled:
-      // Guards against a viewer that reads nothing keeping a box's connection for good.
-      log_event("viewer_stuck", {{"link", static_cast<std::int64_t>(bell.target)}});
-      return close_viewer(bell.target, true);
+      // Guards against a viewer that reads nothing occupying a connection to a box forever.
+      log_event("viewer_stuck", {{"link", static_cast<std::int64_t>(timer.target)}});
+      return close_viewer(timer.target, true);
     case TimerKind::shutdown_deadline:
       answer_waiting_viewers();
       actions_->push_back(StopLoop{});
@@ -198,75 +207,75 @@
 
 // ---- viewers ----
 
-void Manager::on(const Accepted& what) {
-  if (peers_ && what.listener == settings_.peer_listener)
-    return peers_->on_accepted(now_, what.connection, *actions_);
-  if (what.listener != 0) {
+void Manager::on(const Accepted& event) {
+  if (peers_ && event.listener == settings_.peer_listener)
+    return peers_->on_accepted(now_, event.connection, *actions_);
+  if (event.listener != 0) {
     auto control = std::make_unique<ControlConnection>();
-    control->id = what.connection;
-    // Batches of a bulk load are longer than anything that a viewer may send.
+    control->id = event.connection;
+    // Batches of a bulk load are longer than the limit for viewers' requests.
     http::Limits limits = settings_.http_limits;
-    limits.request_body = most_batch;
+    limits.request_body = max_batch_bytes;
     control->reader = http::RequestReader(limits);
-    control_connections_.emplace(what.connection, std::move(control));
+    control_connections_.emplace(event.connection, std::move(control));
     return;
   }
-  // Guards against more connections than this front has memory for; those it has keep what they hold.
+  // Guards against running out of memory: new connections over the limit are refused, open ones stay.
   if (viewer_connections_.size() >= settings_.max_viewer_connections || shutting_down_) {
-    actions_->push_back(Send{what.connection, http::head_text(503, short_retry_after(), 0, false)});
-    actions_->push_back(Close{what.connection, true});
+    actions_->push_back(Send{event.connection, http::head_text(503, short_retry_after(), 0, false)});
+    actions_->push_back(Close{event.connection, true});
     log_event("viewer_turned_away", {{"cause", std::string(shutting_down_ ? "stopping" : "connections")}});
     return;
   }
   auto viewer = std::make_unique<ViewerConnection>();
-  viewer->id = what.connection;
+  viewer->id = event.connection;
   viewer->reader = http::RequestReader(settings_.http_limits);
-  viewer_connections_.emplace(what.connection, std::move(viewer));
+  viewer_connections_.emplace(event.connection, std::move(viewer));
 }
 
-void Manager::on(const Received& what) {
-  if (is_peer_connection(what.connection))
-    return on_peer_messages(peers_->on_received(what.connection, what.bytes, *actions_));
-  if (what.connection >= first_accepted) {
-    if (const auto control = control_connections_.find(what.connection);
+void Manager::on(const Received& event) {
+  if (is_peer_connection(event.connection))
+    return on_peer_messages(peers_->on_received(event.connection, event.bytes, *actions_));
+  if (event.connection >= first_accepted) {
+    if (const auto control = control_connections_.find(event.connection);
         control != control_connections_.end()) {
-      control->second->reader.push(what.bytes);
+      control->second->reader.push(event.bytes);
       return process_control_requests(*control->second);
     }
-    const auto found = viewer_connections_.find(what.connection);
+    const auto found = viewer_connections_.find(event.connection);
     if (found == viewer_connections_.end())
-      return;  // hung up on already
+      return;  // already closed
     auto& viewer = *found->second;
-    viewer.reader.push(what.bytes);
-    if (viewer.busy && viewer.reader.unread() > most_pipelined && !viewer.reading_paused) {
+    viewer.reader.push(event.bytes);
+    if (viewer.busy && viewer.reader.unread() > max_pipelined_bytes && !viewer.reading_paused) {
       viewer.reading_paused = true;
-      actions_->push_back(PauseReading{what.connection});
+      actions_->push_back(PauseReading{event.connection});
     }
     return process_requests(viewer);
   }
-  const auto found = box_connections_.find(what.connection);
+  const auto found = box_connections_.find(event.connection);
   if (found == box_connections_.end())
-    return;  // an answer after its cancel
-  auto& link = *found->second;
-  on_box_response(link, link.reader.push(what.bytes));
+    return;  // a response to a request that was cancelled
+  auto& connection = *found->second;
+  on_box_response(connection, connection.reader.push(event.bytes));
 }
 
 void Manager::process_requests(ViewerConnection& viewer) {
-  const ConnectionId link = viewer.id;
+  const ConnectionId connection = viewer.id;
   while (!viewer.busy) {
     if (auto request = viewer.reader.next()) {
       handle_request(viewer, std::move(*request));
-      if (!viewer_connections_.contains(link))
+      if (!viewer_connections_.contains(connection))
         return;
       continue;
     }
-    if (const auto& fault = viewer.reader.fault()) {
+    if (const auto& error = viewer.reader.fault()) {
       viewer.busy = viewer.close_after = true;
-      log_event("request_malformed", {{"status", std::int64_t{fault->status}}, {"cause", fault->cause}});
-      return respond(viewer, fault->status, fault->cause + "\n");
+      log_event("request_malformed", {{"status", std::int64_t{error->status}}, {"cause", error->cause}});
+      return respond(viewer, error->status, error->cause + "\n");
     }
     if (viewer.half_closed || shutting_down_)
-      close_viewer(link, false);
+      close_viewer(connection, false);
     return;
   }
 }
@@ -278,39 +287,39 @@
   viewer.request = std::move(request);
   viewer.close_after = !viewer.request.keep_alive || shutting_down_;
   if (viewer.request.method != "GET")
-    return respond(viewer, 405, "media objects are read with GET\n", {{"Allow", "GET"}});
+    return respond(viewer, 405, "only GET is supported for media objects\n", {{"Allow", "GET"}});
   viewer.resource = ViewerConnection::Resource::object;
   viewer.delta_update = viewer.blocking_reload = false;
   viewer.hints = hints::read_cmcd(viewer.request.fields, viewer.request.target);
   viewer.token = ledger_ ? extract_token(viewer.request) : "";
-  // Whose player says no session is known by its token: a retry must find its seat.
+  // A player that gives no session id is identified by its token, so that a retry finds its seat.
   if (!viewer.token.empty() && !viewer.hints.hints.session_id)
     viewer.hints.hints.session_id =
         "t" + std::to_string(XXH3_64bits(viewer.token.data(), viewer.token.size()));
-  const auto read = settings_.hls.enabled() ? parse_hls_request(viewer) : HlsRequestResult::not_hls;
-  if (read == HlsRequestResult::answered)
+  const auto result = settings_.hls.enabled() ? parse_hls_request(viewer) : HlsRequestResult::not_hls;
+  if (result == HlsRequestResult::answered)
     return;
-  if (read == HlsRequestResult::not_hls) {
+  if (result == HlsRequestResult::not_hls) {
     auto path = parse_media_path(settings_, viewer.request.target);
-    if (const auto* fault = std::get_if<PathError>(&path))
-      return respond(viewer, 404, fault->cause + "\n");
+    if (const auto* error = std::get_if<PathError>(&path))
+      return respond(viewer, 404, error->cause + "\n");
     viewer.media_path = std::move(std::get<MediaPath>(path));
   }
-  const auto* trace = http::find(viewer.request.fields, "traceparent");
-  viewer.trace_context = trace ? *trace : "";
+  const auto* trace_context = http::find(viewer.request.fields, "traceparent");
+  viewer.trace_context = trace_context ? *trace_context : "";
   if (!viewer.hints.faults.empty()) {
-    const auto& first = viewer.hints.faults.front();
+    const auto& first_fault = viewer.hints.faults.front();
     log_event("hints_left_out", {{"count", static_cast<std::int64_t>(viewer.hints.faults.size())},
-                                 {"key", first.key},
-                                 {"cause", first.cause}});
+                                 {"key", first_fault.key},
+                                 {"cause", first_fault.cause}});
   }
   dispatch_to_playback(viewer);
 }
 
-// Which playback a request belongs to, and what it wants of it.
+// Finds the playback that a request belongs to, then waits for its set-up or fetches from its box.
 void Manager::dispatch_to_playback(ViewerConnection& viewer) {
   if (shutting_down_)
-    return respond(viewer, 503, "this front is stopping\n", short_retry_after());
+    return respond(viewer, 503, "this front is shutting down\n", short_retry_after());
   const bool by_address = viewer.resource > ViewerConnection::Resource::multivariant_playlist ||
                           viewer.claims.scope == signed_url::Claims::Scope::multivariant;
   if (viewer.resource != ViewerConnection::Resource::object && by_address && !adopt_playback(viewer))
@@ -320,12 +329,12 @@
   if (viewer.resource != ViewerConnection::Resource::object)
     attach_hls_state(playback);
   if (!playback.playing) {
-    // Guards against one session id gathering requests without end behind a slow set-up.
-    if (playback.waiting_viewers.size() >= most_askers) {
+    // Guards against an unbounded number of requests with one session id waiting for a slow set-up.
+    if (playback.waiting_viewers.size() >= max_waiting_viewers) {
       viewer.playback_id.reset();
       if (may_have_been_charged(playback))
-        return respond(viewer, 502, "too many requests wait for this set-up\n");
-      return respond(viewer, 503, "too many requests wait for this set-up\n", short_retry_after());
+        return respond(viewer, 502, "too many requests are waiting for this set-up\n");
+      return respond(viewer, 503, "too many requests are waiting for this set-up\n", short_retry_after());
     }
     viewer.waits_for_setup = true;
     playback.waiting_viewers.push_back(viewer.id);
@@ -345,41 +354,42 @@
   fetch_from_box(viewer, playback);
 }
 
-std::string Manager::playback_key(int plan, const std::string& title, const std::string& who) {
-  return std::to_string(plan) + '/' + title + '/' + who;
+std::string Manager::playback_key(int plan, const std::string& title, const std::string& viewer) {
+  return std::to_string(plan) + '/' + title + '/' + viewer;
 }
 
 http::Fields Manager::short_retry_after() {
-  const auto longest = std::chrono::floor<std::chrono::seconds>(settings_.policy.max_retry_after).count();
-  const auto most = static_cast<std::uint64_t>(std::clamp<std::int64_t>(longest, 1, 3));
-  return {{"Retry-After", std::to_string(1 + random_() % most)}};
+  const auto max_seconds = std::chrono::floor<std::chrono::seconds>(settings_.policy.max_retry_after).count();
+  const auto range = static_cast<std::uint64_t>(std::clamp<std::int64_t>(max_seconds, 1, 3));
+  return {{"Retry-After", std::to_string(1 + random_() % range)}};
 }
 
-// Paid at set-up, and that may have run: a word that it may be had elsewhere would be a second set-up.
+// Whether the plan charges at set-up and a set-up may have run. A 503 would then send the viewer elsewhere,
+// to a second paid set-up.
 bool Manager::may_have_been_charged(const Playback& playback) const {
   return settings_.policy.plans[playback.plan].pay_at_setup &&
          (playback.playing || playback.try_connection != 0);
 }
 
-// A playback is known by plan, title and session id. Without an id the viewer's connection stands in for
-// it, and the playback ends with the connection.
+// A playback is identified by plan, title and session id. Without a session id the viewer's connection takes
+// its place, and the playback ends with the connection.
 Manager::Playback& Manager::find_or_create_playback(ViewerConnection& viewer) {
-  const auto& sid = viewer.hints.hints.session_id;
+  const auto& session_id = viewer.hints.hints.session_id;
   auto key = playback_key(viewer.media_path.plan, viewer.media_path.title,
-                          sid ? "s" + *sid : "l" + std::to_string(viewer.id));
+                          session_id ? "s" + *session_id : "l" + std::to_string(viewer.id));
   if (const auto found = playback_by_key_.find(key); found != playback_by_key_.end())
     return *playbacks_.at(found->second);
-  auto fresh = std::make_unique<Playback>();
-  auto& playback = *fresh;
+  auto new_playback = std::make_unique<Playback>();
+  auto& playback = *new_playback;
   playback.id = next_playback_++;
   playback.key = key;
   playback.plan = viewer.media_path.plan;
   playback.title = viewer.media_path.title;
-  playback.bound_to_connection = !sid;
-  playback.session_id = sid ? *sid : settings_.name + "-" + std::to_string(viewer.id);
+  playback.bound_to_connection = !session_id;
+  playback.session_id = session_id ? *session_id : settings_.name + "-" + std::to_string(viewer.id);
   playback.setup_requested_at = Duration(-1);
-  auto [title, unknown] = title_ids_.try_emplace(playback.title, 0);
-  if (unknown) {
+  auto [title, inserted] = title_ids_.try_emplace(playback.title, 0);
+  if (inserted) {
     if (free_title_ids_.empty())
       free_title_ids_.push_back(static_cast<TitleId>(title_ids_.size() - 1));
     title->second = free_title_ids_.back();
@@ -388,46 +398,47 @@
   playback.title_id = title->second;
   ++title_uses_[playback.title_id];
   playback_by_key_.emplace(std::move(key), playback.id);
-  playbacks_.emplace(playback.id, std::move(fresh));
+  playbacks_.emplace(playback.id, std::move(new_playback));
   return playback;
 }
 
-// What the module is to know of it; nothing, and the playback settled, where the catalogue has none to play.
+// Builds the policy's request. Absent if the catalogue has no recording or rendition to play; the playback
+// has then ended with a 404.
 std::optional<Request> Manager::make_setup_request(Playback& playback, const ViewerConnection& viewer) {
   const auto& plan = settings_.policy.plans[playback.plan];
   HolderCells holders;
-  violettide::HolderList listed;
+  violettide::HolderList listed_holders;
   int top = plan.top;
   if (settings_.has_catalogue) {
     const auto id = replica_.current()->id(playback.title);
     const auto* entry = id ? replica_.current()->find(*id) : nullptr;
-    const auto best = entry ? entry->rung_within(plan.floor, plan.top) : std::nullopt;
-    if (!best) {
-      end_with_response(playback, 404,
-                        entry ? "no rendition that this plan may play\n" : "no recording of that title\n",
-                        {});
+    const auto highest = entry ? entry->rung_within(plan.floor, plan.top) : std::nullopt;
+    if (!highest) {
+      end_with_response(
+          playback, 404,
+          entry ? "no rendition within the rungs of this plan\n" : "no recording of that title\n", {});
       return std::nullopt;
     }
-    top = *best;
+    top = *highest;
     holders.length = entry->length();
-    listed = entry->holders;
+    listed_holders = entry->holders;
     playback.recording = *id;
     setups_by_recording_[*id].insert(playback.id);
     demand_.record_request(now_, *id);
   } else {
     holders = holder_cells(settings_, playback.title);
   }
-  // One asked anew after a loss has what is left of its viewer's time, not a time of its own.
-  const Duration abandon = settings_.plans[playback.plan].abandon_time - (now_ - viewer.received_at);
+  // A set-up requested again after a loss has only the rest of its viewer's abandon time.
+  const Duration remaining = settings_.plans[playback.plan].abandon_time - (now_ - viewer.received_at);
   Request request;
   request.playback = playback.id;
   request.plan = playback.plan;
   request.title = playback.title_id;
-  request.abandon_at = now_ + part_of(abandon, answer_part);
+  request.abandon_at = now_ + fraction_of(remaining, decision_fraction);
   request.length = holders.length;
   request.first_cell = holders.first_cell;
   request.cell_count = holders.cell_count;
-  request.listed_holders = listed;
+  request.listed_holders = listed_holders;
   request.top = weighing_.top_for(viewer.hints.hints, plan.floor, top, plan.rate_scale);
   playback.rung = plan.floor;
   return request;
@@ -439,9 +450,9 @@
   const auto request = make_setup_request(playback, viewer);
   if (!request)
     return;
-  const Duration abandon = settings_.plans[playback.plan].abandon_time - (now_ - viewer.received_at);
+  const Duration remaining = settings_.plans[playback.plan].abandon_time - (now_ - viewer.received_at);
   playback.setup_deadline_timer =
-      start_timer(part_of(abandon, guard_part), TimerKind::setup_deadline, playback.id);
+      start_timer(fraction_of(remaining, deadline_fraction), TimerKind::setup_deadline, playback.id);
   log_event("playback_asked", {{"playback", log_id(playback.id)},
                                {"plan", settings_.plans[playback.plan].name},
                                {"title", playback.title},
@@ -454,18 +465,18 @@
 }
 
 void Manager::respond(ViewerConnection& viewer, int status, const std::string& text,
-                      const http::Fields& more) {
+                      const http::Fields& extra_fields) {
   http::Fields fields{{"Via", "1.1 " + settings_.name}};
-  if (!http::find(more, "Content-Type"))
+  if (!http::find(extra_fields, "Content-Type"))
     fields.emplace_back("Content-Type", "text/plain");
-  fields.insert(fields.end(), more.begin(), more.end());
-  const bool head_only = viewer.request.method == "HEAD";  // whose answer has no body (RFC 9110, 9.3.2)
+  fields.insert(fields.end(), extra_fields.begin(), extra_fields.end());
+  const bool head_only = viewer.request.method == "HEAD";  // its response has no body (RFC 9110, 9.3.2)
   send_to_viewer(viewer,
                  http::head_text(status, fields, text.size(), !viewer.close_after) + (head_only ? "" : text));
   finish_response(viewer);
 }
 
-// The response is whole: the next request of this connection may be read.
+// The response is complete: the next request of this connection may be read.
 void Manager::finish_response(ViewerConnection& viewer) {
   viewer.busy = viewer.waits_for_setup = viewer.head_sent = viewer.chunked = false;
   viewer.playback_id.reset();
@@ -476,32 +487,32 @@
     viewer.reading_paused = false;
     actions_->push_back(ResumeReading{viewer.id});
   }
-  // What was pipelined behind it is read when all that this happening brought is done, so that a
-  // playback is never taken apart while it is being served.
+  // Pipelined requests are read only after the current event is processed, so that no playback is removed
+  // while it is in use.
   if (viewer.reader.unread() > 0 || viewer.reader.fault() || viewer.half_closed || shutting_down_)
     viewers_to_read_.insert(viewer.id);
 }
 
-void Manager::close_viewer(ConnectionId link, bool reset) {
-  const auto found = viewer_connections_.find(link);
+void Manager::close_viewer(ConnectionId connection, bool reset) {
+  const auto found = viewer_connections_.find(connection);
   if (found == viewer_connections_.end())
     return;
   const auto viewer = std::move(found->second);
   viewer_connections_.erase(found);
   timers_.cancel(viewer->stall_timer);
-  actions_->push_back(Close{link, !reset});
+  actions_->push_back(Close{connection, !reset});
   on_viewer_closed(*viewer);
   if (shutting_down_ && viewer_connections_.empty())
     actions_->push_back(StopLoop{});
 }
 
-// The viewer's connection is no more; what it waited for is withdrawn, what it was sent is let go.
+// After a viewer's connection closed: cancels the set-up that only it waited for, and its transfer.
 void Manager::on_viewer_closed(ViewerConnection& viewer) {
   if (viewer.box_connection) {
     if (const auto found = box_connections_.find(viewer.box_connection); found != box_connections_.end()) {
-      auto& link = *found->second;
-      if (link.purpose == ConnectionPurpose::setup_try)
-        link.viewer_connection = 0;  // others may wait for this try
+      auto& connection = *found->second;
+      if (connection.purpose == ConnectionPurpose::setup_try)
+        connection.viewer_connection = 0;  // other viewers may wait for this try
       else
         close_box_connection(viewer.box_connection);
     }
@@ -510,10 +521,10 @@
   if (viewer.playback_id) {
     id = *viewer.playback_id;
   } else {
-    const auto tied = playback_by_connection_.find(viewer.id);
-    if (tied == playback_by_connection_.end())
+    const auto bound = playback_by_connection_.find(viewer.id);
+    if (bound == playback_by_connection_.end())
       return;
-    id = tied->second;
+    id = bound->second;
   }
   playback_by_connection_.erase(viewer.id);
   const auto found = playbacks_.find(id);
@@ -525,7 +536,8 @@
       --playback.objects_in_flight;
     if (!playback.bound_to_connection)
       return restart_idle_timer(playback);
-    log_event("playback_over", {{"playback", log_id(id)}, {"cause", std::string("its connection ended")}});
+    log_event("playback_over",
+              {{"playback", log_id(id)}, {"cause", std::string("viewer connection closed")}});
     post_event(TryEnded{id, playback.server, Outcome::served, true, {}});
     return remove_playback(id);
   }
@@ -541,26 +553,27 @@
   remove_playback(id);
 }
 
-void Manager::on(const HalfClosed& what) {
-  if (is_peer_connection(what.connection)) {
-    actions_->push_back(Close{what.connection, false});
-    return peers_->on_closed(now_, what.connection);
+void Manager::on(const HalfClosed& event) {
+  if (is_peer_connection(event.connection)) {
+    actions_->push_back(Close{event.connection, false});
+    return peers_->on_closed(now_, event.connection);
   }
-  if (what.connection < first_accepted)
-    return on(Disconnected{what.connection, CloseReason::finished});
-  if (control_connections_.contains(what.connection))
-    return on_control_closed(what.connection);
-  const auto found = viewer_connections_.find(what.connection);
+  if (event.connection < first_accepted)
+    return on(Disconnected{event.connection, CloseReason::finished});
+  if (control_connections_.contains(event.connection))
+    return on_control_closed(event.connection);
+  const auto found = viewer_connections_.find(event.connection);
   if (found == viewer_connections_.end())
     return;
-  // A peer that closed and one that only writes no more look alike: what it asked is answered still.
+  // A viewer that closed and one that only stopped writing can't be told apart, so open requests are
+  // answered.
   found->second->half_closed = true;
   if (!found->second->busy)
     process_requests(*found->second);
 }
 
-void Manager::on(const Flushed& what) {
-  const auto found = viewer_connections_.find(what.connection);
+void Manager::on(const Flushed& event) {
+  const auto found = viewer_connections_.find(event.connection);
   if (found == viewer_connections_.end())
     return;
   auto& viewer = *found->second;
@@ -578,14 +591,14 @@
   actions_->push_back(Send{viewer.id, std::move(bytes)});
   if (viewer.unsent_bytes <= settings_.max_unsent_bytes)
     return;
-  // Backpressure: the box is read no further until its viewer has read.
+  // Backpressure: reading from the box is paused until the viewer has read.
   const auto found = box_connections_.find(viewer.box_connection);
   if (found == box_connections_.end() || found->second->reading_paused)
     return;
   auto& box = *found->second;
   box.reading_paused = box.paused_since_measure = true;
   actions_->push_back(PauseReading{box.id});
-  viewer.stall_timer = start_timer(stuck_abandons * settings_.plans[viewer.media_path.plan].abandon_time,
+  viewer.stall_timer = start_timer(stall_abandon_times * settings_.plans[viewer.media_path.plan].abandon_time,
                                    TimerKind::viewer_stalled, viewer.id);
 }
 
@@ -594,21 +607,21 @@
   const auto* connection = http::find(head.fields, "Connection");
   http::Fields fields;
   for (const auto& [name, value] : head.fields) {
-    if (!ends_here(name, connection ? *connection : ""))
+    if (!is_hop_by_hop(name, connection ? *connection : ""))
       fields.emplace_back(name, value);
   }
-  fields.emplace_back("Via", listed(http::joined(head.fields, "Via"), "1.1 " + settings_.name));
-  hints::CmsdDynamic own;
-  own.server = settings_.name;
-  own.response_delay = (now_ - box.sent_at).count() / 1000;
+  fields.emplace_back("Via", append_to_list(http::joined(head.fields, "Via"), "1.1 " + settings_.name));
+  hints::CmsdDynamic own_cmsd;
+  own_cmsd.server = settings_.name;
+  own_cmsd.response_delay = (now_ - box.sent_at).count() / 1000;
   if (viewer.playback_id) {
     if (const auto found = playbacks_.find(*viewer.playback_id); found != playbacks_.end()) {
-      const auto& of = *found->second;
-      const int rung = of.hls ? of.hls->rung_policy.listed() : of.rung;
-      own.max_suggested_bitrate = std::llround(rate_kb(of, rung) * kbit_per_kb);
+      const auto& playback = *found->second;
+      const int rung = playback.hls ? playback.hls->rung_policy.listed() : playback.rung;
+      own_cmsd.max_suggested_bitrate = std::llround(rate_kb(playback, rung) * kbit_per_kb);
     }
   }
-  fields.emplace_back("CMSD-Dynamic", hints::after_entries(box.cmsd_dynamic, own));
+  fields.emplace_back("CMSD-Dynamic", hints::after_entries(box.cmsd_dynamic, own_cmsd));
   viewer.chunked = !head.length && viewer.request.version >= 11;
   if (!head.length && !viewer.chunked)
     viewer.close_after = true;
@@ -619,10 +632,11 @@
 
 // ---- playbacks ----
 
-// The rung in force or the one asked for, the lower, never under the floor, and one that exists.
-int Manager::effective_rung(const Playback& playback, int asked) const {
+// The lower of the requested rung and the one in force, but not under the plan's floor. If the recording
+// lacks it: the next lower rung that exists, else the next higher.
+int Manager::effective_rung(const Playback& playback, int requested) const {
   const int floor = settings_.policy.plans[playback.plan].floor;
-  const int rung = std::max(floor, std::min(playback.rung, asked));
+  const int rung = std::max(floor, std::min(playback.rung, requested));
   const auto* entry = catalogue_entry(playback);
   if (!entry)
     return rung;
@@ -635,32 +649,32 @@
   return rung;
 }
 
-// The true rate where the catalogue tells it, the ladder's elsewhere.
+// A rung's rate in kB/s: from the catalogue if it has it, else from the ladder.
 double Manager::rate_kb(const Playback& playback, int rung) const {
   const auto& rates = settings_.policy.rung_kb;
-  const auto at = std::min(static_cast<std::size_t>(std::max(0, rung)), rates.size() - 1);
+  const auto index = std::min(static_cast<std::size_t>(std::max(0, rung)), rates.size() - 1);
   const auto* entry = catalogue_entry(playback);
-  const auto known = entry ? entry->kb_per_s(static_cast<int>(at)) : std::nullopt;
-  return known ? *known : rates[at] * settings_.policy.plans[playback.plan].rate_scale;
+  const auto actual = entry ? entry->kb_per_s(static_cast<int>(index)) : std::nullopt;
+  return actual ? *actual : rates[index] * settings_.policy.plans[playback.plan].rate_scale;
 }
 
 void Manager::end_with_response(Playback& playback, int status, const std::string& text,
-                                const http::Fields& more) {
+                                const http::Fields& extra_fields) {
   log_event("playback_ended", {{"playback", log_id(playback.id)},
                                {"status", std::int64_t{status}},
                                {"tries", std::int64_t{playback.tries}}});
-  const auto askers = std::move(playback.waiting_viewers);
+  const auto waiting = std::move(playback.waiting_viewers);
   playback.waiting_viewers.clear();
   if (playback.try_connection)
     close_box_connection(playback.try_connection);
   remove_playback(playback.id);
-  for (const auto link : askers) {
-    const auto found = viewer_connections_.find(link);
+  for (const auto viewer_id : waiting) {
+    const auto found = viewer_connections_.find(viewer_id);
     if (found == viewer_connections_.end())
       continue;
     found->second->playback_id.reset();
     found->second->box_connection = 0;
-    respond(*found->second, status, text, more);
+    respond(*found->second, status, text, extra_fields);
   }
 }
 
@@ -674,10 +688,10 @@
   awaiting_keys_.erase(id);
   const auto seat = playback.seat;
   if (playback.recording) {
-    if (auto asking = setups_by_recording_.find(*playback.recording); asking != setups_by_recording_.end()) {
-      asking->second.erase(id);
-      if (asking->second.empty())
-        setups_by_recording_.erase(asking);
+    if (auto setups = setups_by_recording_.find(*playback.recording); setups != setups_by_recording_.end()) {
+      setups->second.erase(id);
+      if (setups->second.empty())
+        setups_by_recording_.erase(setups);
     }
   }
   playback_by_key_.erase(playback.key);
@@ -694,8 +708,8 @@
   }
 }
 
-// The box of a playing playback failed it: the module hears, and the playback is over. Its viewer's next
-// request is a new one.
+// The box of a running playback failed: reports that to the policy and ends the playback. The viewer's next
+// request starts a new one.
 void Manager::on_box_lost(Playback& playback, Outcome outcome) {
   log_event("playback_lost",
             {{"playback", log_id(playback.id)}, {"box", box_list_.box(playback.server).name}});
@@ -704,15 +718,16 @@
   remove_playback(playback.id);
 }
 
-// Nothing of it is under way: over after a silence that its buffer can't explain.
+// Starts the idle timer once no object is in flight. Its time covers the player's buffer: a player with a
+// full buffer makes no requests.
 void Manager::restart_idle_timer(Playback& playback) {
   timers_.cancel(playback.idle_timer);
   if (playback.objects_in_flight > 0)
     return;
-  const Duration silence =
+  const Duration timeout =
       playback.hls ? playback.hls->rung_policy.idle_timeout()
                    : std::max(settings_.idle_timeout, playback.buffer_length + 2 * settings_.object_duration);
-  playback.idle_timer = start_timer(silence, TimerKind::playback_idle, playback.id);
+  playback.idle_timer = start_timer(timeout, TimerKind::playback_idle, playback.id);
 }
 
 // ---- boxes ----
@@ -721,19 +736,19 @@
                                          bool set_up) const {
   http::Fields fields{{"Host", "box"}, {"Via", "1.1 " + settings_.name}};
   if (playback) {
-    hints::Cmcd passed = viewer ? viewer->hints.hints : hints::Cmcd{};
-    passed.session_id = playback->session_id;
-    passed.startup = set_up;  // tells the box a set-up from a later object
-    for (auto& field : hints::cmcd_headers(passed))
+    hints::Cmcd forwarded = viewer ? viewer->hints.hints : hints::Cmcd{};
+    forwarded.session_id = playback->session_id;
+    forwarded.startup = set_up;  // lets the box tell a set-up from a later object
+    for (auto& field : hints::cmcd_headers(forwarded))
       fields.push_back(std::move(field));
   }
   if (viewer && !viewer->trace_context.empty())
     fields.emplace_back("traceparent", viewer->trace_context);
   if (viewer) {
-    const bool list = viewer->resource == ViewerConnection::Resource::multivariant_playlist ||
-                      viewer->resource == ViewerConnection::Resource::media_playlist;
+    const bool playlist = viewer->resource == ViewerConnection::Resource::multivariant_playlist ||
+                          viewer->resource == ViewerConnection::Resource::media_playlist;
     const auto* range = http::find(viewer->request.fields, "Range");
-    if (list)
+    if (playlist)
       fields.emplace_back("Accept-Encoding", "gzip");
     else if (range)
       fields.emplace_back("Range", *range);
@@ -741,62 +756,64 @@
   return fields;
 }
 
-// A kept connection, or a new one; none where the box has all that it may have.
-Manager::BoxConnection* Manager::acquire_connection(ServerId server, ConnectionPurpose use, bool anew) {
+// Takes an idle connection from the box's pool, or opens a new one. Null if the pool is at its limit.
+Manager::BoxConnection* Manager::acquire_connection(ServerId server, ConnectionPurpose purpose,
+                                                    bool force_new) {
   if (server >= box_list_.size())
     return nullptr;
   if (idle_connections_.size() <= server)
     idle_connections_.resize(server + 1), open_connections_.resize(server + 1, 0);
   auto& idle = idle_connections_[server];
-  if (!anew && !idle.empty()) {
-    auto& kept = *box_connections_.at(idle.back());
+  if (!force_new && !idle.empty()) {
+    auto& pooled = *box_connections_.at(idle.back());
     idle.pop_back();
-    kept.purpose = use;
-    kept.reused = true;
-    return &kept;
+    pooled.purpose = purpose;
+    pooled.reused = true;
+    return &pooled;
   }
   if (open_connections_[server] >= settings_.max_connections_per_box)
     return nullptr;
   const auto& box = box_list_.box(server);
-  auto fresh = std::make_unique<BoxConnection>();
-  auto& link = *fresh;
-  link.id = next_connection_;
-  next_connection_ = next_connection_ + 1 < peer_links ? next_connection_ + 1 : 1;
-  link.server = server;
-  link.purpose = use;
+  auto new_connection = std::make_unique<BoxConnection>();
+  auto& connection = *new_connection;
+  connection.id = next_connection_;
+  next_connection_ = next_connection_ + 1 < first_peer_connection ? next_connection_ + 1 : 1;
+  connection.server = server;
+  connection.purpose = purpose;
   ++open_connections_[server];
-  box_connections_.emplace(link.id, std::move(fresh));
-  actions_->push_back(Dial{link.id, box.address, box.port});
-  link.connect_timer = start_timer(settings_.connect_timeout, TimerKind::box_timeout, link.id);
-  return &link;
+  box_connections_.emplace(connection.id, std::move(new_connection));
+  actions_->push_back(Dial{connection.id, box.address, box.port});
+  connection.connect_timer = start_timer(settings_.connect_timeout, TimerKind::box_timeout, connection.id);
+  return &connection;
 }
 
-void Manager::send_request(BoxConnection& link, std::string text) {
-  link.sent_at = now_;
-  link.head_received = false;
-  link.body.clear();
-  link.received_bytes = link.measured_bytes = 0;
-  link.paused_since_measure = false;
-  if (link.connected)
-    actions_->push_back(Send{link.id, std::move(text)});
+void Manager::send_request(BoxConnection& connection, std::string text) {
+  connection.sent_at = now_;
+  connection.head_received = false;
+  connection.body.clear();
+  connection.received_bytes = connection.measured_bytes = 0;
+  connection.paused_since_measure = false;
+  if (connection.connected)
+    actions_->push_back(Send{connection.id, std::move(text)});
   else
-    link.unsent_request = std::move(text);
+    connection.unsent_request = std::move(text);
 }
 
-void Manager::on(const Connected& what) {
-  const auto found = box_connections_.find(what.connection);
+void Manager::on(const Connected& event) {
+  const auto found = box_connections_.find(event.connection);
   if (found == box_connections_.end())
     return;
-  auto& link = *found->second;
-  link.connected = true;
-  timers_.cancel(link.connect_timer);
-  actions_->push_back(Send{link.id, std::move(link.unsent_request)});
-  link.unsent_request.clear();
+  auto& connection = *found->second;
+  connection.connected = true;
+  timers_.cancel(connection.connect_timer);
+  actions_->push_back(Send{connection.id, std::move(connection.unsent_request)});
+  connection.unsent_request.clear();
 }
 
 void Manager::start_try(const SetUp& command) {
   const auto found = playbacks_.find(command.playback);
-  // Guards against a set-up for a playback whose viewers are all gone: nothing is sent, and the module hears.
+  // Guards against a set-up for a playback whose viewers are all gone: nothing is sent, which is reported to
+  // the policy.
   if (found == playbacks_.end() || found->second->waiting_viewers.empty())
     return post_event(TryEnded{command.playback, command.server, Outcome::not_sent, true, {}});
   auto& playback = *found->second;
@@ -804,218 +821,219 @@
   playback.server = command.server;
   playback.last_try_timed_out = false;
   auto& viewer = *viewer_connections_.at(playback.waiting_viewers.front());
-  // A kept connection may die with the request in it, and then nobody knows whether it ran: a plan that
-  // is paid at set-up gets a connection of its own, whose failure to open proves that nothing ran.
-  const bool anew = settings_.policy.plans[playback.plan].pay_at_setup;
-  auto* link = acquire_connection(command.server, ConnectionPurpose::setup_try, anew);
-  if (!link)
+  // A reused connection may fail after the request was written, and whether the set-up ran is then unknown. A
+  // plan that charges at set-up gets a new connection: if that fails to open, nothing ran.
+  const bool force_new = settings_.policy.plans[playback.plan].pay_at_setup;
+  auto* connection = acquire_connection(command.server, ConnectionPurpose::setup_try, force_new);
+  if (!connection)
     return post_event(TryEnded{playback.id, command.server, Outcome::not_sent, false, {}});
-  link->playback_id = playback.id;
-  link->viewer_connection = viewer.id;
-  const auto target = box_request_target(viewer, playback, *link);
-  link->response_timer = start_timer(command.time_limit, TimerKind::try_timeout, link->id);
-  playback.try_connection = link->id;
-  viewer.box_connection = link->id;
+  connection->playback_id = playback.id;
+  connection->viewer_connection = viewer.id;
+  const auto target = box_request_target(viewer, playback, *connection);
+  connection->response_timer = start_timer(command.time_limit, TimerKind::try_timeout, connection->id);
+  playback.try_connection = connection->id;
+  viewer.box_connection = connection->id;
   log_event("try_sent", {{"playback", log_id(playback.id)},
                          {"box", box_list_.box(command.server).name},
-                         {"rung", std::int64_t{link->rung}},
+                         {"rung", std::int64_t{connection->rung}},
                          {"try", std::int64_t{playback.tries}}});
-  link->reader.expect(false);
-  send_request(*link, http::request_text("GET", target, box_request_fields(&viewer, &playback, true)));
+  connection->reader.expect(false);
+  send_request(*connection, http::request_text("GET", target, box_request_fields(&viewer, &playback, true)));
 }
 
 void Manager::start_probe(ServerId server) {
-  auto* link = acquire_connection(server, ConnectionPurpose::probe, false);
-  if (!link)
+  auto* connection = acquire_connection(server, ConnectionPurpose::probe, false);
+  if (!connection)
     return post_event(ProbeEnded{server, false, {}});
-  link->response_timer = start_timer(settings_.probe_timeout, TimerKind::box_timeout, link->id);
-  link->reader.expect(true);
-  send_request(*link, http::request_text("HEAD", "/", box_request_fields(nullptr, nullptr, false)));
+  connection->response_timer = start_timer(settings_.probe_timeout, TimerKind::box_timeout, connection->id);
+  connection->reader.expect(true);
+  send_request(*connection, http::request_text("HEAD", "/", box_request_fields(nullptr, nullptr, false)));
 }
 
-// A later object of a playback that plays.
+// Requests an object or a playlist of a running playback.
 void Manager::fetch_from_box(ViewerConnection& viewer, Playback& playback) {
   timers_.cancel(playback.idle_timer);
-  if (const auto& buffer = viewer.hints.hints.buffer_length)
-    playback.buffer_length = std::chrono::milliseconds(std::min<std::int64_t>(*buffer, 60'000));
+  if (const auto& reported = viewer.hints.hints.buffer_length)
+    playback.buffer_length = std::chrono::milliseconds(std::min<std::int64_t>(*reported, 60'000));
   ++playback.objects_in_flight;
-  auto* link = acquire_connection(playback.server, ConnectionPurpose::object, viewer.retried);
-  if (!link) {
+  auto* connection = acquire_connection(playback.server, ConnectionPurpose::object, viewer.retried);
+  if (!connection) {
     --playback.objects_in_flight;
     restart_idle_timer(playback);
     if (may_have_been_charged(playback))
-      return respond(viewer, 502, "the box has all the connections it may have\n");
-    return respond(viewer, 503, "the box has all the connections it may have\n", short_retry_after());
+      return respond(viewer, 502, "the connection pool of the box is exhausted\n");
+    return respond(viewer, 503, "the connection pool of the box is exhausted\n", short_retry_after());
   }
-  viewer.box_connection = link->id;
-  link->playback_id = playback.id;
-  link->viewer_connection = viewer.id;
-  const auto target = box_request_target(viewer, playback, *link);
-  // A box that is silent for as long as a set-up should take leaves time to ask another. One that was asked
-  // to wait for a segment to come waits for that too.
-  Duration limit = settings_.policy.plans[playback.plan].startup_target;
+  viewer.box_connection = connection->id;
+  connection->playback_id = playback.id;
+  connection->viewer_connection = viewer.id;
+  const auto target = box_request_target(viewer, playback, *connection);
+  // A timeout as long as the startup target leaves time to try another box. A blocking playlist reload also
+  // waits for its segment.
+  Duration timeout = settings_.policy.plans[playback.plan].startup_target;
   if (viewer.blocking_reload && playback.hls)
-    limit += 3 * playback.hls->target_duration;
-  link->response_timer = start_timer(limit, TimerKind::box_timeout, link->id);
-  link->reader.expect(false);
-  send_request(*link, http::request_text("GET", target, box_request_fields(&viewer, &playback, false)));
+    timeout += 3 * playback.hls->target_duration;
+  connection->response_timer = start_timer(timeout, TimerKind::box_timeout, connection->id);
+  connection->reader.expect(false);
+  send_request(*connection, http::request_text("GET", target, box_request_fields(&viewer, &playback, false)));
 }
 
-void Manager::on_box_response(BoxConnection& link, http::ResponseReader::Part part) {
-  const ConnectionId id = link.id;
+void Manager::on_box_response(BoxConnection& connection, http::ResponseReader::Part part) {
+  const ConnectionId id = connection.id;
   if (part.fault && !part.head && !part.done) {
     log_event("box_malformed",
-              {{"box", link.purpose == ConnectionPurpose::box_list         ? std::string("list")
-                       : link.purpose == ConnectionPurpose::catalogue_feed ? std::string("feed")
-                       : link.purpose == ConnectionPurpose::token_keys     ? std::string("issuer")
-                                                                           : box_list_.box(link.server).name},
+              {{"box", connection.purpose == ConnectionPurpose::box_list         ? std::string("list")
+                       : connection.purpose == ConnectionPurpose::catalogue_feed ? std::string("feed")
+                       : connection.purpose == ConnectionPurpose::token_keys
+                           ? std::string("issuer")
+                           : box_list_.box(connection.server).name},
                {"cause", part.fault->cause}});
-    if (link.purpose == ConnectionPurpose::idle)
+    if (connection.purpose == ConnectionPurpose::idle)
       return close_box_connection(id);
-    return on_box_failure(link, link.head_received ? Outcome::reset : Outcome::error);
+    return on_box_failure(connection, connection.head_received ? Outcome::reset : Outcome::error);
   }
-  if (link.purpose == ConnectionPurpose::idle)
+  if (connection.purpose == ConnectionPurpose::idle)
     return close_box_connection(id);
-  // Bytes behind a response that nobody asked for make the connection worth nothing.
+  // Unrequested bytes after a response: the connection can't be reused.
   if (part.fault)
-    link.keep_alive = false;
+    connection.keep_alive = false;
   if (part.head) {
-    link.head_received = true;
-    link.head_received_at = link.measured_at = now_;
-    link.status = part.head->status;
-    link.keep_alive = link.keep_alive && part.head->keep_alive;
+    connection.head_received = true;
+    connection.head_received_at = connection.measured_at = now_;
+    connection.status = part.head->status;
+    connection.keep_alive = connection.keep_alive && part.head->keep_alive;
   }
-  switch (link.purpose) {
+  switch (connection.purpose) {
     case ConnectionPurpose::box_list:
-      link.body += part.body;
-      if (link.body.size() > most_list)
-        return on_box_list_response(link, false);
+      connection.body += part.body;
+      if (connection.body.size() > max_list_bytes)
+        return on_box_list_response(connection, false);
       if (part.head) {
         const auto* etag = http::find(part.head->fields, "ETag");
-        if (etag && link.status == 200)
+        if (etag && connection.status == 200)
           box_list_etag_ = *etag;
       }
       if (part.done)
-        on_box_list_response(link, true);
+        on_box_list_response(connection, true);
       return;
     case ConnectionPurpose::catalogue_feed:
-      link.body += part.body;
+      connection.body += part.body;
       if (part.done)
-        on_catalogue_feed_response(link, true);
+        on_catalogue_feed_response(connection, true);
       return;
     case ConnectionPurpose::token_keys:
-      link.body += part.body;
-      if (link.body.size() > most_list)
-        return on_token_keys_response(link, false);
+      connection.body += part.body;
+      if (connection.body.size() > max_list_bytes)
+        return on_token_keys_response(connection, false);
       if (part.done)
-        on_token_keys_response(link, true);
+        on_token_keys_response(connection, true);
       return;
     case ConnectionPurpose::probe:
       if (part.head) {
-        const auto said = hints::read_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
+        const auto cmsd = hints::read_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
         LoadReport load;
-        if (!said.hops.empty())
-          load = weighing_.handle(now_, hints::BoxSaid{link.server, said.hops.front(), 0})
+        if (!cmsd.hops.empty())
+          load = weighing_.handle(now_, hints::BoxSaid{connection.server, cmsd.hops.front(), 0})
                      .report.value_or(LoadReport{});
-        post_event(ProbeEnded{link.server, link.status < 500, load});
+        post_event(ProbeEnded{connection.server, connection.status < 500, load});
       }
       if (part.done)
-        release_connection(link, true);
+        release_connection(connection, true);
       return;
     case ConnectionPurpose::setup_try:
-      if (part.head && link.collects_playlist && part.head->status == 200) {
-        if (const auto playback = playbacks_.find(*link.playback_id); playback == playbacks_.end())
+      if (part.head && connection.collects_playlist && part.head->status == 200) {
+        if (const auto playback = playbacks_.find(*connection.playback_id); playback == playbacks_.end())
           return close_box_connection(id);
-        read_box_hints(link, *part.head, 0);
+        read_box_hints(connection, *part.head, 0);
       }
-      if (link.collects_playlist && link.status == 200)
-        return collect_playlist(link, part);
+      if (connection.collects_playlist && connection.status == 200)
+        return collect_playlist(connection, part);
       if (part.head) {
-        on_try_response(link, *part.head);
+        on_try_response(connection, *part.head);
         const auto still = box_connections_.find(id);
         if (still == box_connections_.end() || still->second->purpose != ConnectionPurpose::object) {
           if (still != box_connections_.end() && part.done)
-            release_connection(link, true);
+            release_connection(connection, true);
           return;
         }
       }
-      return forward_object(link, part);
+      return forward_object(connection, part);
     case ConnectionPurpose::object:
       if (part.head) {
-        const auto viewer = viewer_connections_.find(link.viewer_connection);
-        read_box_hints(link, *part.head, 0);
-        // The box is well and knows nothing of the playback: it was restarted or has let it go.
+        const auto viewer = viewer_connections_.find(connection.viewer_connection);
+        read_box_hints(connection, *part.head, 0);
+        // 421: the box is healthy but does not know the playback, as after a restart or an eviction.
         if (part.head->status == 421)
-          return on_box_failure(link, Outcome::error);
-        // Nor does a box have what the catalogue has taken from it since the playback began.
+          return on_box_failure(connection, Outcome::error);
+        // 404 and 410 mean the same if the catalogue removed the recording from the box after the set-up.
         if (part.head->status == 404 || part.head->status == 410) {
-          const auto playback = playbacks_.find(*link.playback_id);
+          const auto playback = playbacks_.find(*connection.playback_id);
           const auto* entry = playback == playbacks_.end() ? nullptr : catalogue_entry(*playback->second);
-          if (entry && !std::binary_search(entry->holders->begin(), entry->holders->end(), link.server))
-            return on_box_failure(link, Outcome::error);
+          if (entry && !std::binary_search(entry->holders->begin(), entry->holders->end(), connection.server))
+            return on_box_failure(connection, Outcome::error);
         }
-        link.collects_playlist = link.collects_playlist && part.head->status == 200;
-        if (viewer != viewer_connections_.end() && !link.collects_playlist)
-          send_response_head(*viewer->second, link, *part.head);
+        connection.collects_playlist = connection.collects_playlist && part.head->status == 200;
+        if (viewer != viewer_connections_.end() && !connection.collects_playlist)
+          send_response_head(*viewer->second, connection, *part.head);
       }
-      if (link.collects_playlist)
-        return collect_playlist(link, part);
-      return forward_object(link, part);
+      if (connection.collects_playlist)
+        return collect_playlist(connection, part);
+      return forward_object(connection, part);
     case ConnectionPurpose::idle:
       return;
   }
 }
 
-// What a box's answer to a set-up try means.
-void Manager::on_try_response(BoxConnection& link, const http::ResponseHead& head) {
-  timers_.cancel(link.response_timer);
-  const auto found = playbacks_.find(*link.playback_id);
+// Handles the head of a box's response to a set-up try.
+void Manager::on_try_response(BoxConnection& connection, const http::ResponseHead& head) {
+  timers_.cancel(connection.response_timer);
+  const auto found = playbacks_.find(*connection.playback_id);
   if (found == playbacks_.end())
-    return close_box_connection(link.id);
-  read_box_hints(link, head, rate_kb(*found->second, link.rung));
+    return close_box_connection(connection.id);
+  read_box_hints(connection, head, rate_kb(*found->second, connection.rung));
   if (head.status == 200 || head.status == 206)
-    return on_try_succeeded(link, &head);
-  // 503 is the box's word that it took nothing on (RFC 9110, 15.6.4); the rest may have run.
-  on_try_failed(link, head.status == 503 ? Outcome::full : Outcome::error,
+    return on_try_succeeded(connection, &head);
+  // 503 says that the box did not start the set-up (RFC 9110, 15.6.4); with any other status it may have run.
+  on_try_failed(connection, head.status == 503 ? Outcome::full : Outcome::error,
                 {{"status", std::int64_t{head.status}}});
 }
 
-// `head`: of the object that goes on to its viewer; none where the answer was a playlist.
-void Manager::on_try_succeeded(BoxConnection& link, const http::ResponseHead* head) {
-  auto& playback = *playbacks_.at(*link.playback_id);
+// `head`: of the object to forward to the viewer; null if the response was a playlist.
+void Manager::on_try_succeeded(BoxConnection& connection, const http::ResponseHead* head) {
+  auto& playback = *playbacks_.at(*connection.playback_id);
   playback.try_connection = 0;
-  link.purpose = ConnectionPurpose::object;
+  connection.purpose = ConnectionPurpose::object;
   playback.playing = true;
   timers_.cancel(playback.setup_deadline_timer);
   if (playback.recording) {
-    if (auto asking = setups_by_recording_.find(*playback.recording); asking != setups_by_recording_.end())
-      asking->second.erase(playback.id);
+    if (auto setups = setups_by_recording_.find(*playback.recording); setups != setups_by_recording_.end())
+      setups->second.erase(playback.id);
   }
-  timers_.cancel(link.response_timer);
-  link.response_timer =
-      start_timer(settings_.plans[playback.plan].abandon_time, TimerKind::box_timeout, link.id);
+  timers_.cancel(connection.response_timer);
+  connection.response_timer =
+      start_timer(settings_.plans[playback.plan].abandon_time, TimerKind::box_timeout, connection.id);
   log_event("playback_plays", {{"playback", log_id(playback.id)},
-                               {"box", box_list_.box(link.server).name},
-                               {"rung", std::int64_t{link.rung}},
+                               {"box", box_list_.box(connection.server).name},
+                               {"rung", std::int64_t{connection.rung}},
                                {"tries", std::int64_t{playback.tries}},
                                {"waited_ms", (now_ - playback.setup_requested_at).count() / 1000}});
-  post_event(PlaybackStarted{playback.id, link.server, now_ - link.sent_at});
+  post_event(PlaybackStarted{playback.id, connection.server, now_ - connection.sent_at});
   ++playback.objects_in_flight;
-  const auto askers = std::move(playback.waiting_viewers);
+  const auto waiting = std::move(playback.waiting_viewers);
   playback.waiting_viewers.clear();
-  const auto first = viewer_connections_.find(link.viewer_connection);
+  const auto first = viewer_connections_.find(connection.viewer_connection);
   if (first != viewer_connections_.end()) {
     if (playback.bound_to_connection)
-      playback_by_connection_[link.viewer_connection] = playback.id;
+      playback_by_connection_[connection.viewer_connection] = playback.id;
     first->second->waits_for_setup = false;
     if (head)
-      send_response_head(*first->second, link, *head);
+      send_response_head(*first->second, connection, *head);
   } else {
-    link.viewer_connection = 0;
+    connection.viewer_connection = 0;
   }
-  for (const auto asker : askers) {
-    const auto other = viewer_connections_.find(asker);
-    if (other == viewer_connections_.end() || asker == link.viewer_connection)
+  for (const auto waiting_id : waiting) {
+    const auto other = viewer_connections_.find(waiting_id);
+    if (other == viewer_connections_.end() || waiting_id == connection.viewer_connection)
       continue;
     other->second->waits_for_setup = false;
     if (other->second->resource == ViewerConnection::Resource::object ||
@@ -1024,52 +1042,53 @@
   }
 }
 
-void Manager::on_try_failed(BoxConnection& link, Outcome outcome, std::vector<LogField> more) {
-  auto& playback = *playbacks_.at(*link.playback_id);
+void Manager::on_try_failed(BoxConnection& connection, Outcome outcome, std::vector<LogField> extra_fields) {
+  auto& playback = *playbacks_.at(*connection.playback_id);
   playback.try_connection = 0;
-  std::vector<LogField> fields{{"playback", log_id(playback.id)}, {"box", box_list_.box(link.server).name}};
-  fields.insert(fields.end(), more.begin(), more.end());
+  std::vector<LogField> fields{{"playback", log_id(playback.id)},
+                               {"box", box_list_.box(connection.server).name}};
+  fields.insert(fields.end(), extra_fields.begin(), extra_fields.end());
   log_event("try_ended", std::move(fields));
-  if (const auto viewer = viewer_connections_.find(link.viewer_connection);
+  if (const auto viewer = viewer_connections_.find(connection.viewer_connection);
       viewer != viewer_connections_.end())
     viewer->second->box_connection = 0;
-  link.playback_id.reset();
-  link.viewer_connection = 0;
-  link.collects_playlist = false;
-  link.purpose = ConnectionPurpose::probe;  // the rest of its answer is read and let go
-  link.head_received = true;
-  timers_.cancel(link.response_timer);
-  link.response_timer = start_timer(settings_.probe_timeout, TimerKind::box_timeout, link.id);
-  post_event(TryEnded{playback.id, link.server, outcome, false, {}});
+  connection.playback_id.reset();
+  connection.viewer_connection = 0;
+  connection.collects_playlist = false;
+  connection.purpose = ConnectionPurpose::probe;  // the rest of the response is read and discarded
+  connection.head_received = true;
+  timers_.cancel(connection.response_timer);
+  connection.response_timer = start_timer(settings_.probe_timeout, TimerKind::box_timeout, connection.id);
+  post_event(TryEnded{playback.id, connection.server, outcome, false, {}});
 }
 
-void Manager::read_box_hints(BoxConnection& link, const http::ResponseHead& head, double rate) {
-  link.cmsd_dynamic = http::joined(head.fields, "CMSD-Dynamic");
-  const auto said = hints::read_cmsd(http::joined(head.fields, "CMSD-Static"), link.cmsd_dynamic);
-  if (!said.dynamic_whole)
-    link.cmsd_dynamic.clear();
-  if (!said.faults.empty())
+void Manager::read_box_hints(BoxConnection& connection, const http::ResponseHead& head, double rate) {
+  connection.cmsd_dynamic = http::joined(head.fields, "CMSD-Dynamic");
+  const auto cmsd = hints::read_cmsd(http::joined(head.fields, "CMSD-Static"), connection.cmsd_dynamic);
+  if (!cmsd.dynamic_whole)
+    connection.cmsd_dynamic.clear();
+  if (!cmsd.faults.empty())
     log_event("box_hints_left_out",
-              {{"box", box_list_.box(link.server).name}, {"cause", said.faults.front()}});
+              {{"box", box_list_.box(connection.server).name}, {"cause", cmsd.faults.front()}});
   double length = seconds(settings_.object_duration);
-  if (said.fixed && said.fixed->object_duration && *said.fixed->object_duration > 0)
-    length = static_cast<double>(*said.fixed->object_duration) / 1000;
-  const auto playback = playbacks_.find(link.playback_id.value_or(~PlaybackId{0}));
-  double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, link.rung);
-  if (link.collects_playlist || link.off_ladder)
+  if (cmsd.fixed && cmsd.fixed->object_duration && *cmsd.fixed->object_duration > 0)
+    length = static_cast<double>(*cmsd.fixed->object_duration) / 1000;
+  const auto playback = playbacks_.find(connection.playback_id.value_or(~PlaybackId{0}));
+  double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, connection.rung);
+  if (connection.collects_playlist || connection.off_ladder)
     rung_rate = 0;
-  link.object_bytes_per_s = link.collects_playlist ? 0
-                            : head.length          ? static_cast<double>(*head.length) / length
-                                                   : rung_rate * 1000;
-  if (!said.hops.empty())
-    apply_weighing(weighing_.handle(now_, hints::BoxSaid{link.server, said.hops.front(), rung_rate}),
-                   link.server);
+  connection.object_bytes_per_s = connection.collects_playlist ? 0
+                                  : head.length                ? static_cast<double>(*head.length) / length
+                                                               : rung_rate * 1000;
+  if (!cmsd.hops.empty())
+    apply_weighing(weighing_.handle(now_, hints::BoxSaid{connection.server, cmsd.hops.front(), rung_rate}),
+                   connection.server);
 }
 
-void Manager::forward_object(BoxConnection& link, http::ResponseReader::Part& part) {
-  const ConnectionId id = link.id;
-  link.received_bytes += part.body.size();
-  const auto found = viewer_connections_.find(link.viewer_connection);
+void Manager::forward_object(BoxConnection& connection, http::ResponseReader::Part& part) {
+  const ConnectionId id = connection.id;
+  connection.received_bytes += part.body.size();
+  const auto found = viewer_connections_.find(connection.viewer_connection);
   if (found != viewer_connections_.end()) {
     auto& viewer = *found->second;
     if (!part.body.empty())
@@ -1080,49 +1099,51 @@
   if (!part.done) {
     if (part.body.empty())
       return;
-    timers_.cancel(link.response_timer);
-    const auto playback = playbacks_.find(*link.playback_id);
+    timers_.cancel(connection.response_timer);
+    const auto playback = playbacks_.find(*connection.playback_id);
     const int plan = playback == playbacks_.end() ? 0 : playback->second->plan;
-    link.response_timer = start_timer(settings_.plans[plan].abandon_time, TimerKind::box_timeout, id);
-    if (now_ - link.measured_at >= measure_every)
-      measure_delivery(link, false);
+    connection.response_timer = start_timer(settings_.plans[plan].abandon_time, TimerKind::box_timeout, id);
+    if (now_ - connection.measured_at >= measure_interval)
+      measure_delivery(connection, false);
     return;
   }
-  measure_delivery(link, true);
-  if (const auto playback = playbacks_.find(*link.playback_id); playback != playbacks_.end()) {
+  measure_delivery(connection, true);
+  if (const auto playback = playbacks_.find(*connection.playback_id); playback != playbacks_.end()) {
     if (playback->second->objects_in_flight > 0)
       --playback->second->objects_in_flight;
     restart_idle_timer(*playback->second);
   }
-  const ConnectionId viewer = link.viewer_connection;
-  release_connection(link, true);
+  const ConnectionId viewer = connection.viewer_connection;
+  release_connection(connection, true);
   if (const auto still = viewer_connections_.find(viewer); still != viewer_connections_.end())
     finish_response(*still->second);
 }
 
-// Tells the weighing how the box kept up since the last measure.
-void Manager::measure_delivery(BoxConnection& link, bool whole) {
-  const Duration took = now_ - link.measured_at;
-  const auto bytes = static_cast<double>(link.received_bytes - link.measured_bytes);
-  if (link.object_bytes_per_s <= 0 || (whole && bytes == 0) || link.status >= 300)
+// Reports to the weighing of hints what share of the object's rate the box delivered since the last
+// measurement. `complete`: the object has ended.
+void Manager::measure_delivery(BoxConnection& connection, bool complete) {
+  const Duration elapsed = now_ - connection.measured_at;
+  const auto bytes = static_cast<double>(connection.received_bytes - connection.measured_bytes);
+  if (connection.object_bytes_per_s <= 0 || (complete && bytes == 0) || connection.status >= 300)
     return;
-  const double share =
-      took < least_measured ? 1.0 : std::min(1.0, bytes / (link.object_bytes_per_s * seconds(took)));
-  apply_weighing(weighing_.handle(now_, hints::Delivered{*link.playback_id, link.server, share,
-                                                         link.paused_since_measure}),
-                 link.server);
-  link.measured_at = now_;
-  link.measured_bytes = link.received_bytes;
-  link.paused_since_measure = link.reading_paused;
+  const double share = elapsed < min_measured_time
+                           ? 1.0
+                           : std::min(1.0, bytes / (connection.object_bytes_per_s * seconds(elapsed)));
+  apply_weighing(weighing_.handle(now_, hints::Delivered{*connection.playback_id, connection.server, share,
+                                                         connection.paused_since_measure}),
+                 connection.server);
+  connection.measured_at = now_;
+  connection.measured_bytes = connection.received_bytes;
+  connection.paused_since_measure = connection.reading_paused;
 }
 
-void Manager::on(const Disconnected& what) {
-  if (is_peer_connection(what.connection))
-    return peers_->on_closed(now_, what.connection);
-  if (what.connection >= first_accepted) {
-    if (control_connections_.contains(what.connection))
-      return on_control_closed(what.connection);
-    const auto found = viewer_connections_.find(what.connection);
+void Manager::on(const Disconnected& event) {
+  if (is_peer_connection(event.connection))
+    return peers_->on_closed(now_, event.connection);
+  if (event.connection >= first_accepted) {
+    if (control_connections_.contains(event.connection))
+      return on_control_closed(event.connection);
+    const auto found = viewer_connections_.find(event.connection);
     if (found == viewer_connections_.end())
       return;
     const auto viewer = std::move(found->second);
@@ -1133,63 +1154,65 @@
       actions_->push_back(StopLoop{});
     return;
   }
-  const auto found = box_connections_.find(what.connection);
+  const auto found = box_connections_.find(event.connection);
   if (found == box_connections_.end())
     return;
-  auto& link = *found->second;
-  if (link.purpose == ConnectionPurpose::idle)
-    return close_box_connection(what.connection);
-  if (what.reason == CloseReason::finished && link.connected) {
-    auto rest = link.reader.close();  // a body without a length ends so
+  auto& connection = *found->second;
+  if (connection.purpose == ConnectionPurpose::idle)
+    return close_box_connection(event.connection);
+  if (event.reason == CloseReason::finished && connection.connected) {
+    auto rest = connection.reader.close();  // ends a body that has no length
     if (!rest.fault && (rest.done || rest.head)) {
-      link.keep_alive = false;
-      return on_box_response(link, std::move(rest));
+      connection.keep_alive = false;
+      return on_box_response(connection, std::move(rest));
     }
   }
-  const auto unmade = what.reason == CloseReason::local_failure ? Outcome::not_sent : Outcome::no_connection;
-  on_box_failure(link, link.connected ? Outcome::reset : unmade);
+  const auto connect_outcome =
+      event.reason == CloseReason::local_failure ? Outcome::not_sent : Outcome::no_connection;
+  on_box_failure(connection, connection.connected ? Outcome::reset : connect_outcome);
 }
 
-void Manager::on_box_timeout(BoxConnection& link) {
-  // Guards against taking this front's own standing still for the box's: what came meanwhile is read first.
+void Manager::on_box_timeout(BoxConnection& connection) {
+  // Guards against blaming a box for a stall of this process: input that came during the stall is read first.
   if (now_ < stall_recovery_until_) {
-    link.response_timer = timers_.schedule(stall_recovery_until_, {TimerKind::box_timeout, link.id});
+    connection.response_timer =
+        timers_.schedule(stall_recovery_until_, {TimerKind::box_timeout, connection.id});
     return;
   }
-  if (!link.connected)
-    return on_box_failure(link, Outcome::no_connection);
-  // Guards against blaming a box for what its viewer does not read.
-  if (link.purpose == ConnectionPurpose::object && link.reading_paused) {
-    link.response_timer = start_timer(settings_.connect_timeout, TimerKind::box_timeout, link.id);
+  if (!connection.connected)
+    return on_box_failure(connection, Outcome::no_connection);
+  // Guards against blaming a box for a viewer that does not read.
+  if (connection.purpose == ConnectionPurpose::object && connection.reading_paused) {
+    connection.response_timer = start_timer(settings_.connect_timeout, TimerKind::box_timeout, connection.id);
     return;
   }
-  on_box_failure(link, Outcome::late);
+  on_box_failure(connection, Outcome::late);
 }
 
-// A link that failed while it was in use; what that means depends on what it was used for.
-void Manager::on_box_failure(BoxConnection& link, Outcome outcome) {
-  const auto use = link.purpose;
-  const auto server = link.server;
-  const bool head_seen = link.head_received, kept = link.reused;
-  const auto id = link.playback_id;
-  const auto viewer_link = link.viewer_connection;
-  if (use == ConnectionPurpose::box_list)
-    return on_box_list_response(link, false);
-  if (use == ConnectionPurpose::catalogue_feed)
-    return on_catalogue_feed_response(link, false);
-  if (use == ConnectionPurpose::token_keys)
-    return on_token_keys_response(link, false);
-  close_box_connection(link.id);
-  if (use == ConnectionPurpose::probe) {
+// A connection failed while it was in use. The consequences depend on its purpose.
+void Manager::on_box_failure(BoxConnection& connection, Outcome outcome) {
+  const auto purpose = connection.purpose;
+  const auto server = connection.server;
+  const bool head_seen = connection.head_received, reused = connection.reused;
+  const auto id = connection.playback_id;
+  const auto viewer_id = connection.viewer_connection;
+  if (purpose == ConnectionPurpose::box_list)
+    return on_box_list_response(connection, false);
+  if (purpose == ConnectionPurpose::catalogue_feed)
+    return on_catalogue_feed_response(connection, false);
+  if (purpose == ConnectionPurpose::token_keys)
+    return on_token_keys_response(connection, false);
+  close_box_connection(connection.id);
+  if (purpose == ConnectionPurpose::probe) {
     if (!head_seen)
       post_event(ProbeEnded{server, false, {}, outcome != Outcome::not_sent});
     return;
   }
   const auto found = playbacks_.find(id.value_or(~PlaybackId{0}));
-  const auto viewer = viewer_connections_.find(viewer_link);
+  const auto viewer = viewer_connections_.find(viewer_id);
   if (viewer != viewer_connections_.end())
     viewer->second->box_connection = 0;
-  if (use == ConnectionPurpose::setup_try) {
+  if (purpose == ConnectionPurpose::setup_try) {
     if (found == playbacks_.end())
       return;
     found->second->try_connection = 0;
@@ -1201,8 +1224,8 @@
   }
   if (found != playbacks_.end() && found->second->objects_in_flight > 0)
     --found->second->objects_in_flight;
-  // A kept connection that the box closed meanwhile proves nothing against it: once more on a new one.
-  if (kept && !head_seen && outcome == Outcome::reset && viewer != viewer_connections_.end() &&
+  // A box may close an idle connection at any time, which is no failure: retries once on a new connection.
+  if (reused && !head_seen && outcome == Outcome::reset && viewer != viewer_connections_.end() &&
       found != playbacks_.end() && !viewer->second->retried) {
     viewer->second->retried = true;
     return fetch_from_box(*viewer->second, *found->second);
@@ -1219,53 +1242,54 @@
   auto& waiting = *viewer->second;
   waiting.playback_id.reset();
   if (waiting.head_sent)
-    return close_viewer(viewer_link, true);  // a body cut short must look cut short
-  // The object was not begun: its viewer asks anew here, as it would after a break. A plan paid at set-up
-  // is not set up again on the front's own account.
+    return close_viewer(viewer_id, true);  // a reset shows the viewer that the body is truncated
+  // Nothing was sent to the viewer yet: sets the playback up again as if the viewer had retried. A plan that
+  // charges at set-up is not set up again without the viewer's request.
   if (pay_at_setup)
-    return respond(waiting, 502, "the box of this playback is lost\n");
+    return respond(waiting, 502, "the box of this playback failed\n");
   if (now_ - waiting.received_at >=
-      part_of(settings_.plans[waiting.media_path.plan].abandon_time, answer_part))
-    return respond(waiting, 504, "the box of this playback is lost, and the time is up\n");
+      fraction_of(settings_.plans[waiting.media_path.plan].abandon_time, decision_fraction))
+    return respond(waiting, 504, "the box of this playback failed, and the abandon time is over\n");
   dispatch_to_playback(waiting);
 }
 
-// The link is whole and free: kept for the next request, or closed.
-void Manager::release_connection(BoxConnection& link, bool reusable) {
-  timers_.cancel(link.response_timer);
-  link.playback_id.reset();
-  link.viewer_connection = 0;
-  link.collects_playlist = false;
-  const bool wanted = reusable && link.keep_alive && !shutting_down_ &&
-                      box_list_.box(link.server).state != ServerState::gone &&
-                      idle_connections_[link.server].size() < settings_.max_idle_connections_per_box;
+// Returns a connection to its box's pool after a complete response, or closes it.
+void Manager::release_connection(BoxConnection& connection, bool reusable) {
+  timers_.cancel(connection.response_timer);
+  connection.playback_id.reset();
+  connection.viewer_connection = 0;
+  connection.collects_playlist = false;
+  const bool wanted = reusable && connection.keep_alive && !shutting_down_ &&
+                      box_list_.box(connection.server).state != ServerState::gone &&
+                      idle_connections_[connection.server].size() < settings_.max_idle_connections_per_box;
   if (!wanted)
-    return close_box_connection(link.id);
-  link.purpose = ConnectionPurpose::idle;
-  if (link.reading_paused) {
-    link.reading_paused = false;
-    actions_->push_back(ResumeReading{link.id});
+    return close_box_connection(connection.id);
+  connection.purpose = ConnectionPurpose::idle;
+  if (connection.reading_paused) {
+    connection.reading_paused = false;
+    actions_->push_back(ResumeReading{connection.id});
   }
-  idle_connections_[link.server].push_back(link.id);
+  idle_connections_[connection.server].push_back(connection.id);
 }
 
 void Manager::close_box_connection(ConnectionId id) {
   const auto found = box_connections_.find(id);
   if (found == box_connections_.end())
     return;
-  auto& link = *found->second;
-  timers_.cancel(link.response_timer);
-  timers_.cancel(link.connect_timer);
-  if (link.purpose != ConnectionPurpose::box_list && link.purpose != ConnectionPurpose::catalogue_feed &&
-      link.purpose != ConnectionPurpose::token_keys) {
-    --open_connections_[link.server];
-    std::erase(idle_connections_[link.server], id);
+  auto& connection = *found->second;
+  timers_.cancel(connection.response_timer);
+  timers_.cancel(connection.connect_timer);
+  if (connection.purpose != ConnectionPurpose::box_list &&
+      connection.purpose != ConnectionPurpose::catalogue_feed &&
+      connection.purpose != ConnectionPurpose::token_keys) {
+    --open_connections_[connection.server];
+    std::erase(idle_connections_[connection.server], id);
   }
   actions_->push_back(Close{id, false});
   box_connections_.erase(found);
 }
 
-// ---- the list ----
+// ---- the box list ----
 
 void Manager::poll_box_list() {
   start_timer(jittered(settings_.box_list_interval), TimerKind::box_list_poll, 0);
@@ -1276,95 +1300,97 @@
                        "/boxes", box_list_etag_, 2 * settings_.box_list_interval);
 }
 
-// One request of a service that is no box, on a connection of its own.
-Manager::BoxConnection& Manager::request_from_service(ConnectionPurpose use, const std::string& address,
+// Sends one request to a service other than a box, on a new connection.
+Manager::BoxConnection& Manager::request_from_service(ConnectionPurpose purpose, const std::string& address,
                                                       std::uint16_t port, const std::string& target,
-                                                      const std::string& etag, Duration limit) {
-  auto fresh = std::make_unique<BoxConnection>();
-  auto& link = *fresh;
-  link.id = next_connection_;
-  next_connection_ = next_connection_ + 1 < peer_links ? next_connection_ + 1 : 1;
-  link.purpose = use;
-  box_connections_.emplace(link.id, std::move(fresh));
-  actions_->push_back(Dial{link.id, address, port});
-  link.response_timer = start_timer(limit, TimerKind::box_timeout, link.id);
-  link.reader.expect(false);
+                                                      const std::string& etag, Duration timeout) {
+  auto new_connection = std::make_unique<BoxConnection>();
+  auto& connection = *new_connection;
+  connection.id = next_connection_;
+  next_connection_ = next_connection_ + 1 < first_peer_connection ? next_connection_ + 1 : 1;
+  connection.purpose = purpose;
+  box_connections_.emplace(connection.id, std::move(new_connection));
+  actions_->push_back(Dial{connection.id, address, port});
+  connection.response_timer = start_timer(timeout, TimerKind::box_timeout, connection.id);
+  connection.reader.expect(false);
   http::Fields fields{{"Host", address}, {"Via", "1.1 " + settings_.name}, {"Connection", "close"}};
   if (!etag.empty())
     fields.emplace_back("If-None-Match", etag);
-  send_request(link, http::request_text("GET", target, fields));
-  return link;
+  send_request(connection, http::request_text("GET", target, fields));
+  return connection;
 }
 
-void Manager::on_box_list_response(BoxConnection& link, bool whole) {
+void Manager::on_box_list_response(BoxConnection& connection, bool complete) {
   box_list_pending_ = false;
-  const auto body = std::move(link.body);
-  const int status = link.head_received ? link.status : 0;
-  close_box_connection(link.id);
-  if (whole && status == 304)
+  const auto body = std::move(connection.body);
+  const int status = connection.head_received ? connection.status : 0;
+  close_box_connection(connection.id);
+  if (complete && status == 304)
     return;
-  if (!whole || status != 200) {
+  if (!complete || status != 200) {
     box_list_etag_.clear();
     log_event("list_failed", {{"status", std::int64_t{status}}});
     return post_event(ServerListFailed{});
   }
-  auto news = box_list_.apply(now_, body);
-  // Only a list that is taken whole is one to begin with after a restart.
-  if (news.list && news.not_applied_cause.empty())
+  auto update = box_list_.apply(now_, body);
+  // Only a list that was applied in full is stored to start from after a restart.
+  if (update.list && update.not_applied_cause.empty())
     actions_->push_back(WriteFile{"boxes.json", body});
-  if (!news.not_applied_cause.empty())
-    box_list_etag_.clear();  // the next answer must come whole to be weighed again
-  apply_box_list(std::move(news), "service");
+  if (!update.not_applied_cause.empty())
+    box_list_etag_.clear();  // the next response must have a body, to be compared again
+  apply_box_list(std::move(update), "service");
 }
 
-void Manager::apply_box_list(boxlist::ListUpdate news, const char* source) {
-  if (news.error) {
+void Manager::apply_box_list(boxlist::ListUpdate update, const char* source) {
+  if (update.error) {
     box_list_etag_.clear();
-    log_event("list_malformed",
-              {{"source", std::string(source)}, {"place", news.error->place}, {"cause", news.error->cause}});
+    log_event(
+        "list_malformed",
+        {{"source", std::string(source)}, {"place", update.error->place}, {"cause", update.error->cause}});
     return post_event(ServerListFailed{});
   }
-  if (!news.not_applied_cause.empty())
-    log_event("list_passed_over", {{"source", std::string(source)}, {"cause", news.not_applied_cause}});
+  if (!update.not_applied_cause.empty())
+    log_event("list_passed_over", {{"source", std::string(source)}, {"cause", update.not_applied_cause}});
   if (idle_connections_.size() < box_list_.size())
     idle_connections_.resize(box_list_.size()), open_connections_.resize(box_list_.size(), 0);
-  // Connections to a process that is no more, or is elsewhere now, lead nowhere.
-  for (const auto server : news.replaced) {
+  // Closes idle connections to boxes whose process or address was replaced.
+  for (const auto server : update.replaced) {
     const auto idle = idle_connections_[server];
-    for (const auto link : idle)
-      close_box_connection(link);
+    for (const auto connection : idle)
+      close_box_connection(connection);
   }
-  if (!news.list)
+  if (!update.list)
     return;
   log_event("list_taken", {{"source", std::string(source)},
                            {"revision", box_list_.revision()},
-                           {"boxes", static_cast<std::int64_t>(news.list->entries.size())}});
-  post_event(*news.list);
-  // Guards against a try decided before word of a drain that is sent past the grace, when its connection
-  // opens: what is not written to a socket yet is taken back.
+                           {"boxes", static_cast<std::int64_t>(update.list->entries.size())}});
+  post_event(*update.list);
+  // Guards against a try that was decided before a drain but is sent after the drain's grace period, when its
+  // connection opens: tries that are not written to a socket yet are cancelled.
   std::vector<PlaybackId> unsent;
-  for (const auto& [id, link] : box_connections_) {
-    if (link->purpose != ConnectionPurpose::setup_try || link->connected || !link->playback_id)
+  for (const auto& [id, connection] : box_connections_) {
+    if (connection->purpose != ConnectionPurpose::setup_try || connection->connected ||
+        !connection->playback_id)
       continue;
-    const bool moved =
-        std::find(news.replaced.begin(), news.replaced.end(), link->server) != news.replaced.end();
-    if (moved || box_list_.box(link->server).state != ServerState::ready)
-      unsent.push_back(*link->playback_id);
+    const bool replaced = std::find(update.replaced.begin(), update.replaced.end(), connection->server) !=
+                          update.replaced.end();
+    if (replaced || box_list_.box(connection->server).state != ServerState::ready)
+      unsent.push_back(*connection->playback_id);
   }
   std::sort(unsent.begin(), unsent.end());
   for (const auto id : unsent)
     cancel_unsent_try(*playbacks_.at(id));
 }
 
-// ---- the module ----
+// ---- the policy ----
 
 void Manager::post_event(const Event& event) { events_.push_back(event); }
 
 void Manager::apply_weighing(hints::Weighed weighed, ServerId server) {
   if (weighed.last_mile)
     log_event("viewer_line_short", {{"playback", log_id(*weighed.last_mile)}});
-  for (const auto& note : weighed.notes)
-    post_event(note);
+  for (const auto& measurement : weighed.notes)
+    post_event(measurement);
   if (!weighed.report)
     return;
   const auto& report = *weighed.report;
@@ -1374,7 +1400,8 @@
     post_event(Measurement{~PlaybackId{0}, server, Measurement::Kind::uplink_fill, *report.uplink_fill});
 }
 
-// Everything waits in line, so that no order is carried out in the middle of another matter.
+// Passes queued events to the policy and executes its commands. Queueing ensures that no command is executed
+// in the middle of another step.
 void Manager::process_events() {
   for (;;) {
     while (!events_.empty()) {
@@ -1385,60 +1412,62 @@
     }
     if (viewers_to_read_.empty())
       return;
-    const auto link = *viewers_to_read_.begin();
+    const auto connection = *viewers_to_read_.begin();
     viewers_to_read_.erase(viewers_to_read_.begin());
-    if (const auto found = viewer_connections_.find(link); found != viewer_connections_.end())
+    if (const auto found = viewer_connections_.find(connection); found != viewer_connections_.end())
       process_requests(*found->second);
   }
 }
 
 void Manager::execute(const Command& command) {
   std::visit(Overloaded{
-                 [this](const SetUp& o) { start_try(o); },
-                 [this](const SetRung& o) {
-                   const auto found = playbacks_.find(o.playback);
+                 [this](const SetUp& set_up) { start_try(set_up); },
+                 [this](const SetRung& set_rung) {
+                   const auto found = playbacks_.find(set_rung.playback);
                    if (found == playbacks_.end())
                      return;
                    auto& playback = *found->second;
                    if (playback.playing)
-                     log_event("rung_set", {{"playback", log_id(o.playback)},
+                     log_event("rung_set", {{"playback", log_id(set_rung.playback)},
                                             {"from", std::int64_t{playback.rung}},
-                                            {"to", std::int64_t{o.rung}}});
-                   playback.rung = o.rung;
+                                            {"to", std::int64_t{set_rung.rung}}});
+                   playback.rung = set_rung.rung;
                    if (playback.hls)
-                     playback.hls->rung_policy.handle(now_, hls::RungDecided{o.rung});
+                     playback.hls->rung_policy.handle(now_, hls::RungDecided{set_rung.rung});
                  },
-                 [this](const Reject& o) {
-                   const auto found = playbacks_.find(o.playback);
+                 [this](const Reject& reject) {
+                   const auto found = playbacks_.find(reject.playback);
                    if (found == playbacks_.end())
                      return;
-                   http::Fields more;
-                   // Those turned away together are not told to come back together.
-                   const auto whole = (jittered(o.retry_after).count() + 999'999) / 1'000'000;
-                   if (whole > 0)
-                     more.emplace_back("Retry-After", std::to_string(whole));
-                   record_ended_playback(*found->second, hls::EndReason::rejected, o.retry_after);
+                   http::Fields extra_fields;
+                   // Jitter keeps viewers that are rejected together from retrying together.
+                   const auto retry_after_s = (jittered(reject.retry_after).count() + 999'999) / 1'000'000;
+                   if (retry_after_s > 0)
+                     extra_fields.emplace_back("Retry-After", std::to_string(retry_after_s));
+                   record_ended_playback(*found->second, hls::EndReason::rejected, reject.retry_after);
                    if (found->second->recording)
                      demand_.record_turned_away(now_, *found->second->recording);
-                   end_with_response(*found->second, 503, "rejected: no box has room\n", more);
+                   end_with_response(*found->second, 503, "rejected: no box has room\n", extra_fields);
                  },
-                 [this](const Abort& o) {
-                   const auto found = playbacks_.find(o.playback);
+                 [this](const Abort& abort) {
+                   const auto found = playbacks_.find(abort.playback);
                    if (found == playbacks_.end())
                      return;
                    const int status = found->second->last_try_timed_out ? 504 : 502;
                    end_with_response(*found->second, status, "aborted: the set-up failed\n", {});
                  },
-                 [this](const Probe& o) { start_probe(o.server); },
-                 [this](const SetTimer& o) { start_timer(o.delay, TimerKind::policy, o.token); },
-                 [this](const SubscribeServerList&) {},  // the list is followed in any case
+                 [this](const Probe& probe) { start_probe(probe.server); },
+                 [this](const SetTimer& set_timer) {
+                   start_timer(set_timer.delay, TimerKind::policy, set_timer.token);
+                 },
+                 [this](const SubscribeServerList&) {},  // the box list is polled in any case
              },
              command);
 }
 
-// ---- stopping ----
+// ---- graceful shutdown ----
 
-// Guards against an end of the process that leaves anybody without an answer.
+// Guards against the process ending with requests unanswered: answers all that wait for a set-up.
 void Manager::answer_waiting_viewers() {
   std::vector<PlaybackId> waiting;
   for (const auto& [id, playback] : playbacks_) {
@@ -1449,13 +1478,14 @@
   for (const auto id : waiting) {
     auto& playback = *playbacks_.at(id);
     if (playback.try_connection)
-      end_with_response(playback, 504, "this front stops, and the set-up took too long\n", {});
+      end_with_response(playback, 504, "this front is shutting down, and the set-up took too long\n", {});
     else
-      end_with_response(playback, 503, "this front stops\n", short_retry_after());
+      end_with_response(playback, 503, "this front is shutting down\n", short_retry_after());
   }
 }
 
-// Everybody is answered: what waits for a set-up by the module, what plays gets its object to the end.
+// Starts a graceful shutdown: set-ups in progress are still decided, and objects in flight are sent to their
+// end.
 void Manager::on(const ShutdownRequested&) {
   if (shutting_down_)
     return;
@@ -1464,15 +1494,15 @@
   actions_->push_back(StopListening{0});
   start_timer(settings_.shutdown_timeout, TimerKind::shutdown_deadline, 0);
   std::vector<ConnectionId> idle;
-  for (auto& [link, viewer] : viewer_connections_) {
+  for (auto& [id, viewer] : viewer_connections_) {
     if (!viewer->busy)
-      idle.push_back(link);
+      idle.push_back(id);
     else
       viewer->close_after = true;
   }
   std::sort(idle.begin(), idle.end());
-  for (const auto link : idle)
-    close_viewer(link, false);
+  for (const auto id : idle)
+    close_viewer(id, false);
   if (viewer_connections_.empty())
     actions_->push_back(StopLoop{});
 }
