--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 using testing::Network;
-using testing::Script;
+using testing::ScriptedDecider;
 using testing::ScriptedPeer;
 
 class Front : public ::testing::Test {
@@ -55,10 +55,10 @@
     told.clear();
   }
   std::unique_ptr<Manager> make() {
-    return std::make_unique<Manager>(terms, 1, "",
-                                     std::make_unique<Script>(&told, [this](Duration, const Event& event) {
-                                       return decide ? decide(event) : place(event);
-                                     }));
+    return std::make_unique<Manager>(
+        terms, 1, "", std::make_unique<ScriptedDecider>(&told, [this](Duration, const Event& event) {
+          return decide ? decide(event) : place(event);
+        }));
   }
   std::vector<Command> place(const Event& event) {
     if (const auto* request = std::get_if<Request>(&event)) {
@@ -187,7 +187,7 @@
   }
   template <typename Kind>
   std::vector<Kind> told_of() const {
-    return testing::of_kind<Kind>(told);
+    return testing::events_of_type<Kind>(told);
   }
   bool said(const std::string& event) const {
     return std::any_of(net.log_lines.begin(), net.log_lines.end(),
@@ -207,7 +207,7 @@
   ServerId first_box = 0;
   int rung = 1;
   ConnectionId next_link = 1;
-  std::string boxes_json = testing::two_boxes;
+  std::string boxes_json = testing::two_boxes_json;
 };
 
 constexpr const char* sid = "CMCD-Session: sid=\"s1\"\r\n";
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -78,8 +78,8 @@
     settle();
     EXPECT_EQ(sent(link), "") << way.how;
     EXPECT_EQ(core->held().playbacks, 0u) << way.how;
-    ASSERT_EQ(of_kind<TryEnded>(told).size(), 1u) << way.how;
-    EXPECT_TRUE(of_kind<TryEnded>(told)[0].playback_over) << way.how;
+    ASSERT_EQ(events_of_type<TryEnded>(told).size(), 1u) << way.how;
+    EXPECT_TRUE(events_of_type<TryEnded>(told)[0].playback_over) << way.how;
     settles = true;
   }
 }
@@ -173,9 +173,9 @@
         happen(one);
       pass(300ms);  // the probe's time is up, the timer rings
       EXPECT_EQ(sent(link), "") << way.how;
-      ASSERT_FALSE(of_kind<TryEnded>(told).empty()) << "the module waits for no try";
+      ASSERT_FALSE(events_of_type<TryEnded>(told).empty()) << "the module waits for no try";
       EXPECT_EQ(outcome(), Outcome::not_sent);
-      EXPECT_TRUE(of_kind<TryEnded>(told).back().playback_over);
+      EXPECT_TRUE(events_of_type<TryEnded>(told).back().playback_over);
     }
   }
 }
@@ -197,7 +197,7 @@
   now += 600ms;  // beyond the attempt's time
   settles = false;
   happen(TimerFired{});
-  EXPECT_TRUE(of_kind<TryEnded>(told).empty());
+  EXPECT_TRUE(events_of_type<TryEnded>(told).empty());
   hear(link, accept());  // lay unread
   settle();
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
@@ -284,12 +284,12 @@
   };
   hear(viewer, offer());
   happen(Disconnected{dialled("10.1.0.2"), CloseReason::local_failure});
-  ASSERT_EQ(of_kind<ProbeEnded>(told).size(), 1u);
-  EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].answered);
-  EXPECT_FALSE(of_kind<ProbeEnded>(told)[0].sent);
+  ASSERT_EQ(events_of_type<ProbeEnded>(told).size(), 1u);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(told)[0].answered);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(told)[0].sent);
   hear(viewer, offer("00000000000000aa"));
   happen(Disconnected{dialled("10.1.0.2"), CloseReason::refused});
-  EXPECT_TRUE(of_kind<ProbeEnded>(told).back().sent) << "a refusal is the server's";
+  EXPECT_TRUE(events_of_type<ProbeEnded>(told).back().sent) << "a refusal is the server's";
 }
 
 TEST_F(Crossing, AConnectionThatComesUpAfterItsAttemptWasGivenUpCarriesNothing) {
@@ -305,7 +305,7 @@
   hear(link, accept());
   EXPECT_EQ(sent(link), "");
   EXPECT_EQ(sent(viewer), end_line(call_number, cause::rejected, 400));
-  EXPECT_EQ(of_kind<TryEnded>(told).size(), 1u);
+  EXPECT_EQ(events_of_type<TryEnded>(told).size(), 1u);
 }
 
 TEST_F(Crossing, AResetUnderSeveralAttemptsIsNoProofForThoseThatWereSent) {
@@ -323,7 +323,7 @@
   happen(Disconnected{link, CloseReason::reset});
   settle();
   std::vector<Outcome> outcomes;
-  for (const auto& one : of_kind<TryEnded>(told))
+  for (const auto& one : events_of_type<TryEnded>(told))
     outcomes.push_back(one.outcome);
   EXPECT_EQ(outcomes, (std::vector{Outcome::reset, Outcome::reset, Outcome::no_connection}))
       << "a kept connection's reset proves nothing of what was written to it";
@@ -356,7 +356,7 @@
   EXPECT_EQ(sent(link), release_bytes(call_number, 16)) << "nothing stands for nobody";
   hear(link, release(34) + release(47));
   EXPECT_EQ(sent(viewer), "");
-  EXPECT_EQ(of_kind<TryEnded>(told).size(), 1u);
+  EXPECT_EQ(events_of_type<TryEnded>(told).size(), 1u);
 }
 
 TEST_F(Crossing, ANewServerAtAnOldAddressIsNotServedOnTheOldOnesConnection) {
@@ -444,7 +444,7 @@
   tries = 0;
   hear(viewer, offer("00000000000000aa"));
   EXPECT_EQ(dialled("10.1.0.2"), 0u);
-  EXPECT_TRUE(of_kind<TryEnded>(told).empty()) << "not at once, which would be tried again at once";
+  EXPECT_TRUE(events_of_type<TryEnded>(told).empty()) << "not at once, which would be tried again at once";
   pass(260ms);
   EXPECT_EQ(outcome(), Outcome::not_sent);
 }
@@ -493,7 +493,7 @@
   happen(Connected{channel_link});
   hear(channel_link, event(2, false, server_entry("s-c", "10.1.0.8", "Ready")) +
                          event(3, false, server_entry("s-c", "10.1.0.8", "Terminating")));
-  const auto lists = of_kind<ServerList>(told);
+  const auto lists = events_of_type<ServerList>(told);
   ASSERT_EQ(lists.size(), 3u);
   EXPECT_EQ(lists[1].entries[0].state, ServerState::ready);
   EXPECT_EQ(lists[2].entries[0].state, ServerState::draining);
@@ -508,7 +508,7 @@
   hear(channel_link, event(2, false, server_entry("s-c", "10.1.0.8", "Ready")) +
                          event(3, true, server_entry("s-c", "10.1.0.8", "Ready")) +
                          event(4, false, server_entry("s-d", "10.1.0.9", "Ready")));
-  const auto lists = of_kind<ServerList>(told);
+  const auto lists = events_of_type<ServerList>(told);
   ASSERT_EQ(lists.size(), 4u);
   EXPECT_EQ(lists[2].kind, ServerList::Kind::complete);
   EXPECT_EQ(outcome(), Outcome::not_sent) << "nothing new to one that is missing";
@@ -538,14 +538,14 @@
     EXPECT_TRUE(hung(old));
     happen(Connected{old});  // had been under way
     hear(old, listed(2, "Ready", "Gone") + "\n");
-    EXPECT_TRUE(of_kind<ServerList>(told).empty()) << "the old address still talks";
+    EXPECT_TRUE(events_of_type<ServerList>(told).empty()) << "the old address still talks";
     sent(old);
     pass(250ms);
     EXPECT_EQ(dialled("10.2.0.8"), 0u);
     const auto next = connect("10.2.0.9");
     EXPECT_EQ(sent(next), "resume 1\n");
     hear(next, listed(2, "Terminating", "Ready") + "\n");
-    EXPECT_EQ(of_kind<ServerList>(told).size(), 1u);
+    EXPECT_EQ(events_of_type<ServerList>(told).size(), 1u);
   }
 }
 
@@ -676,7 +676,8 @@
   terms.abandon = {1800ms};
   terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
-      terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
+      terms, std::make_unique<ScriptedDecider>(
+                 &told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   happen(ShutdownRequested{});
   happen(TimerFired{});
@@ -693,18 +694,18 @@
   const auto told_again = offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a");
   hear(viewer, told_again);
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
-  EXPECT_TRUE(of_kind<PlaybackAdopted>(told).empty());
+  EXPECT_TRUE(events_of_type<PlaybackAdopted>(told).empty());
   EXPECT_EQ(core->held().playbacks, 0u);
   pass(11s);
   come(viewer + 1);
   hear(viewer + 1, told_again);
-  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u) << "it is not held for ever";
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(told).size(), 1u) << "it is not held for ever";
 }
 
 TEST_F(Crossing, AReleaseHeardAfterItsPlaybackIsHandedOverIsItsEnd) {
   const auto link = connected_to_a();
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u);
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(told).size(), 1u);
   hear(link, release(41));
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_EQ(core->held().playbacks, 0u);
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -10,8 +10,8 @@
 namespace violettide::platform {
 
 using namespace std::chrono_literals;
-using testing::of_kind;
-using testing::Script;
+using testing::events_of_type;
+using testing::ScriptedDecider;
 
 constexpr ConnectionId viewer = first_accepted;
 inline const std::string call = "9b1f03aa5c7e2d41";
@@ -63,10 +63,10 @@
     terms.idle_limit = 15s;
     terms.channel = Endpoint{"10.2.0.1", 7070};
     terms.known = R"({"cursor":1,"cmds":[)" + listed(1, "Ready", "Ready", true) + "]}";
-    core = std::make_unique<Platform>(terms,
-                                      std::make_unique<Script>(&told, [this](Duration, const Event& event) {
-                                        return says ? says(event) : std::vector<Command>{};
-                                      }));
+    core = std::make_unique<Platform>(
+        terms, std::make_unique<ScriptedDecider>(&told, [this](Duration, const Event& event) {
+          return says ? says(event) : std::vector<Command>{};
+        }));
     actions.clear();
     happen(TimerFired{});
     channel_link = dialled("10.2.0.1");
@@ -177,7 +177,7 @@
     return link;
   }
   Outcome outcome() const {
-    const auto ended = of_kind<TryEnded>(told);
+    const auto ended = events_of_type<TryEnded>(told);
     EXPECT_FALSE(ended.empty());
     return ended.empty() ? Outcome::served : ended.back().outcome;
   }
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -13,7 +13,7 @@
   always_at(0);
   come();
   hear(viewer, offer());
-  const auto request = of_kind<Request>(told).at(0);
+  const auto request = events_of_type<Request>(told).at(0);
   EXPECT_EQ(request.abandon_at, now + 1500ms);
   EXPECT_EQ(request.length, Duration(8s));
   EXPECT_EQ(request.cell_count, 2);
@@ -23,13 +23,13 @@
   now += 30ms;
   hear(link, accept());
   EXPECT_EQ(sent(viewer), accept_line(call_number, "server says\r\n"));
-  EXPECT_EQ(of_kind<PlaybackStarted>(told).at(0).startup_delay, 30ms);
+  EXPECT_EQ(events_of_type<PlaybackStarted>(told).at(0).startup_delay, 30ms);
   hear(link, accept());
   EXPECT_EQ(sent(viewer), "") << "a second copy is no answer";
   hear(link, release(16));
   EXPECT_EQ(sent(viewer), end_line(call_number, 16));
   EXPECT_EQ(outcome(), Outcome::served);
-  EXPECT_TRUE(of_kind<TryEnded>(told).back().playback_over);
+  EXPECT_TRUE(events_of_type<TryEnded>(told).back().playback_over);
   EXPECT_EQ(core->held().playbacks, 0u);
   EXPECT_EQ(core->held().titles, 0u);
 }
@@ -67,7 +67,7 @@
   hear(link, accept());
   EXPECT_EQ(sent(viewer), "") << "an answer after its time is none";
   EXPECT_EQ(sent(link), release_bytes(call_number, 16)) << "what stands for nobody is released";
-  EXPECT_TRUE(of_kind<PlaybackStarted>(told).empty());
+  EXPECT_TRUE(events_of_type<PlaybackStarted>(told).empty());
 }
 
 TEST_F(PlatformTest, AConnectionWithoutASignInATrysTimeTakesNoMore) {
@@ -91,7 +91,7 @@
   hear(viewer, offer());
   const auto link = dialled("10.1.0.1");
   pass(260ms);
-  EXPECT_EQ(of_kind<TryEnded>(told).size(), 2u);
+  EXPECT_EQ(events_of_type<TryEnded>(told).size(), 2u);
   EXPECT_EQ(outcome(), Outcome::no_connection);
   EXPECT_TRUE(hung(link));
 }
@@ -103,7 +103,7 @@
   const auto link = connect("10.1.0.1");
   hear(link, std::string("\xff\xff", 2));
   EXPECT_TRUE(hung(link));
-  const auto ended = of_kind<TryEnded>(told);
+  const auto ended = events_of_type<TryEnded>(told);
   ASSERT_EQ(ended.size(), 2u);
   for (const auto& one : ended)
     EXPECT_EQ(one.outcome, Outcome::reset) << "it may have run";
@@ -131,11 +131,12 @@
   hear(viewer, end());
   EXPECT_EQ(sent(link), release_bytes(call_number, 16));
   EXPECT_EQ(sent(viewer), ended_line(call_number));
-  EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 1u);
+  EXPECT_EQ(events_of_type<RequestCancelled>(told).size(), 1u);
   EXPECT_EQ(outcome(), Outcome::cancelled);
   hear(viewer, offer("00000000000000aa"));
   happen(Disconnected{viewer, CloseReason::reset});
-  EXPECT_EQ(of_kind<RequestCancelled>(told).size(), 2u) << "a connection that ends takes its set-ups with it";
+  EXPECT_EQ(events_of_type<RequestCancelled>(told).size(), 2u)
+      << "a connection that ends takes its set-ups with it";
   EXPECT_EQ(core->held().playbacks, 0u);
 }
 
@@ -163,13 +164,13 @@
   come();
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
   EXPECT_EQ(sent(viewer), "");
-  ASSERT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u);
-  EXPECT_EQ(of_kind<PlaybackAdopted>(told)[0].server, 0u);
+  ASSERT_EQ(events_of_type<PlaybackAdopted>(told).size(), 1u);
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(told)[0].server, 0u);
   const auto link = connect("10.1.0.1");
   hear(link, from_server(44, call_number, parameter(150, "tier") + parameter(165, "1")));
-  EXPECT_EQ(of_kind<Measurement>(told).at(0).kind, Measurement::Kind::rung);
+  EXPECT_EQ(events_of_type<Measurement>(told).at(0).kind, Measurement::Kind::rung);
   hear(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<PlaybackAdopted>(told).size(), 1u) << "told again of what it holds";
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(told).size(), 1u) << "told again of what it holds";
   hear(link, release(41));
   EXPECT_EQ(sent(viewer), end_line(call_number, 41));
   EXPECT_EQ(outcome(), Outcome::reset);
@@ -191,7 +192,7 @@
     EXPECT_EQ(sent(link), end_line(call_number, cause::invalid_message)) << bad;
     EXPECT_TRUE(hung(link)) << bad;
   }
-  EXPECT_TRUE(of_kind<Request>(told).empty());
+  EXPECT_TRUE(events_of_type<Request>(told).empty());
 }
 
 // A busy viewer's line leaves late and says more than its plan's time: it is served like any other.
@@ -200,7 +201,7 @@
   come();
   hear(viewer, offer(call, "1873"));
   EXPECT_EQ(sent(viewer), "");
-  EXPECT_EQ(of_kind<Request>(told).at(0).abandon_at, now + 1873ms);
+  EXPECT_EQ(events_of_type<Request>(told).at(0).abandon_at, now + 1873ms);
 }
 
 TEST_F(PlatformTest, AFaultyOfferDoesNotTakeTheOthersOnItsConnectionWithIt) {
@@ -402,7 +403,7 @@
     return {};
   };
   hear(link, from_server(44, call_number, parameter(150, "kept_up") + parameter(165, "0.5")));
-  EXPECT_EQ(of_kind<Measurement>(told).back().value, 0.5);
+  EXPECT_EQ(events_of_type<Measurement>(told).back().value, 0.5);
   EXPECT_EQ(sent(link), rung_bytes(call_number, 0));
 }
 
@@ -420,13 +421,13 @@
   const auto reply =
       std::string(1, 53) + test.substr(3, 8) + parameter(171, "\1") + parameter(156, "busy:0.25");
   hear(link, std::string(1, '\0') + static_cast<char>(reply.size()) + reply);
-  ASSERT_EQ(of_kind<ProbeEnded>(told).size(), 1u);
-  EXPECT_TRUE(of_kind<ProbeEnded>(told)[0].answered);
-  EXPECT_EQ(of_kind<ProbeEnded>(told)[0].load.link_fill, 0.25);
+  ASSERT_EQ(events_of_type<ProbeEnded>(told).size(), 1u);
+  EXPECT_TRUE(events_of_type<ProbeEnded>(told)[0].answered);
+  EXPECT_EQ(events_of_type<ProbeEnded>(told)[0].load.link_fill, 0.25);
   hear(viewer, offer("00000000000000aa"));
   pass(300ms);
-  ASSERT_EQ(of_kind<ProbeEnded>(told).size(), 2u);
-  EXPECT_FALSE(of_kind<ProbeEnded>(told)[1].answered);
+  ASSERT_EQ(events_of_type<ProbeEnded>(told).size(), 2u);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(told)[1].answered);
 }
 
 TEST_F(PlatformTest, AStopAnswersWhatIsOpenAndThenLeaves) {
@@ -466,7 +467,8 @@
   terms.site.rung_kb = {1};
   terms.channel = Endpoint{"10.2.0.1", 7070};
   core = std::make_unique<Platform>(
-      terms, std::make_unique<Script>(&told, [](Duration, const Event&) { return std::vector<Command>{}; }));
+      terms, std::make_unique<ScriptedDecider>(
+                 &told, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   come();
   hear(viewer, offer(call, "9000", "", "home:0;copies:1;top:0"));
--- a/tests/program/scripted.h
+++ b/tests/program/scripted.h
@@ -1,5 +1,5 @@
-// A module that does what a test says and keeps what it was told, and the boxes that tests of the manager
-// have on the network in memory.
+// A decider whose commands a test supplies and which records its events, and the box list that tests of the
+// manager use on the in-memory network.
 #pragma once
 
 #include <functional>
@@ -11,32 +11,35 @@
 
 namespace violettide::testing {
 
-class Script : public Decider {
+// Appends each event to a vector and returns the commands that a function of the test gives for it.
+class ScriptedDecider : public Decider {
  public:
-  using Says = std::function<std::vector<Command>(Duration, const Event&)>;
-  Script(std::vector<Event>* told, Says says) : told_(told), says_(std::move(says)) {}
+  using Decide = std::function<std::vector<Command>(Duration, const Event&)>;
+  ScriptedDecider(std::vector<Event>* events, Decide decide_event)
+      : events_(events), decide_(std::move(decide_event)) {}
   std::vector<Command> decide(Duration now, const Event& event) override {
-    told_->push_back(event);
-    return says_(now, event);
+    events_->push_back(event);
+    return decide_(now, event);
   }
 
  private:
-  std::vector<Event>* told_;
-  Says says_;
+  std::vector<Event>* events_;
+  Decide decide_;
 };
 
-template <typename Kind>
-std::vector<Kind> of_kind(const std::vector<Event>& told) {
-  std::vector<Kind> all;
-  for (const auto& event : told) {
-    if (const auto* kind = std::get_if<Kind>(&event))
-      all.push_back(*kind);
+// The events of one type, in order.
+template <typename Type>
+std::vector<Type> events_of_type(const std::vector<Event>& events) {
+  std::vector<Type> all;
+  for (const auto& event : events) {
+    if (const auto* typed_event = std::get_if<Type>(&event))
+      all.push_back(*typed_event);
   }
   return all;
 }
 
-// Boxes b0 and b1 at the first doors of hosts 1 and 2, as a list service tells them.
-inline const std::string two_boxes =
+// A box list with boxes b0 and b1 at the first listeners of hosts 1 and 2.
+inline const std::string two_boxes_json =
     R"({"revision":1,"clock_ms":100000,"boxes":[)"
     R"({"name":"b0","address":"127.0.0.1","port":1001,"state":"ready","kind":0,"cell":0,"hall":"h","weight":1},)"
     R"({"name":"b1","address":"127.0.0.1","port":2001,"state":"ready","kind":0,"cell":1,"hall":"h","weight":1}]})";
