--- a/src/hints/cmcd.h
+++ b/src/hints/cmcd.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "hints/fields.h"
+#include "hints/structured_fields.h"
 #include "http/http.h"
 
 namespace violettide::hints {
--- a/src/hints/cmsd.h
+++ b/src/hints/cmsd.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "hints/fields.h"
+#include "hints/structured_fields.h"
 
 namespace violettide::hints {
 
--- a/src/hints/fields.cpp
+++ b/src/hints/fields.cpp
@@ -1,9 +1,9 @@
-#include "hints/fields.h"
-
 #include <boost/beast/core/detail/base64.hpp>
 #include <cmath>
 #include <cstdio>
 
+#include "hints/structured_fields.h"
+
 namespace violettide::hints {
 
 namespace {
--- a/src/hints/weighing/weighing.cpp
+++ b/src/hints/weighing/weighing.cpp
@@ -1,8 +1,8 @@
-#include "hints/weighing/weighing.h"
-
 #include <algorithm>
 #include <cmath>
 
+#include "hints/evaluator/hint_evaluator.h"
+
 namespace violettide::hints {
 
 namespace {
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "boxlist/boxlist.h"
-#include "hints/weighing/weighing.h"
+#include "hints/evaluator/hint_evaluator.h"
 
 namespace violettide {
 namespace {
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 using testing::Network;
-using testing::Script;
+using testing::ScriptedDecider;
 using testing::ScriptedPeer;
 
 class Front : public ::testing::Test {
@@ -55,10 +55,10 @@
     events.clear();
   }
   std::unique_ptr<Manager> make_manager() {
-    return std::make_unique<Manager>(settings, 1, "",
-                                     std::make_unique<Script>(&events, [this](Duration, const Event& event) {
-                                       return decide ? decide(event) : place_on_boxes(event);
-                                     }));
+    return std::make_unique<Manager>(
+        settings, 1, "", std::make_unique<ScriptedDecider>(&events, [this](Duration, const Event& event) {
+          return decide ? decide(event) : place_on_boxes(event);
+        }));
   }
   std::vector<Command> place_on_boxes(const Event& event) {
     if (const auto* request = std::get_if<Request>(&event)) {
@@ -189,7 +189,7 @@
   }
   template <typename EventType>
   std::vector<EventType> events_of() const {
-    return testing::of_kind<EventType>(events);
+    return testing::events_of_type<EventType>(events);
   }
   bool logged(const std::string& event) const {
     return std::any_of(net.log_lines.begin(), net.log_lines.end(),
@@ -209,7 +209,7 @@
   ServerId first_box = 0;
   int rung = 1;
   ConnectionId next_connection = 1;
-  std::string boxes_json = testing::two_boxes;
+  std::string boxes_json = testing::two_boxes_json;
 };
 
 constexpr const char* sid = "CMCD-Session: sid=\"s1\"\r\n";
--- a/tests/program/platform_crossings_test.cpp
+++ b/tests/program/platform_crossings_test.cpp
@@ -77,8 +77,8 @@
     drain_input();
     EXPECT_EQ(take_sent(connection), "") << scenario.description;
     EXPECT_EQ(core->resource_counts().playbacks, 0u) << scenario.description;
-    ASSERT_EQ(of_kind<TryEnded>(events).size(), 1u) << scenario.description;
-    EXPECT_TRUE(of_kind<TryEnded>(events)[0].playback_over) << scenario.description;
+    ASSERT_EQ(events_of_type<TryEnded>(events).size(), 1u) << scenario.description;
+    EXPECT_TRUE(events_of_type<TryEnded>(events)[0].playback_over) << scenario.description;
     auto_drain = true;
   }
 }
@@ -172,9 +172,9 @@
         deliver(one);
       advance(300ms);  // beyond the timeouts of the probe and of the timer
       EXPECT_EQ(take_sent(connection), "") << scenario.description;
-      ASSERT_FALSE(of_kind<TryEnded>(events).empty()) << "the decider gets the end of the try";
+      ASSERT_FALSE(events_of_type<TryEnded>(events).empty()) << "the decider gets the end of the try";
       EXPECT_EQ(last_outcome(), Outcome::not_sent);
-      EXPECT_TRUE(of_kind<TryEnded>(events).back().playback_over);
+      EXPECT_TRUE(events_of_type<TryEnded>(events).back().playback_over);
     }
   }
 }
@@ -196,7 +196,7 @@
   now += 600ms;  // beyond the timeout of the try
   auto_drain = false;
   deliver(TimerFired{});
-  EXPECT_TRUE(of_kind<TryEnded>(events).empty());
+  EXPECT_TRUE(events_of_type<TryEnded>(events).empty());
   receive(connection, accept());  // was unread
   drain_input();
   EXPECT_EQ(take_sent(viewer), accept_line(call_id, "server says\r\n"));
@@ -283,12 +283,13 @@
   };
   receive(viewer, offer());
   deliver(Disconnected{take_dial("10.1.0.2"), CloseReason::local_failure});
-  ASSERT_EQ(of_kind<ProbeEnded>(events).size(), 1u);
-  EXPECT_FALSE(of_kind<ProbeEnded>(events)[0].answered);
-  EXPECT_FALSE(of_kind<ProbeEnded>(events)[0].sent);
+  ASSERT_EQ(events_of_type<ProbeEnded>(events).size(), 1u);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(events)[0].answered);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(events)[0].sent);
   receive(viewer, offer("00000000000000aa"));
   deliver(Disconnected{take_dial("10.1.0.2"), CloseReason::refused});
-  EXPECT_TRUE(of_kind<ProbeEnded>(events).back().sent) << "a refused probe reached the server's machine";
+  EXPECT_TRUE(events_of_type<ProbeEnded>(events).back().sent)
+      << "a refused probe reached the server's machine";
 }
 
 TEST_F(PlatformRaceTest, IgnoresAConnectionEstablishedAfterTheDialTimeout) {
@@ -304,7 +305,7 @@
   receive(connection, accept());
   EXPECT_EQ(take_sent(connection), "");
   EXPECT_EQ(take_sent(viewer), end_line(call_id, cause::rejected, 400));
-  EXPECT_EQ(of_kind<TryEnded>(events).size(), 1u);
+  EXPECT_EQ(events_of_type<TryEnded>(events).size(), 1u);
 }
 
 TEST_F(PlatformRaceTest, AResetEndsSentTriesAsResetAndUnsentOnesWithoutConnection) {
@@ -322,7 +323,7 @@
   deliver(Disconnected{connection, CloseReason::reset});
   drain_input();
   std::vector<Outcome> outcomes;
-  for (const auto& one : of_kind<TryEnded>(events))
+  for (const auto& one : events_of_type<TryEnded>(events))
     outcomes.push_back(one.outcome);
   EXPECT_EQ(outcomes, (std::vector{Outcome::reset, Outcome::reset, Outcome::no_connection}))
       << "after a reset, sent tries may have run";
@@ -355,7 +356,7 @@
   EXPECT_EQ(take_sent(connection), release_bytes(call_id, 16)) << "a playback without a viewer is released";
   receive(connection, release(34) + release(47));
   EXPECT_EQ(take_sent(viewer), "");
-  EXPECT_EQ(of_kind<TryEnded>(events).size(), 1u);
+  EXPECT_EQ(events_of_type<TryEnded>(events).size(), 1u);
 }
 
 TEST_F(PlatformRaceTest, ANewServerAtAnOldAddressGetsItsOwnConnection) {
@@ -442,7 +443,8 @@
   tries = 0;
   receive(viewer, offer("00000000000000aa"));
   EXPECT_EQ(take_dial("10.1.0.2"), 0u);
-  EXPECT_TRUE(of_kind<TryEnded>(events).empty()) << "a try that ended at once would be retried at once";
+  EXPECT_TRUE(events_of_type<TryEnded>(events).empty())
+      << "a try that ended at once would be retried at once";
   advance(260ms);
   EXPECT_EQ(last_outcome(), Outcome::not_sent);
 }
@@ -491,7 +493,7 @@
   deliver(Connected{channel_connection});
   receive(channel_connection, event(2, false, list_entry("s-c", "10.1.0.8", "Ready")) +
                                   event(3, false, list_entry("s-c", "10.1.0.8", "Terminating")));
-  const auto lists = of_kind<ServerList>(events);
+  const auto lists = events_of_type<ServerList>(events);
   ASSERT_EQ(lists.size(), 3u);
   EXPECT_EQ(lists[1].entries[0].state, ServerState::ready);
   EXPECT_EQ(lists[2].entries[0].state, ServerState::draining);
@@ -506,7 +508,7 @@
   receive(channel_connection, event(2, false, list_entry("s-c", "10.1.0.8", "Ready")) +
                                   event(3, true, list_entry("s-c", "10.1.0.8", "Ready")) +
                                   event(4, false, list_entry("s-d", "10.1.0.9", "Ready")));
-  const auto lists = of_kind<ServerList>(events);
+  const auto lists = events_of_type<ServerList>(events);
   ASSERT_EQ(lists.size(), 4u);
   EXPECT_EQ(lists[2].kind, ServerList::Kind::complete);
   EXPECT_EQ(last_outcome(), Outcome::not_sent) << "no new try at a server that is missing";
@@ -536,14 +538,14 @@
     EXPECT_TRUE(closed(old));
     deliver(Connected{old});  // was pending
     receive(old, list_event(2, "Ready", "Gone") + "\n");
-    EXPECT_TRUE(of_kind<ServerList>(events).empty()) << "an event from the old address is ignored";
+    EXPECT_TRUE(events_of_type<ServerList>(events).empty()) << "an event from the old address is ignored";
     take_sent(old);
     advance(250ms);
     EXPECT_EQ(take_dial("10.2.0.8"), 0u);
     const auto next = connect_to("10.2.0.9");
     EXPECT_EQ(take_sent(next), "resume 1\n");
     receive(next, list_event(2, "Terminating", "Ready") + "\n");
-    EXPECT_EQ(of_kind<ServerList>(events).size(), 1u);
+    EXPECT_EQ(events_of_type<ServerList>(events).size(), 1u);
   }
 }
 
@@ -674,9 +676,9 @@
   config.plans = {"triage"};
   config.abandon_times = {1800ms};
   config.channel = Endpoint{"10.2.0.1", 7070};
-  core = std::make_unique<Platform>(config, std::make_unique<Script>(&events, [](Duration, const Event&) {
-                                      return std::vector<Command>{};
-                                    }));
+  core = std::make_unique<Platform>(
+      config, std::make_unique<ScriptedDecider>(
+                  &events, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   deliver(ShutdownRequested{});
   deliver(TimerFired{});
@@ -694,18 +696,18 @@
   const auto handover = offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a");
   receive(viewer, handover);
   EXPECT_EQ(take_sent(viewer), end_line(call_id, 41));
-  EXPECT_TRUE(of_kind<PlaybackAdopted>(events).empty());
+  EXPECT_TRUE(events_of_type<PlaybackAdopted>(events).empty());
   EXPECT_EQ(core->resource_counts().playbacks, 0u);
   advance(11s);
   accept_viewer(viewer + 1);
   receive(viewer + 1, handover);
-  EXPECT_EQ(of_kind<PlaybackAdopted>(events).size(), 1u) << "the release has expired";
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(events).size(), 1u) << "the release has expired";
 }
 
 TEST_F(PlatformRaceTest, AReleaseAfterTheHandoverEndsThePlayback) {
   const auto connection = connect_to_a();
   receive(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<PlaybackAdopted>(events).size(), 1u);
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(events).size(), 1u);
   receive(connection, release(41));
   EXPECT_EQ(take_sent(viewer), end_line(call_id, 41));
   EXPECT_EQ(core->resource_counts().playbacks, 0u);
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -10,8 +10,8 @@
 namespace violettide::platform {
 
 using namespace std::chrono_literals;
-using testing::of_kind;
-using testing::Script;
+using testing::events_of_type;
+using testing::ScriptedDecider;
 
 constexpr ConnectionId viewer = first_accepted;
 inline const std::string call = "9b1f03aa5c7e2d41";
@@ -63,10 +63,10 @@
     config.idle_timeout = 15s;
     config.channel = Endpoint{"10.2.0.1", 7070};
     config.known_events = R"({"cursor":1,"cmds":[)" + list_event(1, "Ready", "Ready", true) + "]}";
-    core = std::make_unique<Platform>(config,
-                                      std::make_unique<Script>(&events, [this](Duration, const Event& event) {
-                                        return decide ? decide(event) : std::vector<Command>{};
-                                      }));
+    core = std::make_unique<Platform>(
+        config, std::make_unique<ScriptedDecider>(&events, [this](Duration, const Event& event) {
+          return decide ? decide(event) : std::vector<Command>{};
+        }));
     actions.clear();
     deliver(TimerFired{});
     channel_connection = take_dial("10.2.0.1");
@@ -180,7 +180,7 @@
     return connection;
   }
   Outcome last_outcome() const {
-    const auto ended = of_kind<TryEnded>(events);
+    const auto ended = events_of_type<TryEnded>(events);
     EXPECT_FALSE(ended.empty());
     return ended.empty() ? Outcome::served : ended.back().outcome;
   }
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -13,7 +13,7 @@
   set_up_always_at(0);
   accept_viewer();
   receive(viewer, offer());
-  const auto request = of_kind<Request>(events).at(0);
+  const auto request = events_of_type<Request>(events).at(0);
   EXPECT_EQ(request.abandon_at, now + 1500ms);
   EXPECT_EQ(request.length, Duration(8s));
   EXPECT_EQ(request.cell_count, 2);
@@ -23,13 +23,13 @@
   now += 30ms;
   receive(connection, accept());
   EXPECT_EQ(take_sent(viewer), accept_line(call_id, "server says\r\n"));
-  EXPECT_EQ(of_kind<PlaybackStarted>(events).at(0).startup_delay, 30ms);
+  EXPECT_EQ(events_of_type<PlaybackStarted>(events).at(0).startup_delay, 30ms);
   receive(connection, accept());
   EXPECT_EQ(take_sent(viewer), "") << "a duplicate answer is not forwarded";
   receive(connection, release(16));
   EXPECT_EQ(take_sent(viewer), end_line(call_id, 16));
   EXPECT_EQ(last_outcome(), Outcome::served);
-  EXPECT_TRUE(of_kind<TryEnded>(events).back().playback_over);
+  EXPECT_TRUE(events_of_type<TryEnded>(events).back().playback_over);
   EXPECT_EQ(core->resource_counts().playbacks, 0u);
   EXPECT_EQ(core->resource_counts().titles, 0u);
 }
@@ -67,7 +67,7 @@
   receive(connection, accept());
   EXPECT_EQ(take_sent(viewer), "") << "an answer after the timeout is ignored";
   EXPECT_EQ(take_sent(connection), release_bytes(call_id, 16)) << "a playback without a viewer is released";
-  EXPECT_TRUE(of_kind<PlaybackStarted>(events).empty());
+  EXPECT_TRUE(events_of_type<PlaybackStarted>(events).empty());
 }
 
 TEST_F(PlatformTest, RetiresAConnectionThatIsSilentDuringATry) {
@@ -91,7 +91,7 @@
   receive(viewer, offer());
   const auto connection = take_dial("10.1.0.1");
   advance(260ms);
-  EXPECT_EQ(of_kind<TryEnded>(events).size(), 2u);
+  EXPECT_EQ(events_of_type<TryEnded>(events).size(), 2u);
   EXPECT_EQ(last_outcome(), Outcome::no_connection);
   EXPECT_TRUE(closed(connection));
 }
@@ -103,7 +103,7 @@
   const auto connection = connect_to("10.1.0.1");
   receive(connection, std::string("\xff\xff", 2));
   EXPECT_TRUE(closed(connection));
-  const auto ended = of_kind<TryEnded>(events);
+  const auto ended = events_of_type<TryEnded>(events);
   ASSERT_EQ(ended.size(), 2u);
   for (const auto& one : ended)
     EXPECT_EQ(one.outcome, Outcome::reset) << "the try may have run";
@@ -131,11 +131,12 @@
   receive(viewer, end());
   EXPECT_EQ(take_sent(connection), release_bytes(call_id, 16));
   EXPECT_EQ(take_sent(viewer), ended_line(call_id));
-  EXPECT_EQ(of_kind<RequestCancelled>(events).size(), 1u);
+  EXPECT_EQ(events_of_type<RequestCancelled>(events).size(), 1u);
   EXPECT_EQ(last_outcome(), Outcome::cancelled);
   receive(viewer, offer("00000000000000aa"));
   deliver(Disconnected{viewer, CloseReason::reset});
-  EXPECT_EQ(of_kind<RequestCancelled>(events).size(), 2u) << "closing the connection cancels its set-ups";
+  EXPECT_EQ(events_of_type<RequestCancelled>(events).size(), 2u)
+      << "closing the connection cancels its set-ups";
   EXPECT_EQ(core->resource_counts().playbacks, 0u);
 }
 
@@ -163,13 +164,13 @@
   accept_viewer();
   receive(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
   EXPECT_EQ(take_sent(viewer), "");
-  ASSERT_EQ(of_kind<PlaybackAdopted>(events).size(), 1u);
-  EXPECT_EQ(of_kind<PlaybackAdopted>(events)[0].server, 0u);
+  ASSERT_EQ(events_of_type<PlaybackAdopted>(events).size(), 1u);
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(events)[0].server, 0u);
   const auto connection = connect_to("10.1.0.1");
   receive(connection, server_message(44, call_id, parameter(150, "tier") + parameter(165, "1")));
-  EXPECT_EQ(of_kind<Measurement>(events).at(0).kind, Measurement::Kind::rung);
+  EXPECT_EQ(events_of_type<Measurement>(events).at(0).kind, Measurement::Kind::rung);
   receive(viewer, offer(call, "4294967", "", "home:0;copies:2;top:1;at:s-a"));
-  EXPECT_EQ(of_kind<PlaybackAdopted>(events).size(), 1u) << "a repeated handover";
+  EXPECT_EQ(events_of_type<PlaybackAdopted>(events).size(), 1u) << "a repeated handover";
   receive(connection, release(41));
   EXPECT_EQ(take_sent(viewer), end_line(call_id, 41));
   EXPECT_EQ(last_outcome(), Outcome::reset);
@@ -191,7 +192,7 @@
     EXPECT_EQ(take_sent(connection), end_line(call_id, cause::invalid_message)) << bad;
     EXPECT_TRUE(closed(connection)) << bad;
   }
-  EXPECT_TRUE(of_kind<Request>(events).empty());
+  EXPECT_TRUE(events_of_type<Request>(events).empty());
 }
 
 // A busy viewer sends its message late and with more time than the plan's abandon time: it is served anyway.
@@ -200,7 +201,7 @@
   accept_viewer();
   receive(viewer, offer(call, "1873"));
   EXPECT_EQ(take_sent(viewer), "");
-  EXPECT_EQ(of_kind<Request>(events).at(0).abandon_at, now + 1873ms);
+  EXPECT_EQ(events_of_type<Request>(events).at(0).abandon_at, now + 1873ms);
 }
 
 TEST_F(PlatformTest, AnInvalidOfferDoesNotEndOthersOnItsConnection) {
@@ -406,7 +407,7 @@
     return {};
   };
   receive(connection, server_message(44, call_id, parameter(150, "kept_up") + parameter(165, "0.5")));
-  EXPECT_EQ(of_kind<Measurement>(events).back().value, 0.5);
+  EXPECT_EQ(events_of_type<Measurement>(events).back().value, 0.5);
   EXPECT_EQ(take_sent(connection), rung_bytes(call_id, 0));
 }
 
@@ -424,13 +425,13 @@
   const auto reply =
       std::string(1, 53) + test.substr(3, 8) + parameter(171, "\1") + parameter(156, "busy:0.25");
   receive(connection, std::string(1, '\0') + static_cast<char>(reply.size()) + reply);
-  ASSERT_EQ(of_kind<ProbeEnded>(events).size(), 1u);
-  EXPECT_TRUE(of_kind<ProbeEnded>(events)[0].answered);
-  EXPECT_EQ(of_kind<ProbeEnded>(events)[0].load.link_fill, 0.25);
+  ASSERT_EQ(events_of_type<ProbeEnded>(events).size(), 1u);
+  EXPECT_TRUE(events_of_type<ProbeEnded>(events)[0].answered);
+  EXPECT_EQ(events_of_type<ProbeEnded>(events)[0].load.link_fill, 0.25);
   receive(viewer, offer("00000000000000aa"));
   advance(300ms);
-  ASSERT_EQ(of_kind<ProbeEnded>(events).size(), 2u);
-  EXPECT_FALSE(of_kind<ProbeEnded>(events)[1].answered);
+  ASSERT_EQ(events_of_type<ProbeEnded>(events).size(), 2u);
+  EXPECT_FALSE(events_of_type<ProbeEnded>(events)[1].answered);
 }
 
 TEST_F(PlatformTest, ShutdownAnswersOpenRequestsAndWaitsForPlaybacks) {
@@ -470,9 +471,9 @@
   config.policy.plans.resize(1);
   config.policy.rung_kb = {1};
   config.channel = Endpoint{"10.2.0.1", 7070};
-  core = std::make_unique<Platform>(config, std::make_unique<Script>(&events, [](Duration, const Event&) {
-                                      return std::vector<Command>{};
-                                    }));
+  core = std::make_unique<Platform>(
+      config, std::make_unique<ScriptedDecider>(
+                  &events, [](Duration, const Event&) { return std::vector<Command>{}; }));
   actions.clear();
   accept_viewer();
   receive(viewer, offer(call, "9000", "", "home:0;copies:1;top:0"));
