--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -99,7 +99,7 @@
                             {"CMCD-Request", "bl=21300,mtp=48100"},
                             {"CMCD-Session", "cid=\"faec5fc2\",sf=d,sid=\"6e2fb550-c457\",st=v"}};
   for (auto _ : state)
-    benchmark::DoNotOptimize(hints::read_cmcd(fields, "/a/b/r1/1.m4s"));
+    benchmark::DoNotOptimize(hints::parse_cmcd(fields, "/a/b/r1/1.m4s"));
 }
 BENCHMARK(read_hints);
 
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -225,7 +225,7 @@
     said.object_duration = 1000;
     said.measured_throughput = 24000;
     http::Fields fields{{"Host", "x"}};
-    for (auto& field : hints::cmcd_headers(said))
+    for (auto& field : hints::serialize_cmcd_headers(said))
       fields.push_back(std::move(field));
     peer.reader.expect(false);
     peer.sent = std::chrono::steady_clock::now();
--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -10,168 +10,171 @@
 
 namespace {
 
-constexpr std::size_t most_text = 64;  // characters of sid and cid (CTA-5004, table 1)
+constexpr std::size_t max_text_length = 64;  // characters of sid and cid (CTA-5004, table 1)
 
+// The token that represents an enum value.
 template <typename Kind>
-struct Letter {
+struct TokenName {
   std::string_view text;
   Kind kind;
 };
-constexpr std::array<Letter<ObjectType>, 9> object_types{{{"m", ObjectType::manifest},
-                                                          {"a", ObjectType::audio},
-                                                          {"v", ObjectType::video},
-                                                          {"av", ObjectType::muxed},
-                                                          {"i", ObjectType::init},
-                                                          {"c", ObjectType::caption},
-                                                          {"tt", ObjectType::timed_text},
-                                                          {"k", ObjectType::key},
-                                                          {"o", ObjectType::other}}};
-constexpr std::array<Letter<StreamingFormat>, 4> formats{{{"d", StreamingFormat::dash},
-                                                          {"h", StreamingFormat::hls},
-                                                          {"s", StreamingFormat::smooth},
-                                                          {"o", StreamingFormat::other}}};
-constexpr std::array<Letter<StreamType>, 2> stream_types{
+constexpr std::array<TokenName<ObjectType>, 9> object_types{{{"m", ObjectType::manifest},
+                                                             {"a", ObjectType::audio},
+                                                             {"v", ObjectType::video},
+                                                             {"av", ObjectType::muxed},
+                                                             {"i", ObjectType::init},
+                                                             {"c", ObjectType::caption},
+                                                             {"tt", ObjectType::timed_text},
+                                                             {"k", ObjectType::key},
+                                                             {"o", ObjectType::other}}};
+constexpr std::array<TokenName<StreamingFormat>, 4> streaming_formats{{{"d", StreamingFormat::dash},
+                                                                       {"h", StreamingFormat::hls},
+                                                                       {"s", StreamingFormat::smooth},
+                                                                       {"o", StreamingFormat::other}}};
+constexpr std::array<TokenName<StreamType>, 2> stream_types{
     {{"v", StreamType::recorded}, {"l", StreamType::live}}};
 
 template <typename Kind, std::size_t count>
-std::string_view letter_of(const std::array<Letter<Kind>, count>& letters, Kind kind) {
-  for (const auto& letter : letters) {
-    if (letter.kind == kind)
-      return letter.text;
+std::string_view token_for(const std::array<TokenName<Kind>, count>& names, Kind kind) {
+  for (const auto& name : names) {
+    if (name.kind == kind)
+      return name.text;
   }
   return {};
 }
 
-// A key's value as it came: present but bare keys have none.
-using Raw = std::optional<Bare>;
-using Cause = std::optional<std::string>;  // absent: taken
+// The value of a key that is present; absent for a key without `=`.
+using KeyValue = std::optional<BareItem>;
+using ErrorText = std::optional<std::string>;  // absent: no error
 
-// Counts round to hundreds when written, but any whole number of at least 0 is read.
-Cause take_count(const Raw& raw, std::optional<std::int64_t>& into) {
-  const auto* value = raw ? std::get_if<std::int64_t>(&*raw) : nullptr;
+// CTA-5004 asks senders to round several keys to hundreds; any integer of at least 0 is accepted.
+ErrorText parse_count(const KeyValue& key_value, std::optional<std::int64_t>& into) {
+  const auto* value = key_value ? std::get_if<std::int64_t>(&*key_value) : nullptr;
   if (!value)
-    return "expected a whole number";
+    return "expected an integer";
   if (*value < 0)
-    return "expected no negative number";
+    return "expected a number of at least 0";
   into = *value;
   return {};
 }
 
-Cause take_flag(const Raw& raw, bool& into) {
-  if (!raw)
-    return into = true, Cause{};
-  if (const auto* flag = std::get_if<bool>(&*raw))
-    return into = *flag, Cause{};
-  const auto* word = std::get_if<Token>(&*raw);  // `bs=true` was common before version 1 was settled
-  if (word && (word->text == "true" || word->text == "false"))
-    return into = word->text == "true", Cause{};
+ErrorText parse_flag(const KeyValue& key_value, bool& into) {
+  if (!key_value)
+    return into = true, ErrorText{};
+  if (const auto* flag = std::get_if<bool>(&*key_value))
+    return into = *flag, ErrorText{};
+  const auto* token = std::get_if<Token>(&*key_value);  // `bs=true` was common before version 1 was settled
+  if (token && (token->text == "true" || token->text == "false"))
+    return into = token->text == "true", ErrorText{};
   return "expected the bare key, true or false";
 }
 
-Cause take_text(const Raw& raw, std::optional<std::string>& into, std::size_t most) {
-  const auto* value = raw ? std::get_if<std::string>(&*raw) : nullptr;
+ErrorText parse_text(const KeyValue& key_value, std::optional<std::string>& into, std::size_t max_length) {
+  const auto* value = key_value ? std::get_if<std::string>(&*key_value) : nullptr;
   if (!value)
     return "expected a quoted string";
   if (value->empty())
-    return "expected some text";
-  if (value->size() > most)
-    return "longer than " + std::to_string(most) + " characters";
+    return "string is empty";
+  if (value->size() > max_length)
+    return "longer than " + std::to_string(max_length) + " characters";
   into = *value;
   return {};
 }
 
 template <typename Kind, std::size_t count>
-Cause take_letter(const Raw& raw, const std::array<Letter<Kind>, count>& letters, std::optional<Kind>& into) {
-  const auto* word = raw ? std::get_if<Token>(&*raw) : nullptr;
-  for (const auto& letter : letters) {
-    if (word && word->text == letter.text)
-      return into = letter.kind, Cause{};
+ErrorText parse_token(const KeyValue& key_value, const std::array<TokenName<Kind>, count>& names,
+                      std::optional<Kind>& into) {
+  const auto* token = key_value ? std::get_if<Token>(&*key_value) : nullptr;
+  for (const auto& name : names) {
+    if (token && token->text == name.text)
+      return into = name.kind, ErrorText{};
   }
   return "expected one of the key's tokens";
 }
 
-Cause take_rate(const Raw& raw, double& into) {
-  if (!raw)
+ErrorText parse_rate(const KeyValue& key_value, double& into) {
+  if (!key_value)
     return "expected a number";
-  const auto* whole = std::get_if<std::int64_t>(&*raw);
-  const auto* parts = std::get_if<double>(&*raw);
-  if (!whole && !parts)
+  const auto* integer = std::get_if<std::int64_t>(&*key_value);
+  const auto* decimal = std::get_if<double>(&*key_value);
+  if (!integer && !decimal)
     return "expected a number";
-  const double value = whole ? static_cast<double>(*whole) : *parts;
+  const double value = integer ? static_cast<double>(*integer) : *decimal;
   if (value < 0)
-    return "expected no negative number";
+    return "expected a number of at least 0";
   into = value;
   return {};
 }
 
-Cause take(Cmcd& hints, std::string_view key, const Raw& raw) {
+// Assigns one key's value to `cmcd`.
+ErrorText set_key(Cmcd& cmcd, std::string_view key, const KeyValue& key_value) {
   if (key == "br")
-    return take_count(raw, hints.encoded_bitrate);
+    return parse_count(key_value, cmcd.encoded_bitrate);
   if (key == "bl")
-    return take_count(raw, hints.buffer_length);
+    return parse_count(key_value, cmcd.buffer_length);
   if (key == "bs")
-    return take_flag(raw, hints.buffer_starved);
+    return parse_flag(key_value, cmcd.buffer_starved);
   if (key == "cid")
-    return take_text(raw, hints.content_id, most_text);
+    return parse_text(key_value, cmcd.content_id, max_text_length);
   if (key == "d")
-    return take_count(raw, hints.object_duration);
+    return parse_count(key_value, cmcd.object_duration);
   if (key == "dl")
-    return take_count(raw, hints.deadline);
+    return parse_count(key_value, cmcd.deadline);
   if (key == "mtp")
-    return take_count(raw, hints.measured_throughput);
+    return parse_count(key_value, cmcd.measured_throughput);
   if (key == "nor") {
-    std::optional<std::string> coded;
-    if (auto cause = take_text(raw, coded, 4096))
+    std::optional<std::string> encoded;
+    if (auto cause = parse_text(key_value, encoded, 4096))
       return cause;
-    const auto plain = http::percent_decoded(*coded);
-    if (!plain)
+    const auto decoded = http::percent_decoded(*encoded);
+    if (!decoded)
       return "malformed percent-encoding";
-    hints.next_object = *plain;
+    cmcd.next_object = *decoded;
     return {};
   }
   if (key == "nrr") {
     std::optional<std::string> range;
-    if (auto cause = take_text(raw, range, 64))
+    if (auto cause = parse_text(key_value, range, 64))
       return cause;
     const auto dash = range->find('-');
     if (dash == std::string::npos || range->size() == 1 || range->find('-', dash + 1) != std::string::npos ||
         range->find_first_not_of("0123456789-") != std::string::npos)
       return "expected a byte range such as 0-499";
-    hints.next_range = *range;
+    cmcd.next_range = *range;
     return {};
   }
   if (key == "ot")
-    return take_letter(raw, object_types, hints.object_type);
+    return parse_token(key_value, object_types, cmcd.object_type);
   if (key == "pr")
-    return take_rate(raw, hints.playback_rate);
+    return parse_rate(key_value, cmcd.playback_rate);
   if (key == "rtp")
-    return take_count(raw, hints.requested_maximum);
+    return parse_count(key_value, cmcd.requested_max_throughput);
   if (key == "sf")
-    return take_letter(raw, formats, hints.format);
+    return parse_token(key_value, streaming_formats, cmcd.streaming_format);
   if (key == "sid")
-    return take_text(raw, hints.session_id, most_text);
+    return parse_text(key_value, cmcd.session_id, max_text_length);
   if (key == "st")
-    return take_letter(raw, stream_types, hints.stream_type);
+    return parse_token(key_value, stream_types, cmcd.stream_type);
   if (key == "su")
-    return take_flag(raw, hints.startup);
+    return parse_flag(key_value, cmcd.startup);
   if (key == "tb")
-    return take_count(raw, hints.top_bitrate);
+    return parse_count(key_value, cmcd.top_bitrate);
   if (key == "v") {
     std::optional<std::int64_t> version;
-    if (auto cause = take_count(raw, version))
+    if (auto cause = parse_count(key_value, version))
       return cause;
     if (*version != 1)
-      return "a version that this front does not read";
-    hints.version = 1;
+      return "unsupported CMCD version";
+    cmcd.version = 1;
     return {};
   }
   if (key.find('-') == std::string_view::npos)
-    return "not a reserved key, and no custom key's hyphen";
-  hints.custom.emplace_back(key, raw.value_or(true));
+    return "neither a reserved key nor a custom key, which contains a hyphen";
+  cmcd.custom.emplace_back(key, key_value.value_or(true));
   return {};
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
     text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
@@ -179,11 +182,11 @@
   return text;
 }
 
-// Splits at commas outside quotes, so that one malformed key costs only itself.
-std::vector<std::string_view> split(std::string_view text) {
+// Splits at commas outside quoted strings, so that one malformed key does not invalidate the others.
+std::vector<std::string_view> split_at_commas(std::string_view text) {
   std::vector<std::string_view> parts;
   bool quoted = false;
-  std::size_t from = 0;
+  std::size_t start = 0;
   for (std::size_t i = 0; i <= text.size(); ++i) {
     if (i < text.size() && text[i] == '\\' && quoted) {
       ++i;
@@ -192,8 +195,8 @@
     if (i < text.size() && text[i] == '"')
       quoted = !quoted;
     if (i >= text.size() || (text[i] == ',' && !quoted)) {
-      parts.push_back(trimmed(text.substr(from, std::min(i, text.size()) - from)));
-      from = i + 1;
+      parts.push_back(trim(text.substr(start, std::min(i, text.size()) - start)));
+      start = i + 1;
     }
   }
   return parts;
@@ -207,92 +210,92 @@
   });
 }
 
-// The four headers (CTA-5004, 3.1) and the keys that go with each.
+// The four headers (CTA-5004, section 3.1) and the keys that belong to each; custom keys go to CMCD-Status.
 constexpr std::array<std::string_view, 4> header_names{"CMCD-Object", "CMCD-Request", "CMCD-Session",
                                                        "CMCD-Status"};
-std::size_t header_of(std::string_view key) {
-  for (const auto own : {"br", "d", "ot", "tb"})
-    if (key == own)
+std::size_t header_index(std::string_view key) {
+  for (const auto name : {"br", "d", "ot", "tb"})
+    if (key == name)
       return 0;
-  for (const auto own : {"bl", "dl", "mtp", "nor", "nrr", "su"})
-    if (key == own)
+  for (const auto name : {"bl", "dl", "mtp", "nor", "nrr", "su"})
+    if (key == name)
       return 1;
-  for (const auto own : {"cid", "pr", "sf", "sid", "st", "v"})
-    if (key == own)
+  for (const auto name : {"cid", "pr", "sf", "sid", "st", "v"})
+    if (key == name)
       return 2;
   return 3;
 }
 
-std::string quoted(std::string_view text) {
-  std::string made = "\"";
+std::string quote(std::string_view text) {
+  std::string result = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\')
-      made += '\\';
-    made += c;
+      result += '\\';
+    result += c;
   }
-  return made += '"';
+  return result += '"';
 }
 
-// Hands over each key with its text, in alphabetical order, custom keys last; what is at its default is left
-// out. Written without a field's tree: this is done for every object that passes.
-template <typename Put>
-void each_entry(const Cmcd& hints, Put put) {
+// Calls `emit` with each key and its serialized value in alphabetical order, custom keys last; omits
+// defaults. Builds no dictionary, because this runs for every object that is relayed.
+template <typename Emit>
+void for_each_key(const Cmcd& cmcd, Emit emit) {
   const auto count = [&](std::string_view key, const std::optional<std::int64_t>& value) {
     if (!value)
       return;
     char digits[24];
     const auto end = std::to_chars(digits, digits + sizeof digits, *value).ptr;
-    put(key, std::string_view(digits, static_cast<std::size_t>(end - digits)));
+    emit(key, std::string_view(digits, static_cast<std::size_t>(end - digits)));
   };
   const auto text = [&](std::string_view key, const std::optional<std::string>& value) {
     if (value)
-      put(key, quoted(*value));
+      emit(key, quote(*value));
   };
   const auto flag = [&](std::string_view key, bool value) {
     if (value)
-      put(key, std::string_view());
+      emit(key, std::string_view());
   };
-  const auto word = [&](std::string_view key, std::string_view letter) {
-    if (!letter.empty())
-      put(key, letter);
+  const auto token = [&](std::string_view key, std::string_view name) {
+    if (!name.empty())
+      emit(key, name);
   };
-  count("bl", hints.buffer_length);
-  count("br", hints.encoded_bitrate);
-  flag("bs", hints.buffer_starved);
-  text("cid", hints.content_id);
-  count("d", hints.object_duration);
-  count("dl", hints.deadline);
-  count("mtp", hints.measured_throughput);
-  if (hints.next_object)
-    put("nor", quoted(http::percent_encoded(*hints.next_object)));
-  text("nrr", hints.next_range);
-  if (hints.object_type)
-    word("ot", letter_of(object_types, *hints.object_type));
-  if (hints.playback_rate != 1) {
-    const double whole = std::nearbyint(hints.playback_rate);
-    const Bare rate =
-        whole == hints.playback_rate ? Bare(static_cast<std::int64_t>(whole)) : Bare(hints.playback_rate);
-    if (const auto said = written(Item{rate, {}}))
-      put("pr", *said);
+  count("bl", cmcd.buffer_length);
+  count("br", cmcd.encoded_bitrate);
+  flag("bs", cmcd.buffer_starved);
+  text("cid", cmcd.content_id);
+  count("d", cmcd.object_duration);
+  count("dl", cmcd.deadline);
+  count("mtp", cmcd.measured_throughput);
+  if (cmcd.next_object)
+    emit("nor", quote(http::percent_encoded(*cmcd.next_object)));
+  text("nrr", cmcd.next_range);
+  if (cmcd.object_type)
+    token("ot", token_for(object_types, *cmcd.object_type));
+  if (cmcd.playback_rate != 1) {
+    const double rounded = std::nearbyint(cmcd.playback_rate);
+    const BareItem rate = rounded == cmcd.playback_rate ? BareItem(static_cast<std::int64_t>(rounded))
+                                                        : BareItem(cmcd.playback_rate);
+    if (const auto serialized = serialize(Item{rate, {}}))
+      emit("pr", *serialized);
   }
-  count("rtp", hints.requested_maximum);
-  if (hints.format)
-    word("sf", letter_of(formats, *hints.format));
-  text("sid", hints.session_id);
-  if (hints.stream_type)
-    word("st", letter_of(stream_types, *hints.stream_type));
-  flag("su", hints.startup);
-  count("tb", hints.top_bitrate);
-  for (const auto& [key, value] : hints.custom) {
-    const auto* yes = std::get_if<bool>(&value);
-    if (yes && *yes)
-      put(key, std::string_view());
-    else if (const auto said = written(Item{value, {}}))
-      put(key, *said);
+  count("rtp", cmcd.requested_max_throughput);
+  if (cmcd.streaming_format)
+    token("sf", token_for(streaming_formats, *cmcd.streaming_format));
+  text("sid", cmcd.session_id);
+  if (cmcd.stream_type)
+    token("st", token_for(stream_types, *cmcd.stream_type));
+  flag("su", cmcd.startup);
+  count("tb", cmcd.top_bitrate);
+  for (const auto& [key, value] : cmcd.custom) {
+    const auto* boolean = std::get_if<bool>(&value);
+    if (boolean && *boolean)
+      emit(key, std::string_view());
+    else if (const auto serialized = serialize(Item{value, {}}))
+      emit(key, *serialized);
   }
 }
 
-void append(std::string& to, std::string_view key, std::string_view text) {
+void append_entry(std::string& to, std::string_view key, std::string_view text) {
   if (!to.empty())
     to += ',';
   to.append(key);
@@ -302,62 +305,63 @@
 
 }  // namespace
 
-void read_cmcd_text(std::string_view text, ReadCmcd& into) {
-  for (const auto part : split(text)) {
+void parse_cmcd_text(std::string_view text, ParsedCmcd& into) {
+  for (const auto part : split_at_commas(text)) {
     if (part.empty()) {
-      into.faults.push_back({"", "an empty entry"});
+      into.errors.push_back({"", "empty entry"});
       continue;
     }
     const auto equals = part.find('=');
-    const auto key = trimmed(part.substr(0, equals));
+    const auto key = trim(part.substr(0, equals));
     if (!is_key(key)) {
-      into.faults.push_back({std::string(key.substr(0, 32)), "not a key"});
+      into.errors.push_back({std::string(key.substr(0, 32)), "invalid key name"});
       continue;
     }
-    Raw raw;
+    KeyValue key_value;
     if (equals != std::string_view::npos) {
       const auto item = parse_item(part.substr(equals + 1));
-      if (const auto* fault = std::get_if<FieldFault>(&item)) {
-        into.faults.push_back({std::string(key), fault->cause});
+      if (const auto* error = std::get_if<SyntaxError>(&item)) {
+        into.errors.push_back({std::string(key), error->cause});
         continue;
       }
-      raw = std::get<Item>(item).value;
+      key_value = std::get<Item>(item).value;
     }
-    if (const auto cause = take(into.hints, key, raw))
-      into.faults.push_back({std::string(key), *cause});
+    if (const auto cause = set_key(into.cmcd, key, key_value))
+      into.errors.push_back({std::string(key), *cause});
   }
 }
 
-ReadCmcd read_cmcd(const http::Fields& fields, std::string_view target) {
-  ReadCmcd read;
+ParsedCmcd parse_cmcd(const http::Fields& fields, std::string_view target) {
+  ParsedCmcd parsed;
   const auto question = target.find('?');
   const auto query = question == std::string_view::npos ? std::string_view{} : target.substr(question + 1);
-  for (std::size_t from = 0; from < query.size();) {
-    const auto end = std::min(query.find('&', from), query.size());
-    const auto argument = query.substr(from, end - from);
-    from = end + 1;
+  for (std::size_t start = 0; start < query.size();) {
+    const auto end = std::min(query.find('&', start), query.size());
+    const auto argument = query.substr(start, end - start);
+    start = end + 1;
     if (!argument.starts_with("CMCD="))
       continue;
-    read.present = true;
+    parsed.present = true;
     if (const auto text = http::percent_decoded(argument.substr(5)))
-      read_cmcd_text(*text, read);
+      parse_cmcd_text(*text, parsed);
     else
-      read.faults.push_back({"", "malformed percent-encoding in the query"});
+      parsed.errors.push_back({"", "malformed percent-encoding in the query"});
   }
   for (const auto name : header_names) {
     const auto text = http::joined(fields, name);
     if (text.empty())
       continue;
-    read.present = true;
-    read_cmcd_text(text, read);
+    parsed.present = true;
+    parse_cmcd_text(text, parsed);
   }
-  return read;
+  return parsed;
 }
 
-http::Fields cmcd_headers(const Cmcd& hints) {
+http::Fields serialize_cmcd_headers(const Cmcd& cmcd) {
   std::array<std::string, header_names.size()> texts;
-  each_entry(hints,
-             [&](std::string_view key, std::string_view text) { append(texts[header_of(key)], key, text); });
+  for_each_key(cmcd, [&](std::string_view key, std::string_view text) {
+    append_entry(texts[header_index(key)], key, text);
+  });
   http::Fields fields;
   for (std::size_t i = 0; i < texts.size(); ++i) {
     if (!texts[i].empty())
@@ -366,10 +370,10 @@
   return fields;
 }
 
-std::string cmcd_query(const Cmcd& hints) {
-  std::string all;
-  each_entry(hints, [&](std::string_view key, std::string_view text) { append(all, key, text); });
-  return http::percent_encoded(all);
+std::string serialize_cmcd_query(const Cmcd& cmcd) {
+  std::string query;
+  for_each_key(cmcd, [&](std::string_view key, std::string_view text) { append_entry(query, key, text); });
+  return http::percent_encoded(query);
 }
 
 }  // namespace violettide::hints
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -103,8 +103,8 @@
            query_for_box(query));
   viewer.pass = {};
   // Players that say no session id get one: it goes with their addresses, not with their connection.
-  if (!viewer.hints.hints.session_id)
-    viewer.hints.hints.session_id =
+  if (!viewer.hints.cmcd.session_id)
+    viewer.hints.cmcd.session_id =
         terms_.name + "-" + std::to_string(wall().count()) + "-" + std::to_string(++sids_);
   return Read::taken;
 }
@@ -135,13 +135,13 @@
     return refused(403, "this address is of another deployment");
   const auto tail = path.substr(slash + 1);
   viewer.path = {pass.plan, pass.title, pass.rung, std::string(tail)};
-  viewer.hints.hints.session_id = pass.sid;
+  viewer.hints.cmcd.session_id = pass.sid;
   if (pass.scope == signed_url::Claims::Scope::steering) {
     viewer.wants = ViewerLink::Wants::steering;
     if (const auto told = argument(query, "_HLS_throughput")) {
       // Bits a second, as the steering server is told (draft, 7.1).
       if (const auto bits = hls::parse_integer(*told))
-        viewer.hints.hints.measured_throughput =
+        viewer.hints.cmcd.measured_throughput =
             static_cast<std::int64_t>(std::min<std::uint64_t>(*bits, 1ull << 50) / 1000);
     }
     return Read::taken;
@@ -321,7 +321,7 @@
   using Wants = ViewerLink::Wants;
   auto& side = *playback.hls;
   auto& readers = side.readers;
-  const auto told = viewer.hints.hints.buffer_length;
+  const auto told = viewer.hints.cmcd.buffer_length;
   const Duration buffer = std::chrono::milliseconds(std::clamp<std::int64_t>(told.value_or(0), 0, 600'000));
   if (viewer.wants == Wants::lists && !readers.contains(viewer.pass.player)) {
     std::erase_if(readers,
@@ -370,7 +370,7 @@
   viewer.playback.reset();
   rest(playback);
   answer(viewer, 404, "this rendition is not listed any more\n",
-         {{"CMSD-Dynamic", hints::cmsd_entry(own)}, {"Cache-Control", "no-store"}});
+         {{"CMSD-Dynamic", hints::serialize_cmsd_entry(own)}, {"Cache-Control", "no-store"}});
   return false;
 }
 
@@ -448,7 +448,7 @@
                       {"Cache-Control", "no-store"},
                       {"Vary", "Accept-Encoding"},
                       {"Via", "1.1 " + terms_.name},
-                      {"CMSD-Dynamic", hints::cmsd_entry(own)}};
+                      {"CMSD-Dynamic", hints::serialize_cmsd_entry(own)}};
   const bool pack = text.size() >= worth_packing &&
                     gzip::is_accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
   if (pack)
--- a/src/manager/inside.h
+++ b/src/manager/inside.h
@@ -17,7 +17,7 @@
   ConnectionId link = 0;
   http::RequestReader reader;
   http::Request request;
-  hints::ReadCmcd hints;
+  hints::ParsedCmcd hints;
   MediaPath path;
   std::string token;  // entitlement, as shown
   std::string trace;  // W3C trace context, passed on as it came
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -61,7 +61,8 @@
     : terms_(std::move(terms)),
       decider_(decider ? std::move(decider) : make_policy_decider(terms_.site, seed)),
       list_(terms_.halls),
-      weighing_(std::max<Duration>(terms_.site.measurement_delay, terms_.object_length), terms_.site.rung_kb),
+      hint_evaluator_(std::max<Duration>(terms_.site.measurement_delay, terms_.object_length),
+                      terms_.site.rung_kb),
       cached_list_(std::move(cached_list)),
       keeper_(
           terms_.keeper, [this](std::string_view name) { return list_.index(name); },
@@ -151,7 +152,7 @@
       return seats_time();
     case Ring::weigh:
       arm(terms_.object_length, Ring::weigh, 0);
-      return heed(weighing_.handle(now_, hints::TimePassed{}), 0);
+      return heed(hint_evaluator_.handle(now_, hints::Tick{}), 0);
     case Ring::try_limit:
     case Ring::box_limit:
       if (const auto found = boxes_.find(bell.of); found != boxes_.end())
@@ -275,11 +276,11 @@
     return answer(viewer, 405, "media objects are read with GET\n", {{"Allow", "GET"}});
   viewer.wants = ViewerLink::Wants::object;
   viewer.delta = viewer.blocks = false;
-  viewer.hints = hints::read_cmcd(viewer.request.fields, viewer.request.target);
+  viewer.hints = hints::parse_cmcd(viewer.request.fields, viewer.request.target);
   viewer.token = ledger_ ? token_of(viewer.request) : "";
   // Whose player says no session is known by its token: a retry must find its seat.
-  if (!viewer.token.empty() && !viewer.hints.hints.session_id)
-    viewer.hints.hints.session_id =
+  if (!viewer.token.empty() && !viewer.hints.cmcd.session_id)
+    viewer.hints.cmcd.session_id =
         "t" + std::to_string(XXH3_64bits(viewer.token.data(), viewer.token.size()));
   const auto read = terms_.hls.on() ? read_hls(viewer) : Read::other;
   if (read == Read::answered)
@@ -292,9 +293,9 @@
   }
   const auto* trace = http::find(viewer.request.fields, "traceparent");
   viewer.trace = trace ? *trace : "";
-  if (!viewer.hints.faults.empty()) {
-    const auto& first = viewer.hints.faults.front();
-    say("hints_left_out", {{"count", static_cast<std::int64_t>(viewer.hints.faults.size())},
+  if (!viewer.hints.errors.empty()) {
+    const auto& first = viewer.hints.errors.front();
+    say("hints_left_out", {{"count", static_cast<std::int64_t>(viewer.hints.errors.size())},
                            {"key", first.key},
                            {"cause", first.cause}});
   }
@@ -330,8 +331,8 @@
   if (ledger_)
     renew(playback, viewer);
   const auto id = playback.id;
-  heed(weighing_.handle(now_, hints::ViewerSaid{id, playback.server, viewer.hints.hints,
-                                                rate_kb(playback, playback.rung)}),
+  heed(hint_evaluator_.handle(now_, hints::CmcdReceived{id, playback.server, viewer.hints.cmcd,
+                                                        rate_kb(playback, playback.rung)}),
        playback.server);
   if (viewer.wants != ViewerLink::Wants::object && !steer(viewer, playback))
     return;
@@ -356,7 +357,7 @@
 // A playback is known by plan, title and session id. Without an id the viewer's connection stands in for
 // it, and the playback ends with the connection.
 Manager::Playback& Manager::admit(ViewerLink& viewer) {
-  const auto& sid = viewer.hints.hints.session_id;
+  const auto& sid = viewer.hints.cmcd.session_id;
   auto key =
       key_of(viewer.path.plan, viewer.path.title, sid ? "s" + *sid : "l" + std::to_string(viewer.link));
   if (const auto found = by_key_.find(key); found != by_key_.end())
@@ -419,7 +420,7 @@
   request.first_cell = holders.first_cell;
   request.cell_count = holders.cells;
   request.listed_holders = listed;
-  request.top = weighing_.top_for(viewer.hints.hints, plan.floor, top, plan.rate_scale);
+  request.top = hint_evaluator_.max_rung(viewer.hints.cmcd, plan.floor, top, plan.rate_scale);
   playback.rung = plan.floor;
   return request;
 }
@@ -596,7 +597,7 @@
       own.max_suggested_bitrate = std::llround(rate_kb(of, rung) * kbit_per_kb);
     }
   }
-  fields.emplace_back("CMSD-Dynamic", hints::after_entries(box.cmsd, own));
+  fields.emplace_back("CMSD-Dynamic", hints::append_cmsd_entry(box.cmsd, own));
   viewer.chunked = !head.length && viewer.request.version >= 11;
   if (!head.length && !viewer.chunked)
     viewer.close_after = true;
@@ -673,7 +674,7 @@
     free_titles_.push_back(playback.title_id);
     titles_.erase(playback.title);
   }
-  weighing_.handle(now_, hints::PlaybackLeft{id});
+  hint_evaluator_.handle(now_, hints::PlaybackEnded{id});
   playbacks_.erase(found);
   if (seat) {
     by_seat_.erase(*seat);
@@ -706,10 +707,10 @@
 http::Fields Manager::box_fields(const ViewerLink* viewer, const Playback* playback, bool set_up) const {
   http::Fields fields{{"Host", "box"}, {"Via", "1.1 " + terms_.name}};
   if (playback) {
-    hints::Cmcd passed = viewer ? viewer->hints.hints : hints::Cmcd{};
+    hints::Cmcd passed = viewer ? viewer->hints.cmcd : hints::Cmcd{};
     passed.session_id = playback->sid;
     passed.startup = set_up;  // tells the box a set-up from a later object
-    for (auto& field : hints::cmcd_headers(passed))
+    for (auto& field : hints::serialize_cmcd_headers(passed))
       fields.push_back(std::move(field));
   }
   if (viewer && !viewer->trace.empty())
@@ -821,7 +822,7 @@
 // A later object of a playback that plays.
 void Manager::fetch(ViewerLink& viewer, Playback& playback) {
   bells_.cancel(playback.silence);
-  if (const auto& buffer = viewer.hints.hints.buffer_length)
+  if (const auto& buffer = viewer.hints.cmcd.buffer_length)
     playback.buffered = std::chrono::milliseconds(std::min<std::int64_t>(*buffer, 60'000));
   ++playback.objects_out;
   auto* link = box_link(playback.server, Use::object, viewer.retried);
@@ -896,10 +897,10 @@
       return;
     case Use::probe:
       if (part.head) {
-        const auto said = hints::read_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
+        const auto said = hints::parse_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
         LoadReport load;
         if (!said.hops.empty())
-          load = weighing_.handle(now_, hints::BoxSaid{link.server, said.hops.front(), 0})
+          load = hint_evaluator_.handle(now_, hints::CmsdReceived{link.server, said.hops.front(), 0})
                      .report.value_or(LoadReport{});
         tell(ProbeEnded{link.server, link.status < 500, load});
       }
@@ -1026,14 +1027,14 @@
 
 void Manager::hear_box(BoxLink& link, const http::ResponseHead& head, double rate) {
   link.cmsd = http::joined(head.fields, "CMSD-Dynamic");
-  const auto said = hints::read_cmsd(http::joined(head.fields, "CMSD-Static"), link.cmsd);
-  if (!said.dynamic_whole)
+  const auto said = hints::parse_cmsd(http::joined(head.fields, "CMSD-Static"), link.cmsd);
+  if (!said.dynamic_valid)
     link.cmsd.clear();
-  if (!said.faults.empty())
-    say("box_hints_left_out", {{"box", list_.box(link.server).name}, {"cause", said.faults.front()}});
+  if (!said.errors.empty())
+    say("box_hints_left_out", {{"box", list_.box(link.server).name}, {"cause", said.errors.front()}});
   double length = seconds(terms_.object_length);
-  if (said.fixed && said.fixed->object_duration && *said.fixed->object_duration > 0)
-    length = static_cast<double>(*said.fixed->object_duration) / 1000;
+  if (said.static_data && said.static_data->object_duration && *said.static_data->object_duration > 0)
+    length = static_cast<double>(*said.static_data->object_duration) / 1000;
   const auto playback = playbacks_.find(link.playback.value_or(~PlaybackId{0}));
   double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, link.rung);
   if (link.collects || link.off_ladder)
@@ -1042,7 +1043,8 @@
                      : head.length ? static_cast<double>(*head.length) / length
                                    : rung_rate * 1000;
   if (!said.hops.empty())
-    heed(weighing_.handle(now_, hints::BoxSaid{link.server, said.hops.front(), rung_rate}), link.server);
+    heed(hint_evaluator_.handle(now_, hints::CmsdReceived{link.server, said.hops.front(), rung_rate}),
+         link.server);
 }
 
 void Manager::object_part(BoxLink& link, http::ResponseReader::Part& part) {
@@ -1087,7 +1089,8 @@
     return;
   const double share =
       took < least_measured ? 1.0 : std::min(1.0, bytes / (link.object_rate * seconds(took)));
-  heed(weighing_.handle(now_, hints::Delivered{*link.playback, link.server, share, link.held_since_measure}),
+  heed(hint_evaluator_.handle(
+           now_, hints::ObjectDelivered{*link.playback, link.server, share, link.held_since_measure}),
        link.server);
   link.measured_at = now_;
   link.measured_bytes = link.bytes;
@@ -1334,10 +1337,10 @@
 
 void Manager::tell(const Event& event) { events_.push_back(event); }
 
-void Manager::heed(hints::Weighed weighed, ServerId server) {
-  if (weighed.last_mile)
-    say("viewer_line_short", {{"playback", said_id(*weighed.last_mile)}});
-  for (const auto& note : weighed.notes)
+void Manager::heed(hints::Evaluation weighed, ServerId server) {
+  if (weighed.last_mile_limited)
+    say("viewer_line_short", {{"playback", said_id(*weighed.last_mile_limited)}});
+  for (const auto& note : weighed.measurements)
     tell(note);
   if (!weighed.report)
     return;
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -20,7 +20,7 @@
 #include "decider/decider.h"
 #include "entitlement/ledger/ledger.h"
 #include "entitlement/token_validator/token_validator.h"
-#include "hints/weighing/weighing.h"
+#include "hints/evaluator/hint_evaluator.h"
 #include "hls/playback_policy/playback_policy.h"
 #include "hls/writer.h"
 #include "http/http.h"
@@ -208,7 +208,7 @@
   void tell(const Event& event);
   void carry_out();
   void carry_out(const Command& command);
-  void heed(hints::Weighed weighed, ServerId server);
+  void heed(hints::Evaluation weighed, ServerId server);
 
   Bells::Handle arm(Duration in, Ring ring, std::uint32_t of) {
     return bells_.schedule(now_ + in, {ring, of});
@@ -223,7 +223,7 @@
   std::unique_ptr<Decider> decider_;
   std::minstd_rand chance_;
   boxlist::BoxList list_;
-  hints::Weighing weighing_;
+  hints::HintEvaluator hint_evaluator_;
   std::string cached_list_;
   Bells bells_;
   std::vector<Bell> rung_;
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -289,7 +289,7 @@
     hop.uplink = late ? box.old_uplink : box.told_uplink;
   hop.streams = box.told_streams;
   hop.duress = *hop.util > 1;
-  return hints::cmsd_entry(hop);
+  return hints::serialize_cmsd_entry(hop);
 }
 
 // ---- requests ----
@@ -360,7 +360,7 @@
   if (!media || media->rung >= static_cast<int>(day_.deployment.front.site.rung_kb.size()))
     return answer(link, peer, 404, {}, "", actions);
   peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
-  const auto hints = hints::read_cmcd(request.fields, request.target).hints;
+  const auto hints = hints::parse_cmcd(request.fields, request.target).cmcd;
   const auto* trace = http::find(request.fields, "traceparent");
   peer.trace = trace && trace->size() >= 35 ? trace->substr(3, 32) : "";
   peer.sid = hints.session_id.value_or("");
@@ -443,7 +443,7 @@
   fixed.stream_type = "v";
   actions.push_back(Send{link, http::head_text(200,
                                                {{"Content-Type", "video/mp4"},
-                                                {"CMSD-Static", hints::cmsd_static(fixed)},
+                                                {"CMSD-Static", hints::serialize_cmsd_static(fixed)},
                                                 {"CMSD-Dynamic", cmsd_of(number)}},
                                                size, !peer.close_after)});
   if (peer.hls) {
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -254,7 +254,7 @@
   }
   auto target = viewer.hls ? viewer.hls_ask.target : manager::path_text(front, path, viewer.top);
   if (viewer.hls) {
-    said.format = hints::StreamingFormat::hls;
+    said.streaming_format = hints::StreamingFormat::hls;
     if (viewer.hls_ask.kind != HlsPlayer::Ask::Kind::segment)
       said.object_type = hints::ObjectType::manifest;
     if (viewer.number % 3 == 0)
@@ -262,9 +262,9 @@
   }
   std::string more;
   if (viewer.hints == 0 && viewer.number % 2 == 0)
-    target += "?CMCD=" + hints::cmcd_query(said);
+    target += "?CMCD=" + hints::serialize_cmcd_query(said);
   else if (viewer.hints == 0)
-    for (auto& field : hints::cmcd_headers(said))
+    for (auto& field : hints::serialize_cmcd_headers(said))
       fields.push_back(std::move(field));
   else if (viewer.hints == 2)
     more = malformed_hints(viewer.number, viewer.sid);
@@ -357,15 +357,15 @@
     viewer.packed = http::joined(part.head->fields, "Content-Encoding") == "gzip";
     if (const auto* wait = http::find(part.head->fields, "Retry-After"))
       viewer.retry_after = std::atoi(wait->c_str());
-    const auto said = hints::read_cmsd(http::joined(part.head->fields, "CMSD-Static"),
-                                       http::joined(part.head->fields, "CMSD-Dynamic"));
+    const auto said = hints::parse_cmsd(http::joined(part.head->fields, "CMSD-Static"),
+                                        http::joined(part.head->fields, "CMSD-Dynamic"));
     const auto& rates = day_.deployment.front.site.rung_kb;
     if (!said.hops.empty() && said.hops.back().max_suggested_bitrate)
       viewer.suggested_bits = static_cast<double>(*said.hops.back().max_suggested_bitrate) * 1000;
     if (const auto* again = http::find(part.head->fields, "Content-Location"); again && viewer.hls)
       viewer.hls->lists_again_at(*again);
-    if (said.fixed && said.fixed->bitrate) {
-      const double kb = static_cast<double>(*said.fixed->bitrate) / 8 /
+    if (said.static_data && said.static_data->bitrate) {
+      const double kb = static_cast<double>(*said.static_data->bitrate) / 8 /
                         day_.deployment.front.site.plans[viewer.plan].rate_scale;
       viewer.rung = static_cast<int>(
           std::min_element(rates.begin(), rates.end(),
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "boxlist/boxlist.h"
-#include "hints/weighing/weighing.h"
+#include "hints/evaluator/hint_evaluator.h"
 
 namespace violettide {
 namespace {
@@ -148,10 +148,10 @@
   EXPECT_EQ(list.revision(), 1);
 }
 
-using hints::BoxSaid;
-using hints::Delivered;
-using hints::ViewerSaid;
-using hints::Weighing;
+using hints::CmcdReceived;
+using hints::CmsdReceived;
+using hints::HintEvaluator;
+using hints::ObjectDelivered;
 
 hints::CmsdDynamic util(double value) {
   hints::CmsdDynamic hop;
@@ -159,142 +159,143 @@
   return hop;
 }
 hints::Cmcd starved() {
-  hints::Cmcd hints;
-  hints.buffer_starved = true;
-  return hints;
+  hints::Cmcd cmcd;
+  cmcd.buffer_starved = true;
+  return cmcd;
 }
 
-TEST(Weighing, AUtilContradictedByDeliveriesIsTrustedLess) {
-  Weighing weighing(1s, {100});
-  EXPECT_DOUBLE_EQ(*weighing.handle(0s, BoxSaid{1, util(0.1), 100}).report->link_fill, 0.1)
+TEST(HintEvaluator, AUtilContradictedByDeliveriesIsTrustedLess) {
+  HintEvaluator evaluator(1s, {100});
+  EXPECT_DOUBLE_EQ(*evaluator.handle(0s, CmsdReceived{1, util(0.1), 100}).report->link_fill, 0.1)
       << "no delivery contradicts it yet";
   for (int i = 1; i <= 6; ++i) {
-    weighing.handle(i * 300ms, Delivered{static_cast<PlaybackId>(i), 1, 0.5, false});
-    weighing.handle(i * 300ms, BoxSaid{1, util(0.1), 100});
+    evaluator.handle(i * 300ms, ObjectDelivered{static_cast<PlaybackId>(i), 1, 0.5, false});
+    evaluator.handle(i * 300ms, CmsdReceived{1, util(0.1), 100});
   }
-  const auto fill = *weighing.handle(2s, BoxSaid{1, util(0.1), 100}).report->link_fill;
+  const auto fill = *evaluator.handle(2s, CmsdReceived{1, util(0.1), 100}).report->link_fill;
   EXPECT_GT(fill, 1.7) << "half the share means that twice the link is demanded";
-  EXPECT_LT(weighing.fill_trust(1), 0.1);
-  EXPECT_DOUBLE_EQ(weighing.fill_trust(2), 0.8) << "the trust in another box is unaffected";
+  EXPECT_LT(evaluator.fill_trust(1), 0.1);
+  EXPECT_DOUBLE_EQ(evaluator.fill_trust(2), 0.8) << "the trust in another box is unaffected";
   for (int i = 0; i < 60; ++i) {
-    weighing.handle(10s + i * 300ms, Delivered{1, 1, 1.0, false});
-    weighing.handle(10s + i * 300ms, BoxSaid{1, util(0.4), 100});
+    evaluator.handle(10s + i * 300ms, ObjectDelivered{1, 1, 1.0, false});
+    evaluator.handle(10s + i * 300ms, CmsdReceived{1, util(0.4), 100});
   }
-  EXPECT_GT(weighing.fill_trust(1), 0.7) << "trust recovers with reports that agree with deliveries";
+  EXPECT_GT(evaluator.fill_trust(1), 0.7) << "trust recovers with reports that agree with deliveries";
 }
 
-TEST(Weighing, OverloadReportsAreLoweredWhileEverythingIsDelivered) {
-  Weighing weighing(1s, {100});
+TEST(HintEvaluator, OverloadReportsAreLoweredWhileEverythingIsDelivered) {
+  HintEvaluator evaluator(1s, {100});
   for (int i = 0; i < 6; ++i)
-    weighing.handle(i * 100ms, Delivered{1, 1, 1.0, false});
-  const auto fill = *weighing.handle(600ms, BoxSaid{1, util(3), 100}).report->link_fill;
+    evaluator.handle(i * 100ms, ObjectDelivered{1, 1, 1.0, false});
+  const auto fill = *evaluator.handle(600ms, CmsdReceived{1, util(3), 100}).report->link_fill;
   EXPECT_LT(fill, 2.0);
   EXPECT_GE(fill, 1.0);
 }
 
-TEST(Weighing, LowSharesAreNotedOnceAnIntervalAndOnceOnRecovery) {
-  Weighing weighing(1s, {100});
-  std::vector<double> notes;
+TEST(HintEvaluator, LowSharesAreMeasuredOnceAnIntervalAndOnceOnRecovery) {
+  HintEvaluator evaluator(1s, {100});
+  std::vector<double> shares;
   for (int i = 0; i < 80; ++i) {
     const double share = i < 30 ? 0.6 : 1.0;
-    for (const auto& note : weighing.handle(i * 100ms, Delivered{4, 2, share, false}).notes)
-      notes.push_back(note.value);
+    for (const auto& measurement :
+         evaluator.handle(i * 100ms, ObjectDelivered{4, 2, share, false}).measurements)
+      shares.push_back(measurement.value);
   }
-  ASSERT_GE(notes.size(), 4u);
-  EXPECT_LE(notes.size(), 8u);
-  EXPECT_LT(notes.front(), 0.7);
-  EXPECT_EQ(notes.back(), 1.0);
-  EXPECT_EQ(std::count(notes.begin(), notes.end(), 1.0), 1);
+  ASSERT_GE(shares.size(), 4u);
+  EXPECT_LE(shares.size(), 8u);
+  EXPECT_LT(shares.front(), 0.7);
+  EXPECT_EQ(shares.back(), 1.0);
+  EXPECT_EQ(std::count(shares.begin(), shares.end(), 1.0), 1);
 }
 
-TEST(Weighing, AViewerThatReadsSlowlyIsNoEvidenceAboutItsBox) {
-  Weighing weighing(1s, {100});
+TEST(HintEvaluator, AViewerThatReadsSlowlyIsNoEvidenceAboutItsBox) {
+  HintEvaluator evaluator(1s, {100});
   for (int i = 0; i < 20; ++i)
-    EXPECT_TRUE(weighing.handle(i * 100ms, Delivered{4, 2, 0.1, true}).notes.empty());
+    EXPECT_TRUE(evaluator.handle(i * 100ms, ObjectDelivered{4, 2, 0.1, true}).measurements.empty());
 }
 
-TEST(Weighing, OneStarvingViewerBlamesItsLineTwoBlameTheBox) {
-  Weighing weighing(1s, {100});
+TEST(HintEvaluator, OneStarvingViewerBlamesItsLineTwoBlameTheBox) {
+  HintEvaluator evaluator(1s, {100});
   for (int i = 0; i < 4; ++i)
-    weighing.handle(i * 100ms, Delivered{9, 1, 1.0, false});
-  auto alone = weighing.handle(500ms, ViewerSaid{1, 1, starved(), 100});
-  EXPECT_EQ(alone.last_mile, 1u);
-  EXPECT_TRUE(alone.notes.empty());
-  auto second = weighing.handle(600ms, ViewerSaid{2, 1, starved(), 100});
-  EXPECT_FALSE(second.last_mile);
-  ASSERT_EQ(second.notes.size(), 1u);
-  EXPECT_LT(second.notes[0].value, 0.98);
+    evaluator.handle(i * 100ms, ObjectDelivered{9, 1, 1.0, false});
+  auto alone = evaluator.handle(500ms, CmcdReceived{1, 1, starved(), 100});
+  EXPECT_EQ(alone.last_mile_limited, 1u);
+  EXPECT_TRUE(alone.measurements.empty());
+  auto second = evaluator.handle(600ms, CmcdReceived{2, 1, starved(), 100});
+  EXPECT_FALSE(second.last_mile_limited);
+  ASSERT_EQ(second.measurements.size(), 1u);
+  EXPECT_LT(second.measurements[0].value, 0.98);
   // One starving viewer counts against the box if the relay measures low shares too.
-  Weighing other(1s, {100});
-  other.handle(0s, Delivered{1, 1, 0.7, false});
-  EXPECT_FALSE(other.handle(100ms, ViewerSaid{1, 1, starved(), 100}).last_mile);
+  HintEvaluator other(1s, {100});
+  other.handle(0s, ObjectDelivered{1, 1, 0.7, false});
+  EXPECT_FALSE(other.handle(100ms, CmcdReceived{1, 1, starved(), 100}).last_mile_limited);
 }
 
-TEST(Weighing, DuressOrLowThroughputCountsAsFullWithoutAUtil) {
-  Weighing weighing(1s, {100});
+TEST(HintEvaluator, DuressOrLowThroughputCountsAsFullWithoutAUtil) {
+  HintEvaluator evaluator(1s, {100});
   hints::CmsdDynamic hop;
-  EXPECT_FALSE(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill);
+  EXPECT_FALSE(evaluator.handle(0s, CmsdReceived{1, hop, 100}).report->link_fill);
   hop.duress = true;
-  EXPECT_EQ(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill, 1.0);
+  EXPECT_EQ(evaluator.handle(0s, CmsdReceived{1, hop, 100}).report->link_fill, 1.0);
   hop.duress = false;
   hop.estimated_throughput = 700;  // kbit/s, under 100 kB/s
-  EXPECT_EQ(weighing.handle(0s, BoxSaid{1, hop, 100}).report->link_fill, 1.0);
+  EXPECT_EQ(evaluator.handle(0s, CmsdReceived{1, hop, 100}).report->link_fill, 1.0);
 }
 
-TEST(Weighing, TheTopRungIsNeverBelowTheFloor) {
-  const Weighing weighing(1s, {10, 20, 40, 80});
-  hints::Cmcd hints;
-  EXPECT_EQ(weighing.top_for(hints, 1, 3, 1), 3);
-  hints.top_bitrate = 330;
-  EXPECT_EQ(weighing.top_for(hints, 1, 3, 1), 2);
-  hints.top_bitrate = 1;
-  EXPECT_EQ(weighing.top_for(hints, 1, 3, 1), 1);
-  hints = {};
-  hints.measured_throughput = 240;
-  EXPECT_EQ(weighing.top_for(hints, 0, 3, 1), 3) << "throughput counts only while the buffer runs low";
-  hints.buffer_length = 500;
-  hints.object_duration = 1000;
-  EXPECT_EQ(weighing.top_for(hints, 0, 3, 1), 1);
+TEST(HintEvaluator, TheTopRungIsNeverBelowTheFloor) {
+  const HintEvaluator evaluator(1s, {10, 20, 40, 80});
+  hints::Cmcd cmcd;
+  EXPECT_EQ(evaluator.max_rung(cmcd, 1, 3, 1), 3);
+  cmcd.top_bitrate = 330;
+  EXPECT_EQ(evaluator.max_rung(cmcd, 1, 3, 1), 2);
+  cmcd.top_bitrate = 1;
+  EXPECT_EQ(evaluator.max_rung(cmcd, 1, 3, 1), 1);
+  cmcd = {};
+  cmcd.measured_throughput = 240;
+  EXPECT_EQ(evaluator.max_rung(cmcd, 0, 3, 1), 3) << "throughput counts only while the buffer runs low";
+  cmcd.buffer_length = 500;
+  cmcd.object_duration = 1000;
+  EXPECT_EQ(evaluator.max_rung(cmcd, 0, 3, 1), 1);
 }
 
 // For random hints of boxes and viewers in any order: link fills stay finite, shares lie from 0 to 1, and
-// notes of one box keep their interval.
-TEST(Weighing, HoldsForRandomHints) {
+// measurements of one box keep their interval.
+TEST(HintEvaluator, HoldsForRandomHints) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::minstd_rand chance(seed);
     const auto draw = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
-    Weighing weighing(1s, {10, 20});
+    HintEvaluator evaluator(1s, {10, 20});
     std::map<ServerId, Duration> last;
     Duration now{0};
     for (int i = 0; i < 2000; ++i) {
       now += std::chrono::milliseconds(draw(200));
       const ServerId server = draw(4);
-      hints::Weighed out;
+      hints::Evaluation out;
       if (draw(3) == 0)
-        out = weighing.handle(now,
-                              Delivered{draw(9), server, static_cast<double>(draw(120)) / 100, draw(5) == 0});
+        out = evaluator.handle(
+            now, ObjectDelivered{draw(9), server, static_cast<double>(draw(120)) / 100, draw(5) == 0});
       else if (draw(3) == 0)
-        out = weighing.handle(now, ViewerSaid{draw(9), server, draw(2) ? starved() : hints::Cmcd{}, 10});
+        out = evaluator.handle(now, CmcdReceived{draw(9), server, draw(2) ? starved() : hints::Cmcd{}, 10});
       else if (draw(3) == 0)
-        out = weighing.handle(now, hints::PlaybackLeft{draw(9)});
+        out = evaluator.handle(now, hints::PlaybackEnded{draw(9)});
       else if (draw(3) == 0)
-        out = weighing.handle(now, hints::TimePassed{});
+        out = evaluator.handle(now, hints::Tick{});
       else {
         auto hop = util(static_cast<double>(draw(4000)) / 1000);
         if (draw(2))
           hop.share = static_cast<double>(draw(1500)) / 1000;
         hop.duress = draw(2);
-        out = weighing.handle(now, BoxSaid{server, hop, 10});
+        out = evaluator.handle(now, CmsdReceived{server, hop, 10});
       }
       if (out.report && out.report->link_fill) {
         ASSERT_TRUE(*out.report->link_fill >= 0 && *out.report->link_fill <= 20) << *out.report->link_fill;
       }
-      for (const auto& note : out.notes) {
-        ASSERT_TRUE(note.value >= 0 && note.value <= 1);
-        if (last.contains(note.server)) {
-          ASSERT_GE(now - last[note.server], Duration(1s));
+      for (const auto& measurement : out.measurements) {
+        ASSERT_TRUE(measurement.value >= 0 && measurement.value <= 1);
+        if (last.contains(measurement.server)) {
+          ASSERT_GE(now - last[measurement.server], Duration(1s));
         }
-        last[note.server] = now;
+        last[measurement.server] = now;
       }
     }
   }
--- a/tests/program/hints_test.cpp
+++ b/tests/program/hints_test.cpp
@@ -1,5 +1,5 @@
-// CMCD, CMSD and structured fields: vectors written from the specifications, round trips, and what is
-// malformed in every key and form.
+// CMCD, CMSD and structured fields: vectors derived from the specifications, round trips, and malformed
+// values of every key and type.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -9,10 +9,10 @@
 namespace violettide::hints {
 namespace {
 
-ReadCmcd read_text(std::string_view text) {
-  ReadCmcd read;
-  read_cmcd_text(text, read);
-  return read;
+ParsedCmcd parse_text(std::string_view text) {
+  ParsedCmcd parsed;
+  parse_cmcd_text(text, parsed);
+  return parsed;
 }
 
 TEST(StructuredFields, VectorsOfTheSpecification) {
@@ -45,14 +45,14 @@
                           "\x80"})
     EXPECT_FALSE(accepts(bad)) << bad;
   const auto dictionary = std::get<Dictionary>(parse_dictionary("a=1, b;x=?0, a=(1 2);y, c=?0"));
-  EXPECT_EQ(*written(dictionary), "b;x=?0, a=(1 2);y, c=?0");  // a later entry takes the place of the earlier
-  const auto fault = std::get<FieldFault>(parse_dictionary("a=1, b=&"));
-  EXPECT_EQ(fault.at, 7u);
-  EXPECT_EQ(fault.cause, "expected a value");
+  EXPECT_EQ(*serialize(dictionary), "b;x=?0, a=(1 2);y, c=?0");  // a later member replaces an earlier one
+  const auto error = std::get<SyntaxError>(parse_dictionary("a=1, b=&"));
+  EXPECT_EQ(error.offset, 7u);
+  EXPECT_EQ(error.cause, "expected a value");
 }
 
 TEST(StructuredFields, RoundTrip) {
-  EXPECT_TRUE(rc::check("what is written is read as the same", [] {
+  EXPECT_TRUE(rc::check("a serialized list parses to the same list", [] {
     const auto text = *rc::gen::container<std::string>(rc::gen::inRange<char>(0x20, 0x7f));
     const auto bytes = *rc::gen::arbitrary<std::string>();
     const auto whole = *rc::gen::inRange<std::int64_t>(-999'999'999'999'999, 999'999'999'999'999);
@@ -60,7 +60,7 @@
     const List list{Item{text, {{"k", true}, {"n", whole}}},
                     InnerList{{Item{ByteSequence{bytes}, {}}, Item{parts, {}}}, {{"t", Token{"*a/b"}}}},
                     Item{false, {}}};
-    const auto coded = written(list);
+    const auto coded = serialize(list);
     RC_ASSERT(coded.has_value());
     const auto parsed = parse_list(*coded);
     RC_ASSERT(std::holds_alternative<List>(parsed));
@@ -68,13 +68,13 @@
   }));
 }
 
-TEST(StructuredFields, AnyBytesAreReadOrFaulted) {
-  EXPECT_TRUE(rc::check("no bytes break the reader, and what it takes it can write", [] {
+TEST(StructuredFields, AnyBytesAreParsedOrRejected) {
+  EXPECT_TRUE(rc::check("no bytes break the parser, and every list that it accepts can be serialized", [] {
     const auto text =
         *rc::gen::container<std::string>(rc::gen::elementOf(std::string("ab1.-,;=()\"\\:?*/ \t\x80")));
     const auto parsed = parse_list(text);
     if (const auto* list = std::get_if<List>(&parsed))
-      RC_ASSERT(written(*list).has_value());
+      RC_ASSERT(serialize(*list).has_value());
   }));
 }
 
@@ -84,10 +84,10 @@
       {"CMCD-Request", "bl=21300,dl=18500,mtp=48100,nor=\"..%2F300kbps%2Ftrack.m4v\",nrr=\"12323-48763\",su"},
       {"CMCD-Session", "cid=\"faec5fc2-ac30-11ea\",pr=1.08,sf=d,sid=\"6e2fb550-c457\",st=l,v=1"},
       {"CMCD-Status", "bs,rtp=15000"}};
-  const auto read = read_cmcd(fields, "/x");
-  EXPECT_TRUE(read.present);
-  EXPECT_TRUE(read.faults.empty());
-  const auto& h = read.hints;
+  const auto parsed = parse_cmcd(fields, "/x");
+  EXPECT_TRUE(parsed.present);
+  EXPECT_TRUE(parsed.errors.empty());
+  const auto& h = parsed.cmcd;
   EXPECT_EQ(h.encoded_bitrate, 3200);
   EXPECT_EQ(h.object_duration, 4004);
   EXPECT_EQ(h.object_type, ObjectType::video);
@@ -100,17 +100,17 @@
   EXPECT_TRUE(h.startup && h.buffer_starved);
   EXPECT_EQ(h.content_id, "faec5fc2-ac30-11ea");
   EXPECT_DOUBLE_EQ(h.playback_rate, 1.08);
-  EXPECT_EQ(h.format, StreamingFormat::dash);
+  EXPECT_EQ(h.streaming_format, StreamingFormat::dash);
   EXPECT_EQ(h.session_id, "6e2fb550-c457");
   EXPECT_EQ(h.stream_type, StreamType::live);
-  EXPECT_EQ(h.requested_maximum, 15000);
-  const auto again = read_cmcd({}, "/x?a=1&CMCD=" + cmcd_query(h) + "&b=2");
-  EXPECT_TRUE(again.faults.empty());
-  EXPECT_EQ(again.hints, h);
-  EXPECT_EQ(read_cmcd(cmcd_headers(h), "/x").hints, h);
+  EXPECT_EQ(h.requested_max_throughput, 15000);
+  const auto again = parse_cmcd({}, "/x?a=1&CMCD=" + serialize_cmcd_query(h) + "&b=2");
+  EXPECT_TRUE(again.errors.empty());
+  EXPECT_EQ(again.cmcd, h);
+  EXPECT_EQ(parse_cmcd(serialize_cmcd_headers(h), "/x").cmcd, h);
 }
 
-TEST(Cmcd, AMalformedKeyCostsOnlyItself) {
+TEST(Cmcd, AMalformedKeyDoesNotInvalidateTheOthers) {
   const struct {
     const char* text;
     const char* key;
@@ -149,45 +149,47 @@
              {"a b=1", "a b"},
              {"", ""}};
   for (const auto& entry : bad) {
-    const auto read = read_text(std::string("mtp=500,") + entry.text);
-    ASSERT_EQ(read.faults.size(), 1u) << entry.text;
-    EXPECT_EQ(read.faults[0].key, entry.key) << entry.text;
-    EXPECT_FALSE(read.faults[0].cause.empty());
-    EXPECT_EQ(read.hints.measured_throughput, 500) << entry.text;
+    const auto parsed = parse_text(std::string("mtp=500,") + entry.text);
+    ASSERT_EQ(parsed.errors.size(), 1u) << entry.text;
+    EXPECT_EQ(parsed.errors[0].key, entry.key) << entry.text;
+    EXPECT_FALSE(parsed.errors[0].cause.empty());
+    EXPECT_EQ(parsed.cmcd.measured_throughput, 500) << entry.text;
   }
-  EXPECT_EQ(read_text("sid=\"" + std::string(65, 'x') + "\"").faults.size(), 1u);
-  EXPECT_EQ(read_text("com.example-key=\"kept\",bs=false").hints.custom.size(), 1u);
-  EXPECT_EQ(read_cmcd({}, "/x?CMCD=%zz").faults.size(), 1u);
+  EXPECT_EQ(parse_text("sid=\"" + std::string(65, 'x') + "\"").errors.size(), 1u);
+  EXPECT_EQ(parse_text("com.example-key=\"kept\",bs=false").cmcd.custom.size(), 1u);
+  EXPECT_EQ(parse_cmcd({}, "/x?CMCD=%zz").errors.size(), 1u);
 }
 
-TEST(Cmcd, AnyBytesAreRead) {
-  EXPECT_TRUE(rc::check("no bytes break the reader", [] {
+TEST(Cmcd, AnyBytesAreParsed) {
+  EXPECT_TRUE(rc::check("no bytes break the parser", [] {
     const auto text =
         *rc::gen::container<std::string>(rc::gen::elementOf(std::string("brsidmtp=,\"\\%?:1.- \x80")));
-    const auto read = read_text(text);
-    RC_ASSERT(read_cmcd(cmcd_headers(read.hints), "/").faults.empty());  // what it took, it can say again
+    const auto parsed = parse_text(text);
+    RC_ASSERT(parse_cmcd(serialize_cmcd_headers(parsed.cmcd), "/")
+                  .errors.empty());  // what it accepted can be serialized and parsed again
   }));
 }
 
 TEST(Cmsd, EntriesOfEachHopInOrder) {
-  const auto read = read_cmsd("ot=v,sf=h,st=v,d=5000,br=2000",
-                              "\"box-1\";etp=96;rtt=8;du;org.violettide-util=0.73, \"edge\";mb=5000;rd=12, "
-                              "token;etp=1, \"bad\";etp=\"x\"");
-  EXPECT_EQ(read.fixed->bitrate, 2000);
-  EXPECT_EQ(read.fixed->object_duration, 5000);
-  ASSERT_EQ(read.hops.size(), 3u);
-  EXPECT_EQ(read.hops[0].server, "box-1");
-  EXPECT_TRUE(read.hops[0].duress);
-  EXPECT_DOUBLE_EQ(*read.hops[0].util, 0.73);
-  EXPECT_EQ(read.hops[1].max_suggested_bitrate, 5000);
-  EXPECT_EQ(read.faults.size(), 2u);
+  const auto parsed =
+      parse_cmsd("ot=v,sf=h,st=v,d=5000,br=2000",
+                 "\"box-1\";etp=96;rtt=8;du;org.violettide-util=0.73, \"edge\";mb=5000;rd=12, "
+                 "token;etp=1, \"bad\";etp=\"x\"");
+  EXPECT_EQ(parsed.static_data->bitrate, 2000);
+  EXPECT_EQ(parsed.static_data->object_duration, 5000);
+  ASSERT_EQ(parsed.hops.size(), 3u);
+  EXPECT_EQ(parsed.hops[0].server, "box-1");
+  EXPECT_TRUE(parsed.hops[0].duress);
+  EXPECT_DOUBLE_EQ(*parsed.hops[0].util, 0.73);
+  EXPECT_EQ(parsed.hops[1].max_suggested_bitrate, 5000);
+  EXPECT_EQ(parsed.errors.size(), 2u);
   CmsdDynamic own;
   own.server = "front \"a\"";
   own.max_suggested_bitrate = 320;
-  EXPECT_EQ(after_entries("\"box-1\";rtt=8", own), "\"box-1\";rtt=8, \"front \\\"a\\\"\";mb=320");
-  EXPECT_EQ(after_entries("", own), "\"front \\\"a\\\"\";mb=320");
-  EXPECT_FALSE(read_cmsd("", "\"box-1\";;").dynamic_whole) << "what came malformed is not passed on";
-  EXPECT_EQ(read_cmsd("br=", "((").faults.size(), 2u);
+  EXPECT_EQ(append_cmsd_entry("\"box-1\";rtt=8", own), "\"box-1\";rtt=8, \"front \\\"a\\\"\";mb=320");
+  EXPECT_EQ(append_cmsd_entry("", own), "\"front \\\"a\\\"\";mb=320");
+  EXPECT_FALSE(parse_cmsd("", "\"box-1\";;").dynamic_valid) << "malformed values are not forwarded";
+  EXPECT_EQ(parse_cmsd("br=", "((").errors.size(), 2u);
 }
 
 }  // namespace
