--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -65,26 +65,27 @@
         const auto list = R"({"revision":1,"clock_ms":1,"boxes":[{"name":"b","address":"127.0.0.1","port":)" +
                           std::to_string(port) +
                           R"(,"state":"ready","kind":0,"cell":0,"hall":"h","weight":1}]})";
-        actions.push_back(Send{received->connection, http::head_text(200, {}, list.size(), false) + list});
+        actions.push_back(
+            Send{received->connection, http::serialize_response_head(200, {}, list.size(), false) + list});
         actions.push_back(Close{received->connection, true});
         readers_.erase(received->connection);
         return;
       }
       const bool probe = request->method == "HEAD";
-      actions.push_back(
-          Send{received->connection,
-               http::head_text(200,
-                               {{"Content-Type", "video/mp4"},
-                                {"CMSD-Static", "br=2400,d=1000,ot=v"},
-                                {"CMSD-Dynamic", "\"b\";org.violettide-streams=3;org.violettide-util=0.1"}},
-                               probe ? 0 : object_.size(), true) +
-                   (probe ? "" : object_)});
+      actions.push_back(Send{received->connection,
+                             http::serialize_response_head(
+                                 200,
+                                 {{"Content-Type", "video/mp4"},
+                                  {"CMSD-Static", "br=2400,d=1000,ot=v"},
+                                  {"CMSD-Dynamic", "\"b\";org.violettide-streams=3;org.violettide-util=0.1"}},
+                                 probe ? 0 : object_.size(), true) +
+                                 (probe ? "" : object_)});
     }
   }
 
  private:
   std::string object_;
-  std::unordered_map<ConnectionId, http::RequestReader> readers_;
+  std::unordered_map<ConnectionId, http::RequestParser> readers_;
 };
 
 // The same relay with no decisions in it: one box, kept connections, messages parsed and written alike.
@@ -107,12 +108,14 @@
                      if (part.head) {
                        http::Fields fields;
                        for (auto& [name, value] : part.head->fields) {
-                         if (!http::same_name(name, "Content-Length") && !http::same_name(name, "Connection"))
+                         if (!http::equals_ignoring_case(name, "Content-Length") &&
+                             !http::equals_ignoring_case(name, "Connection"))
                            fields.emplace_back(name, value);
                        }
                        fields.emplace_back("Via", "1.1 relay");
-                       actions.push_back(Send{
-                           link.viewer, http::head_text(part.head->status, fields, part.head->length, true)});
+                       actions.push_back(
+                           Send{link.viewer, http::serialize_response_head(part.head->status, fields,
+                                                                           part.head->content_length, true)});
                      }
                      if (!part.body.empty())
                        actions.push_back(Send{link.viewer, std::move(part.body)});
@@ -130,7 +133,7 @@
 
  private:
   struct BoxLink {
-    http::ResponseReader reader;
+    http::ResponseParser reader;
     ConnectionId viewer = 0;
     bool connected = false;
     std::string waiting;
@@ -151,14 +154,14 @@
       link.viewer = viewer;
       link.reader.expect(false);
       request->fields.emplace_back("Via", "1.1 relay");
-      auto text = http::request_text("GET", request->target, request->fields);
+      auto text = http::serialize_request_head("GET", request->target, request->fields);
       if (link.connected)
         actions.push_back(Send{to, std::move(text)});
       else
         link.waiting = std::move(text);
     }
   }
-  std::unordered_map<ConnectionId, http::RequestReader> viewers_;
+  std::unordered_map<ConnectionId, http::RequestParser> viewers_;
   std::unordered_map<ConnectionId, BoxLink> boxes_;
   std::vector<ConnectionId> idle_;
   ConnectionId next_ = 1;
@@ -207,7 +210,7 @@
 
  private:
   struct Peer {
-    http::ResponseReader reader;
+    http::ResponseParser reader;
     std::chrono::steady_clock::time_point sent;
     std::size_t objects = 0;
   };
@@ -230,7 +233,7 @@
     peer.reader.expect(false);
     peer.sent = std::chrono::steady_clock::now();
     actions.push_back(Send{
-        link, http::request_text(
+        link, http::serialize_request_head(
                   "GET", "/a/title-" + std::to_string(link % 50) + "/r0/" + std::to_string(peer.objects++),
                   fields)});
   }
--- a/src/cataloguewire/resource.cpp
+++ b/src/cataloguewire/resource.cpp
@@ -47,7 +47,7 @@
     const auto end = std::min(query.find('&'), query.size());
     const auto parameter = query.substr(0, end);
     if (parameter.starts_with(name) && parameter.size() > name.size() && parameter[name.size()] == '=')
-      return http::percent_decoded(parameter.substr(name.size() + 1));
+      return http::percent_decode(parameter.substr(name.size() + 1));
     query.remove_prefix(std::min(query.size(), end + 1));
   }
   return std::nullopt;
@@ -63,7 +63,7 @@
   for (auto path = target.substr(0, target.find('?')); !path.empty();) {
     path.remove_prefix(1);
     const auto end = std::min(path.find('/'), path.size());
-    const auto segment = http::percent_decoded(path.substr(0, end));
+    const auto segment = http::percent_decode(path.substr(0, end));
     if (!segment)
       return error_reply(400, current, "path", "malformed percent-encoding");
     segments.push_back(*segment);
--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -129,8 +129,8 @@
     if (const auto* received = std::get_if<Received>(&what)) {
       heard_ = now;
       auto part = reader_.push(received->bytes);
-      if (part.fault)
-        return end(part.fault->cause, actions);
+      if (part.error)
+        return end(part.error->cause, actions);
       if (part.head)
         status_ = part.head->status;
       body_ += part.body;
@@ -159,13 +159,13 @@
     http::Fields fields{{"Host", address},
                         {"Content-Type", "application/json"},
                         {"Content-Length", std::to_string(one->body.size())}};
-    actions.push_back(Send{1, http::request_text(one->method, one->target, fields) + one->body});
+    actions.push_back(Send{1, http::serialize_request_head(one->method, one->target, fields) + one->body});
   }
   void end(std::string cause, std::vector<Action>& actions) {
     failed = std::move(cause);
     actions.push_back(StopLoop{});
   }
-  http::ResponseReader reader_;
+  http::ResponseParser reader_;
   bool began_ = false;
   int status_ = 0;
   Duration heard_{0};
@@ -305,7 +305,7 @@
 int run_catalogue_show(const CatalogueWords& words) {
   return guarded([&] {
     const auto target = words.title.empty() ? std::string("/catalogue")
-                                            : "/catalogue/recordings/" + http::percent_encoded(words.title);
+                                            : "/catalogue/recordings/" + http::percent_encode(words.title);
     return get(words, target, [](const std::string& body) {
       std::cout << nlohmann::json::parse(body, nullptr, false).dump(2) << '\n';
     });
--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -126,7 +126,7 @@
     std::optional<std::string> encoded;
     if (auto cause = parse_text(key_value, encoded, 4096))
       return cause;
-    const auto decoded = http::percent_decoded(*encoded);
+    const auto decoded = http::percent_decode(*encoded);
     if (!decoded)
       return "malformed percent-encoding";
     cmcd.next_object = *decoded;
@@ -267,7 +267,7 @@
   count("dl", cmcd.deadline);
   count("mtp", cmcd.measured_throughput);
   if (cmcd.next_object)
-    emit("nor", quote(http::percent_encoded(*cmcd.next_object)));
+    emit("nor", quote(http::percent_encode(*cmcd.next_object)));
   text("nrr", cmcd.next_range);
   if (cmcd.object_type)
     token("ot", token_for(object_types, *cmcd.object_type));
@@ -342,13 +342,13 @@
     if (!argument.starts_with("CMCD="))
       continue;
     parsed.present = true;
-    if (const auto text = http::percent_decoded(argument.substr(5)))
+    if (const auto text = http::percent_decode(argument.substr(5)))
       parse_cmcd_text(*text, parsed);
     else
       parsed.errors.push_back({"", "malformed percent-encoding in the query"});
   }
   for (const auto name : header_names) {
-    const auto text = http::joined(fields, name);
+    const auto text = http::combined_value(fields, name);
     if (text.empty())
       continue;
     parsed.present = true;
@@ -373,7 +373,7 @@
 std::string serialize_cmcd_query(const Cmcd& cmcd) {
   std::string query;
   for_each_key(cmcd, [&](std::string_view key, std::string_view text) { append_entry(query, key, text); });
-  return http::percent_encoded(query);
+  return http::percent_encode(query);
 }
 
 }  // namespace violettide::hints
--- a/src/manager/catalogue_door.cpp
+++ b/src/manager/catalogue_door.cpp
@@ -25,7 +25,7 @@
   while (!control.busy) {
     auto request = control.reader.next();
     if (!request) {
-      if (const auto& fault = control.reader.fault()) {
+      if (const auto& fault = control.reader.error()) {
         control.close_after = true;
         control_reply(control, {fault->status, {{"Content-Type", "text/plain"}}, fault->cause + "\n"});
       }
@@ -63,9 +63,9 @@
   control.busy = false;
   control.feed_after.reset();
   bells_.cancel(control.wait);
-  actions_->push_back(Send{
-      link,
-      http::head_text(reply.status, reply.fields, reply.body.size(), !control.close_after) + reply.body});
+  actions_->push_back(Send{link, http::serialize_response_head(reply.status, reply.fields, reply.body.size(),
+                                                               !control.close_after) +
+                                     reply.body});
   if (!control.close_after)
     return;
   actions_->push_back(Close{link, true});
--- a/src/manager/hls_door.cpp
+++ b/src/manager/hls_door.cpp
@@ -60,7 +60,7 @@
     const auto one = target.substr(at + 1, end == std::string_view::npos ? end : end - at - 1);
     const auto equals = one.find('=');
     if (equals != std::string_view::npos) {
-      if (auto value = http::percent_decoded(one.substr(equals + 1)))
+      if (auto value = http::percent_decode(one.substr(equals + 1)))
         variables.insert_or_assign(std::string(one.substr(0, equals)), std::move(*value));
     }
     at = end;
@@ -98,8 +98,8 @@
   viewer.path = std::move(std::get<MediaPath>(read));
   viewer.wants = ViewerLink::Wants::lists;
   viewer.place =
-      more("/" + http::percent_encoded(terms_.plans[viewer.path.plan].name) + "/" +
-               http::percent_encoded(viewer.path.title) + "/" + http::percent_encoded(viewer.path.object),
+      more("/" + http::percent_encode(terms_.plans[viewer.path.plan].name) + "/" +
+               http::percent_encode(viewer.path.title) + "/" + http::percent_encode(viewer.path.object),
            query_for_box(query));
   viewer.pass = {};
   // Players that say no session id get one: it goes with their addresses, not with their connection.
@@ -376,9 +376,9 @@
 
 // ---- a box's playlist ----
 
-void Manager::collect(BoxLink& link, http::ResponseReader::Part& part) {
+void Manager::collect(BoxLink& link, http::ResponseParser::Part& part) {
   if (part.head)
-    link.coding = http::joined(part.head->fields, "Content-Encoding");
+    link.coding = http::combined_value(part.head->fields, "Content-Encoding");
   link.body += part.body;
   // Guards against a box that never ends its playlist.
   if (link.body.size() > terms_.hls.playlists.bytes) {
@@ -450,7 +450,7 @@
                       {"Via", "1.1 " + terms_.name},
                       {"CMSD-Dynamic", hints::serialize_cmsd_entry(own)}};
   const bool pack = text.size() >= worth_packing &&
-                    gzip::is_accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
+                    gzip::is_accepted(http::combined_value(viewer.request.fields, "Accept-Encoding"));
   if (pack)
     fields.emplace_back("Content-Encoding", "gzip");
   if (viewer.wants == ViewerLink::Wants::lists) {
@@ -466,7 +466,7 @@
   }
   const auto body = pack ? gzip::compress(text) : text;
   viewer.box = 0;  // its link is free: what this viewer is slow to read must not hold another's
-  send_to_viewer(viewer, http::head_text(200, fields, body.size(), !viewer.close_after) + body);
+  send_to_viewer(viewer, http::serialize_response_head(200, fields, body.size(), !viewer.close_after) + body);
   done_with(viewer);
 }
 
--- a/src/manager/inside.h
+++ b/src/manager/inside.h
@@ -15,7 +15,7 @@
   std::string place;  // at the box, of what is no plain object
   int fill_rung = 0;  // of the media playlist that fills the one asked for
   ConnectionId link = 0;
-  http::RequestReader reader;
+  http::RequestParser reader;
   http::Request request;
   hints::ParsedCmcd hints;
   MediaPath path;
@@ -40,7 +40,7 @@
   bool collects = false;    // a playlist: taken whole before anything of it is told
   bool off_ladder = false;  // audio and the like: no rung tells its rate
   std::string waiting;      // the request, until it is connected
-  http::ResponseReader reader;
+  http::ResponseParser reader;
   std::optional<PlaybackId> playback;
   ConnectionId viewer = 0;
   Bells::Handle limit, connect;
@@ -98,7 +98,7 @@
 // A connection of an operator, a tool or another front's feed.
 struct Manager::Control {
   ConnectionId link = 0;
-  http::RequestReader reader;
+  http::RequestParser reader;
   bool busy = false, close_after = false;
   std::optional<catalogue::Revision> feed_after;  // waits for news behind it
   Bells::Handle wait;
--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -33,7 +33,7 @@
 bool ends_here(std::string_view name, std::string_view connection) {
   for (const auto own : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
                          "Upgrade", "Content-Length", "CMSD-Dynamic", "Via"}) {
-    if (http::same_name(name, own))
+    if (http::equals_ignoring_case(name, own))
       return true;
   }
   for (std::size_t from = 0; from < connection.size();) {
@@ -43,7 +43,7 @@
       option.remove_prefix(1);
     while (!option.empty() && option.back() == ' ')
       option.remove_suffix(1);
-    if (http::same_name(name, option))
+    if (http::equals_ignoring_case(name, option))
       return true;
     from = end + 1;
   }
@@ -202,21 +202,22 @@
     control->link = what.connection;
     // Batches of a bulk load are longer than anything that a viewer may send.
     http::Limits limits = terms_.http;
-    limits.request_body = most_batch;
-    control->reader = http::RequestReader(limits);
+    limits.max_request_body_bytes = most_batch;
+    control->reader = http::RequestParser(limits);
     controls_.emplace(what.connection, std::move(control));
     return;
   }
   // Guards against more connections than this front has memory for; those it has keep what they hold.
   if (viewers_.size() >= terms_.viewer_links || stopping_) {
-    actions_->push_back(Send{what.connection, http::head_text(503, come_back_soon(), 0, false)});
+    actions_->push_back(
+        Send{what.connection, http::serialize_response_head(503, come_back_soon(), 0, false)});
     actions_->push_back(Close{what.connection, true});
     say("viewer_turned_away", {{"cause", std::string(stopping_ ? "stopping" : "connections")}});
     return;
   }
   auto viewer = std::make_unique<ViewerLink>();
   viewer->link = what.connection;
-  viewer->reader = http::RequestReader(terms_.http);
+  viewer->reader = http::RequestParser(terms_.http);
   viewers_.emplace(what.connection, std::move(viewer));
 }
 
@@ -233,7 +234,7 @@
       return;  // hung up on already
     auto& viewer = *found->second;
     viewer.reader.push(what.bytes);
-    if (viewer.busy && viewer.reader.unread() > most_pipelined && !viewer.reading_held) {
+    if (viewer.busy && viewer.reader.buffered_bytes() > most_pipelined && !viewer.reading_held) {
       viewer.reading_held = true;
       actions_->push_back(PauseReading{what.connection});
     }
@@ -255,7 +256,7 @@
         return;
       continue;
     }
-    if (const auto& fault = viewer.reader.fault()) {
+    if (const auto& fault = viewer.reader.error()) {
       viewer.busy = viewer.close_after = true;
       say("request_malformed", {{"status", std::int64_t{fault->status}}, {"cause", fault->cause}});
       return answer(viewer, fault->status, fault->cause + "\n");
@@ -450,8 +451,8 @@
     fields.emplace_back("Content-Type", "text/plain");
   fields.insert(fields.end(), more.begin(), more.end());
   const bool head_only = viewer.request.method == "HEAD";  // whose answer has no body (RFC 9110, 9.3.2)
-  send_to_viewer(viewer,
-                 http::head_text(status, fields, text.size(), !viewer.close_after) + (head_only ? "" : text));
+  send_to_viewer(viewer, http::serialize_response_head(status, fields, text.size(), !viewer.close_after) +
+                             (head_only ? "" : text));
   done_with(viewer);
 }
 
@@ -468,7 +469,7 @@
   }
   // What was pipelined behind it is read when all that this happening brought is done, so that a
   // playback is never taken apart while it is being served.
-  if (viewer.reader.unread() > 0 || viewer.reader.fault() || viewer.half_closed || stopping_)
+  if (viewer.reader.buffered_bytes() > 0 || viewer.reader.error() || viewer.half_closed || stopping_)
     reread_.insert(viewer.link);
 }
 
@@ -586,7 +587,7 @@
     if (!ends_here(name, connection ? *connection : ""))
       fields.emplace_back(name, value);
   }
-  fields.emplace_back("Via", listed(http::joined(head.fields, "Via"), "1.1 " + terms_.name));
+  fields.emplace_back("Via", listed(http::combined_value(head.fields, "Via"), "1.1 " + terms_.name));
   hints::CmsdDynamic own;
   own.server = terms_.name;
   own.response_delay = (now_ - box.asked_at).count() / 1000;
@@ -598,12 +599,12 @@
     }
   }
   fields.emplace_back("CMSD-Dynamic", hints::append_cmsd_entry(box.cmsd, own));
-  viewer.chunked = !head.length && viewer.request.version >= 11;
-  if (!head.length && !viewer.chunked)
+  viewer.chunked = !head.content_length && viewer.request.version >= 11;
+  if (!head.content_length && !viewer.chunked)
     viewer.close_after = true;
   viewer.head_sent = true;
-  send_to_viewer(viewer,
-                 http::head_text(head.status, fields, head.length, !viewer.close_after, viewer.chunked));
+  send_to_viewer(viewer, http::serialize_response_head(head.status, fields, head.content_length,
+                                                       !viewer.close_after, viewer.chunked));
 }
 
 // ---- playbacks ----
@@ -807,7 +808,7 @@
                    {"rung", std::int64_t{link->rung}},
                    {"try", std::int64_t{playback.tries}}});
   link->reader.expect(false);
-  send_request(*link, http::request_text("GET", target, box_fields(&viewer, &playback, true)));
+  send_request(*link, http::serialize_request_head("GET", target, box_fields(&viewer, &playback, true)));
 }
 
 void Manager::start_probe(ServerId server) {
@@ -816,7 +817,7 @@
     return tell(ProbeEnded{server, false, {}});
   link->limit = arm(terms_.probe_limit, Ring::box_limit, link->link);
   link->reader.expect(true);
-  send_request(*link, http::request_text("HEAD", "/", box_fields(nullptr, nullptr, false)));
+  send_request(*link, http::serialize_request_head("HEAD", "/", box_fields(nullptr, nullptr, false)));
 }
 
 // A later object of a playback that plays.
@@ -844,17 +845,17 @@
     limit += 3 * playback.hls->target;
   link->limit = arm(limit, Ring::box_limit, link->link);
   link->reader.expect(false);
-  send_request(*link, http::request_text("GET", target, box_fields(&viewer, &playback, false)));
+  send_request(*link, http::serialize_request_head("GET", target, box_fields(&viewer, &playback, false)));
 }
 
-void Manager::from_box(BoxLink& link, http::ResponseReader::Part part) {
+void Manager::from_box(BoxLink& link, http::ResponseParser::Part part) {
   const ConnectionId id = link.link;
-  if (part.fault && !part.head && !part.done) {
+  if (part.error && !part.head && !part.done) {
     say("box_malformed", {{"box", link.use == Use::list   ? std::string("list")
                                   : link.use == Use::feed ? std::string("feed")
                                   : link.use == Use::keys ? std::string("issuer")
                                                           : list_.box(link.server).name},
-                          {"cause", part.fault->cause}});
+                          {"cause", part.error->cause}});
     if (link.use == Use::idle)
       return hang_box(id);
     return box_failed(link, link.head_seen ? Outcome::reset : Outcome::error);
@@ -862,7 +863,7 @@
   if (link.use == Use::idle)
     return hang_box(id);
   // Bytes behind a response that nobody asked for make the connection worth nothing.
-  if (part.fault)
+  if (part.error)
     link.keep_alive = false;
   if (part.head) {
     link.head_seen = true;
@@ -897,7 +898,7 @@
       return;
     case Use::probe:
       if (part.head) {
-        const auto said = hints::parse_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
+        const auto said = hints::parse_cmsd("", http::combined_value(part.head->fields, "CMSD-Dynamic"));
         LoadReport load;
         if (!said.hops.empty())
           load = hint_evaluator_.handle(now_, hints::CmsdReceived{link.server, said.hops.front(), 0})
@@ -1026,8 +1027,8 @@
 }
 
 void Manager::hear_box(BoxLink& link, const http::ResponseHead& head, double rate) {
-  link.cmsd = http::joined(head.fields, "CMSD-Dynamic");
-  const auto said = hints::parse_cmsd(http::joined(head.fields, "CMSD-Static"), link.cmsd);
+  link.cmsd = http::combined_value(head.fields, "CMSD-Dynamic");
+  const auto said = hints::parse_cmsd(http::combined_value(head.fields, "CMSD-Static"), link.cmsd);
   if (!said.dynamic_valid)
     link.cmsd.clear();
   if (!said.errors.empty())
@@ -1039,22 +1040,22 @@
   double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, link.rung);
   if (link.collects || link.off_ladder)
     rung_rate = 0;
-  link.object_rate = link.collects ? 0
-                     : head.length ? static_cast<double>(*head.length) / length
-                                   : rung_rate * 1000;
+  link.object_rate = link.collects         ? 0
+                     : head.content_length ? static_cast<double>(*head.content_length) / length
+                                           : rung_rate * 1000;
   if (!said.hops.empty())
     heed(hint_evaluator_.handle(now_, hints::CmsdReceived{link.server, said.hops.front(), rung_rate}),
          link.server);
 }
 
-void Manager::object_part(BoxLink& link, http::ResponseReader::Part& part) {
+void Manager::object_part(BoxLink& link, http::ResponseParser::Part& part) {
   const ConnectionId id = link.link;
   link.bytes += part.body.size();
   const auto found = viewers_.find(link.viewer);
   if (found != viewers_.end()) {
     auto& viewer = *found->second;
     if (!part.body.empty())
-      send_to_viewer(viewer, viewer.chunked ? http::chunk(part.body) : std::move(part.body));
+      send_to_viewer(viewer, viewer.chunked ? http::serialize_chunk(part.body) : std::move(part.body));
     if (part.done && viewer.chunked)
       send_to_viewer(viewer, std::string(http::last_chunk));
   }
@@ -1122,7 +1123,7 @@
     return hang_box(what.connection);
   if (what.reason == CloseReason::finished && link.connected) {
     auto rest = link.reader.close();  // a body without a length ends so
-    if (!rest.fault && (rest.done || rest.head)) {
+    if (!rest.error && (rest.done || rest.head)) {
       link.keep_alive = false;
       return from_box(link, std::move(rest));
     }
@@ -1269,7 +1270,7 @@
   http::Fields fields{{"Host", address}, {"Via", "1.1 " + terms_.name}, {"Connection", "close"}};
   if (!etag.empty())
     fields.emplace_back("If-None-Match", etag);
-  send_request(link, http::request_text("GET", target, fields));
+  send_request(link, http::serialize_request_head("GET", target, fields));
   return link;
 }
 
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -125,8 +125,8 @@
   void fetch(ViewerLink& viewer, Playback& playback);
   BoxLink* box_link(ServerId server, Use use, bool anew);
   void send_request(BoxLink& link, std::string text);
-  void from_box(BoxLink& link, http::ResponseReader::Part part);
-  void object_part(BoxLink& link, http::ResponseReader::Part& part);
+  void from_box(BoxLink& link, http::ResponseParser::Part part);
+  void object_part(BoxLink& link, http::ResponseParser::Part& part);
   void try_head(BoxLink& link, const http::ResponseHead& head);
   void try_ran(BoxLink& link, const http::ResponseHead* head);
   void try_failed(BoxLink& link, Outcome outcome, std::vector<LogField> more);
@@ -160,7 +160,7 @@
   void hls_side(Playback& playback);
   std::string box_target(ViewerLink& viewer, Playback& playback, BoxLink& link);
   bool steer(ViewerLink& viewer, Playback& playback);
-  void collect(BoxLink& link, http::ResponseReader::Part& part);
+  void collect(BoxLink& link, http::ResponseParser::Part& part);
   void list_whole(BoxLink& link);
   void list_unusable(BoxLink& link, const std::string& cause);
   std::variant<std::string, hls::PlaylistError> lists_text(ViewerLink& viewer, Playback& playback,
--- a/src/manager/seats_door.cpp
+++ b/src/manager/seats_door.cpp
@@ -33,7 +33,7 @@
 // that CTA-5007 gives to common access tokens.
 std::string Manager::token_of(const http::Request& request) {
   if (const auto* field = http::find(request.fields, "Authorization")) {
-    if (field->size() > 7 && http::same_name(field->substr(0, 7), "Bearer "))
+    if (field->size() > 7 && http::equals_ignoring_case(field->substr(0, 7), "Bearer "))
       return field->substr(7);
   }
   if (const auto* field = http::find(request.fields, cat_name))
--- a/src/manager/terms.cpp
+++ b/src/manager/terms.cpp
@@ -24,7 +24,7 @@
     return PathFault{"expected /PLAN/TITLE/rN/OBJECT"};
   for (std::size_t from = 1; from <= path.size();) {
     const auto end = std::min(path.find('/', from), path.size());
-    const auto part = http::percent_decoded(path.substr(from, end - from));
+    const auto part = http::percent_decode(path.substr(from, end - from));
     if (!part)
       return PathFault{"malformed percent-encoding"};
     // Guards against a name that a box would read as another place than the one decided on.
@@ -52,8 +52,8 @@
 }
 
 std::string path_text(const FrontTerms& terms, const MediaPath& path, int rung) {
-  return "/" + http::percent_encoded(terms.plans[path.plan].name) + "/" + http::percent_encoded(path.title) +
-         "/r" + std::to_string(rung) + "/" + http::percent_encoded(path.object);
+  return "/" + http::percent_encode(terms.plans[path.plan].name) + "/" + http::percent_encode(path.title) +
+         "/r" + std::to_string(rung) + "/" + http::percent_encode(path.object);
 }
 
 }  // namespace violettide::manager
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -250,8 +250,8 @@
       front.links_per_box = static_cast<std::size_t>(call.whole("links_per_box"));
       front.idle_links_per_box = static_cast<std::size_t>(call.whole("idle_links_per_box"));
       front.most_unsent = static_cast<std::size_t>(call.whole("unsent"));
-      front.http.header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
-      front.http.fields = static_cast<std::size_t>(call.whole("fields"));
+      front.http.max_header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
+      front.http.max_fields = static_cast<std::size_t>(call.whole("fields"));
       front.connect_limit = call.span("connect");
       front.silence = call.span("silence");
       front.stop_limit = call.span("stop");
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -298,12 +298,12 @@
   while (!peer.busy) {
     auto request = peer.reader.next();
     if (!request) {
-      if (peer.reader.fault())
+      if (peer.reader.error())
         actions.push_back(Close{link, false});
       return;
     }
     peer.close_after = !request->keep_alive;
-    const auto via = http::joined(request->fields, "Via");
+    const auto via = http::combined_value(request->fields, "Via");
     const auto space = via.rfind(' ');
     peer.via = space == std::string::npos ? "" : via.substr(space + 1);
     if (issuer_ && peer.door == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
@@ -332,7 +332,8 @@
 
 void Fleet::answer(ConnectionId link, Peer& peer, int status, http::Fields fields, const std::string& body,
                    std::vector<Action>& actions) {
-  actions.push_back(Send{link, http::head_text(status, fields, body.size(), !peer.close_after) + body});
+  actions.push_back(
+      Send{link, http::serialize_response_head(status, fields, body.size(), !peer.close_after) + body});
   if (peer.close_after)
     actions.push_back(Close{link, true}), peers_.erase(link);
 }
@@ -348,7 +349,8 @@
   }
   if (request.method == "HEAD") {
     put(trace::Passed::PROBED, number, &peer);
-    actions.push_back(Send{link, http::head_text(200, {{"CMSD-Dynamic", cmsd_of(number)}}, 0, true)});
+    actions.push_back(
+        Send{link, http::serialize_response_head(200, {{"CMSD-Dynamic", cmsd_of(number)}}, 0, true)});
     return;
   }
   peer.hls = day_.deployment.hls ? read_hls_path(day_, request.target) : std::nullopt;
@@ -359,7 +361,7 @@
   const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
   if (!media || media->rung >= static_cast<int>(day_.deployment.front.site.rung_kb.size()))
     return answer(link, peer, 404, {}, "", actions);
-  peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
+  peer.packs = gzip::is_accepted(http::combined_value(request.fields, "Accept-Encoding"));
   const auto hints = hints::parse_cmcd(request.fields, request.target).cmcd;
   const auto* trace = http::find(request.fields, "traceparent");
   peer.trace = trace && trace->size() >= 35 ? trace->substr(3, 32) : "";
@@ -441,7 +443,8 @@
   fixed.object_duration = front.object_length.count() / 1000;
   fixed.object_type = "v";
   fixed.stream_type = "v";
-  actions.push_back(Send{link, http::head_text(200,
+  actions.push_back(
+      Send{link, http::serialize_response_head(200,
                                                {{"Content-Type", "video/mp4"},
                                                 {"CMSD-Static", hints::serialize_cmsd_static(fixed)},
                                                 {"CMSD-Dynamic", cmsd_of(number)}},
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -47,7 +47,7 @@
   };
   struct Peer {
     int door = 0;
-    http::RequestReader reader;
+    http::RequestParser reader;
     bool busy = false, head_sent = false, set_up = false;
     Duration answer_at{0};
     std::string sid, trace, via, title, plan_name;
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -270,7 +270,7 @@
     more = malformed_hints(viewer.number, viewer.sid);
   if (issuer_)
     show_token(viewer, fields);
-  viewer.request = http::request_text("GET", target, fields);
+  viewer.request = http::serialize_request_head("GET", target, fields);
   viewer.request.insert(viewer.request.size() - 2, more);
 }
 
@@ -344,8 +344,8 @@
   arm(viewer, viewer.first ? patience : 3 * patience, Bell::patience);
 }
 
-void Viewers::came_part(Viewer& viewer, http::ResponseReader::Part part, std::vector<Action>& actions) {
-  if (part.fault) {
+void Viewers::came_part(Viewer& viewer, http::ResponseParser::Part part, std::vector<Action>& actions) {
+  if (part.error) {
     // Bytes that no request asked for: a second answer, whatever they say.
     if (part.done || (viewer.state != State::asking && viewer.state != State::fetching))
       put(trace::Passed::ANSWERED, viewer, -1, "unasked bytes");
@@ -354,11 +354,11 @@
   if (part.head) {
     viewer.status = part.head->status;
     viewer.answered = true;
-    viewer.packed = http::joined(part.head->fields, "Content-Encoding") == "gzip";
+    viewer.packed = http::combined_value(part.head->fields, "Content-Encoding") == "gzip";
     if (const auto* wait = http::find(part.head->fields, "Retry-After"))
       viewer.retry_after = std::atoi(wait->c_str());
-    const auto said = hints::parse_cmsd(http::joined(part.head->fields, "CMSD-Static"),
-                                        http::joined(part.head->fields, "CMSD-Dynamic"));
+    const auto said = hints::parse_cmsd(http::combined_value(part.head->fields, "CMSD-Static"),
+                                        http::combined_value(part.head->fields, "CMSD-Dynamic"));
     const auto& rates = day_.deployment.front.site.rung_kb;
     if (!said.hops.empty() && said.hops.back().max_suggested_bitrate)
       viewer.suggested_bits = static_cast<double>(*said.hops.back().max_suggested_bitrate) * 1000;
@@ -437,8 +437,8 @@
     return;
   const auto& front = day_.deployment.front;
   const auto& plan = front.site.plans[viewer.plan];
-  const auto lists = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
-                     http::percent_encoded(viewer.title) + "/index.m3u8";
+  const auto lists = "/" + http::percent_encode(front.plans[viewer.plan].name) + "/" +
+                     http::percent_encode(viewer.title) + "/index.m3u8";
   viewer.hls = std::make_unique<HlsPlayer>(
       lists, front.site.rung_kb[viewer.top] * plan.rate_scale * 8000 * (1 + 1e-6));
   viewer.hls_ask = {HlsPlayer::Ask::Kind::lists, lists};
--- a/src/standins/viewers.h
+++ b/src/standins/viewers.h
@@ -49,7 +49,7 @@
     int door = 0;
     bool first = true;  // the request under way begins a playback
     bool ever_played = false, starved = false, connected = false, answered = false;
-    http::ResponseReader reader;
+    http::ResponseParser reader;
     std::string request;
     Duration sent_at{0}, buffered_until{0};
     Duration buffer_at{0};
@@ -83,7 +83,7 @@
   void hls_whole(Viewer& viewer, std::vector<Action>& actions);
   bool hls_refused(Viewer& viewer, std::vector<Action>& actions);
   void tell_wrongs(Viewer& viewer);
-  void came_part(Viewer& viewer, http::ResponseReader::Part part, std::vector<Action>& actions);
+  void came_part(Viewer& viewer, http::ResponseParser::Part part, std::vector<Action>& actions);
   void object_whole(Viewer& viewer, std::vector<Action>& actions);
   void broke(Viewer& viewer, std::vector<Action>& actions, bool refused = false);
   void rest(Viewer& viewer, Duration pause, std::vector<Action>& actions);
--- a/tests/program/catalogue_test.cpp
+++ b/tests/program/catalogue_test.cpp
@@ -581,7 +581,7 @@
                 ",\"state\":\"" + states[b] + "\",\"kind\":0,\"cell\":0,\"hall\":\"h\",\"weight\":1}";
       }
       text += "]}";
-      actions.push_back(Send{link, http::head_text(200, {}, text.size(), false) + text});
+      actions.push_back(Send{link, http::serialize_response_head(200, {}, text.size(), false) + text});
       actions.push_back(Close{link, true});
     };
     net.add(list, 1);
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -43,7 +43,8 @@
     net.add(list, 1);
     net.add(viewer, 0);
     list.on_bytes = [this](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
-      actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
+      actions.push_back(
+          Send{link, http::serialize_response_head(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
     for (int b = 0; b < 2; ++b) {
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -1,4 +1,4 @@
-// HTTP messages: whole and in pieces, pipelined, at and over each limit, and malformed by the hundred.
+// HTTP messages: complete, split into pieces, pipelined, above each limit, and malformed at random.
 #include "http/http.h"
 
 #include <gtest/gtest.h>
@@ -8,14 +8,14 @@
 namespace violettide::http {
 namespace {
 
-TEST(RequestReader, PipelinedRequestsInAnyPieces) {
+TEST(RequestParser, PipelinedRequestsInAnyPieces) {
   const std::string text =
       "GET /a HTTP/1.1\r\nHost: x\r\nCMCD-Status:  bs \r\n\r\n"
       "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
       "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
       "GET /d HTTP/1.0\r\n\r\n";
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-    RequestReader reader;
+    RequestParser reader;
     std::vector<Request> all;
     for (std::size_t at = 0; at < text.size(); at += piece) {
       reader.push(std::string_view(text).substr(at, piece));
@@ -28,43 +28,44 @@
     EXPECT_EQ(all[1].body, "hello");
     EXPECT_EQ(all[2].body, "abc");
     EXPECT_FALSE(all[3].keep_alive);
-    EXPECT_FALSE(reader.fault());
+    EXPECT_FALSE(reader.error());
   }
 }
 
-int fault_of(const std::string& text, Limits limits = {}) {
-  RequestReader reader(limits);
+int error_status(const std::string& text, Limits limits = {}) {
+  RequestParser reader(limits);
   reader.push(text);
   while (reader.next()) {
   }
-  return reader.fault() ? reader.fault()->status : 0;
+  return reader.error() ? reader.error()->status : 0;
 }
 
-TEST(RequestReader, LimitsAreToldByStatus) {
+TEST(RequestParser, EachLimitHasItsStatusCode) {
   Limits limits;
-  limits.header_bytes = 1024;
-  limits.fields = 8;
-  limits.target = 100;
-  limits.request_body = 10;
-  EXPECT_EQ(fault_of("GET /" + std::string(101, 'a') + " HTTP/1.1\r\n\r\n", limits), 414);
-  EXPECT_EQ(fault_of("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a') + "\r\n\r\n", limits), 431);
-  EXPECT_EQ(fault_of("GET /" + std::string(5000, 'a'), limits), 431) << "an endless line must not be kept";
+  limits.max_header_bytes = 1024;
+  limits.max_fields = 8;
+  limits.max_target_bytes = 100;
+  limits.max_request_body_bytes = 10;
+  EXPECT_EQ(error_status("GET /" + std::string(101, 'a') + " HTTP/1.1\r\n\r\n", limits), 414);
+  EXPECT_EQ(error_status("GET / HTTP/1.1\r\nX: " + std::string(2000, 'a') + "\r\n\r\n", limits), 431);
+  EXPECT_EQ(error_status("GET /" + std::string(5000, 'a'), limits), 431)
+      << "an endless line must not be buffered";
   std::string many = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 9; ++i)
     many += "X: y\r\n";
-  EXPECT_EQ(fault_of(many + "\r\n", limits), 431);
-  EXPECT_EQ(fault_of("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\nhello world", limits), 413);
-  EXPECT_EQ(
-      fault_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n", limits),
-      413);
-  EXPECT_EQ(fault_of("GET / HTTP/2.0\r\n\r\n"), 505);
+  EXPECT_EQ(error_status(many + "\r\n", limits), 431);
+  EXPECT_EQ(error_status("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\nhello world", limits), 413);
+  EXPECT_EQ(error_status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n",
+                         limits),
+            413);
+  EXPECT_EQ(error_status("GET / HTTP/2.0\r\n\r\n"), 505);
 }
 
-TEST(RequestReader, MalformedByTheHundred) {
+TEST(RequestParser, RandomlyMalformedRequests) {
   const std::string good =
       "GET /p/t/r1/0.m4s HTTP/1.1\r\nHost: x\r\nCMCD-Session: sid=\"a\"\r\nContent-Length: 0\r\n\r\n";
   std::minstd_rand chance(5);
-  int faults = 0;
+  int rejected = 0;
   for (int i = 0; i < 600; ++i) {
     auto text = good;
     for (int change = 0; change < 1 + i % 4; ++change) {
@@ -76,32 +77,32 @@
       else
         text.insert(at, 1 + chance() % 3, "\r\n :\0"[chance() % 5]);
     }
-    const int status = fault_of(text);
+    const int status = error_status(text);
     EXPECT_TRUE(status == 0 || (status >= 400 && status < 600)) << status;
-    faults += status != 0;
+    rejected += status != 0;
   }
-  EXPECT_GT(faults, 200);
+  EXPECT_GT(rejected, 200);
   for (const auto* bad : {"\r\n\r\n\r\n", "GET\r\n\r\n", "GET / HTTP/1.1\r\nNo colon\r\n\r\n",
                           "GET / HTTP/1.1\r\n : x\r\n\r\n", "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
                           "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
                           "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
-    EXPECT_EQ(fault_of(bad), 400) << bad;
+    EXPECT_EQ(error_status(bad), 400) << bad;
 }
 
-TEST(ResponseReader, BodiesByLengthChunksAndClose) {
-  ResponseReader reader;
+TEST(ResponseParser, BodiesByLengthChunksAndClose) {
+  ResponseParser reader;
   reader.expect(false);
   auto part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
-  EXPECT_EQ(part.head->length, 5u);
+  EXPECT_EQ(part.head->content_length, 5u);
   EXPECT_EQ(part.body, "hel");
   part = reader.push("lo");
-  EXPECT_TRUE(part.done && part.body == "lo" && !part.fault);
+  EXPECT_TRUE(part.done && part.body == "lo" && !part.error);
   reader.expect(false);
   part = reader.push("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
   EXPECT_TRUE(part.done && part.body == "abc" && part.head->chunked);
   reader.expect(true);
   part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n");
-  EXPECT_TRUE(part.done) << "a HEAD's response has no body";
+  EXPECT_TRUE(part.done) << "a response to HEAD has no body";
   reader.expect(false);
   part = reader.push("HTTP/1.1 200 OK\r\n\r\nto the ");
   EXPECT_FALSE(part.done);
@@ -109,23 +110,23 @@
   EXPECT_TRUE(reader.close().done);
 }
 
-TEST(ResponseReader, WhatNobodyAskedForIsAFault) {
-  ResponseReader reader;
-  EXPECT_TRUE(reader.push("HTTP/1.1 200 OK\r\n\r\n").fault) << "no request is out";
+TEST(ResponseParser, UnexpectedBytesAreAnError) {
+  ResponseParser reader;
+  EXPECT_TRUE(reader.push("HTTP/1.1 200 OK\r\n\r\n").error) << "no request is outstanding";
   reader.expect(false);
   const auto part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n");
-  EXPECT_TRUE(part.done && part.fault) << "a second answer";
-  ResponseReader cut;
+  EXPECT_TRUE(part.done && part.error) << "a second response";
+  ResponseParser cut;
   cut.expect(false);
   cut.push("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
-  EXPECT_TRUE(cut.close().fault) << "cut short";
+  EXPECT_TRUE(cut.close().error) << "truncated body";
 }
 
 TEST(Percent, Coding) {
-  EXPECT_EQ(percent_decoded("a%2Fb%20c"), "a/b c");
-  EXPECT_FALSE(percent_decoded("%2"));
-  EXPECT_FALSE(percent_decoded("%gg"));
-  EXPECT_EQ(percent_decoded(percent_encoded("\x01/ü?")), "\x01/ü?");
+  EXPECT_EQ(percent_decode("a%2Fb%20c"), "a/b c");
+  EXPECT_FALSE(percent_decode("%2"));
+  EXPECT_FALSE(percent_decode("%gg"));
+  EXPECT_EQ(percent_decode(percent_encode("\x01/ü?")), "\x01/ü?");
 }
 
 }  // namespace
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -44,7 +44,8 @@
     net.add(list, 1);
     net.add(viewer, 0);
     list.on_bytes = [this](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
-      actions.push_back(Send{link, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
+      actions.push_back(
+          Send{link, http::serialize_response_head(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{link, true});
     };
     net.run(100ms);
@@ -695,8 +696,8 @@
   int polls = 0;
   list.on_bytes = [&](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
     ++polls, ++slices[static_cast<int>(net.now() / 20ms)];
-    actions.push_back(
-        Send{link, http::head_text(200, {}, testing::two_boxes.size(), false) + testing::two_boxes});
+    actions.push_back(Send{
+        link, http::serialize_response_head(200, {}, testing::two_boxes.size(), false) + testing::two_boxes});
     actions.push_back(Close{link, true});
   };
   net.add(list, 1);
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -47,7 +47,7 @@
     }
     list_.on_bytes = [this](testing::ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
       const auto text = list_text();
-      actions.push_back(Send{link, http::head_text(200, {}, text.size(), false) + text});
+      actions.push_back(Send{link, http::serialize_response_head(200, {}, text.size(), false) + text});
       actions.push_back(Close{link, true});
     };
     net_.add(list_, 1);
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -59,7 +59,7 @@
   }
   static void serves(ScriptedPeer& puppet, std::string body) {
     puppet.on_bytes = [body](ScriptedPeer&, ConnectionId link, std::vector<Action>& actions) {
-      actions.push_back(Send{link, http::head_text(200, {}, body.size(), false) + body});
+      actions.push_back(Send{link, http::serialize_response_head(200, {}, body.size(), false) + body});
       actions.push_back(Close{link, true});
     };
   }
