--- a/src/hints/cmcd.cpp
+++ b/src/hints/cmcd.cpp
@@ -12,13 +12,13 @@
 
 constexpr std::size_t max_text_length = 64;  // characters of sid and cid (CTA-5004, table 1)
 
-// The token that represents an enum value.
+// An enum value and the token that represents it on the wire.
 template <typename Kind>
-struct TokenName {
+struct EnumToken {
   std::string_view text;
   Kind kind;
 };
-constexpr std::array<TokenName<ObjectType>, 9> object_types{{{"m", ObjectType::manifest},
+constexpr std::array<EnumToken<ObjectType>, 9> object_types{{{"m", ObjectType::manifest},
                                                              {"a", ObjectType::audio},
                                                              {"v", ObjectType::video},
                                                              {"av", ObjectType::muxed},
@@ -27,18 +27,18 @@
                                                              {"tt", ObjectType::timed_text},
                                                              {"k", ObjectType::key},
                                                              {"o", ObjectType::other}}};
-constexpr std::array<TokenName<StreamingFormat>, 4> streaming_formats{{{"d", StreamingFormat::dash},
+constexpr std::array<EnumToken<StreamingFormat>, 4> streaming_formats{{{"d", StreamingFormat::dash},
                                                                        {"h", StreamingFormat::hls},
                                                                        {"s", StreamingFormat::smooth},
                                                                        {"o", StreamingFormat::other}}};
-constexpr std::array<TokenName<StreamType>, 2> stream_types{
+constexpr std::array<EnumToken<StreamType>, 2> stream_types{
     {{"v", StreamType::recorded}, {"l", StreamType::live}}};
 
 template <typename Kind, std::size_t count>
-std::string_view token_for(const std::array<TokenName<Kind>, count>& names, Kind kind) {
-  for (const auto& name : names) {
-    if (name.kind == kind)
-      return name.text;
+std::string_view token_for(const std::array<EnumToken<Kind>, count>& tokens, Kind kind) {
+  for (const auto& token : tokens) {
+    if (token.kind == kind)
+      return token.text;
   }
   return {};
 }
@@ -82,12 +82,12 @@
 }
 
 template <typename Kind, std::size_t count>
-ErrorText parse_token(const KeyValue& key_value, const std::array<TokenName<Kind>, count>& names,
+ErrorText parse_token(const KeyValue& key_value, const std::array<EnumToken<Kind>, count>& tokens,
                       std::optional<Kind>& into) {
   const auto* token = key_value ? std::get_if<Token>(&*key_value) : nullptr;
-  for (const auto& name : names) {
-    if (token && token->text == name.text)
-      return into = name.kind, ErrorText{};
+  for (const auto& entry : tokens) {
+    if (token && token->text == entry.text)
+      return into = entry.kind, ErrorText{};
   }
   return "expected one of the key's tokens";
 }
@@ -295,12 +295,12 @@
   }
 }
 
-void append_entry(std::string& to, std::string_view key, std::string_view text) {
-  if (!to.empty())
-    to += ',';
-  to.append(key);
+void append_entry(std::string& list, std::string_view key, std::string_view text) {
+  if (!list.empty())
+    list += ',';
+  list.append(key);
   if (!text.empty())
-    to.append("=").append(text);
+    list.append("=").append(text);
 }
 
 }  // namespace
--- a/src/hints/cmcd.h
+++ b/src/hints/cmcd.h
@@ -50,6 +50,7 @@
   std::string key;  // empty: the error is not about a single key
   std::string cause;
 };
+// The keys that were accepted, and the errors of those that were skipped.
 struct ParsedCmcd {
   Cmcd cmcd;
   std::vector<CmcdError> errors;
--- a/src/hints/cmsd.h
+++ b/src/hints/cmsd.h
@@ -43,6 +43,7 @@
   std::optional<double> share;                        // share_key
 };
 
+// The content of both headers that was accepted, and the errors of what was skipped.
 struct ParsedCmsd {
   std::optional<CmsdStatic> static_data;
   std::vector<CmsdDynamic> hops;    // in order of the response path, the origin first
--- a/src/hints/evaluator/hint_evaluator.h
+++ b/src/hints/evaluator/hint_evaluator.h
@@ -41,6 +41,7 @@
   Cmcd cmcd;
   double rate_kb_per_s = 0;  // of the playback's rung
 };
+// A playback ended; its viewer no longer counts as evidence about any box.
 struct PlaybackEnded {
   PlaybackId playback = 0;
 };
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -152,7 +152,7 @@
     parser_ = std::make_unique<Parser>(limits_);
   error_ = feed(*parser_, buffer_);
   if (!error_ && !parser_->is_done()) {
-    // Beast counts a head's bytes only when a line is whole: an endless line must not be buffered.
+    // Guards against buffering an endless line: Beast checks its header limit only at the end of a line.
     if (!parser_->is_header_done() && buffer_.size() > limits_.max_header_bytes)
       error_ = MessageError{431, "the head is longer than allowed"};
   }
--- a/tests/program/cores_test.cpp
+++ b/tests/program/cores_test.cpp
@@ -1,4 +1,4 @@
-// The box list and the weighing of delivery hints, each tested alone.
+// The box list and the evaluation of hints, each tested alone.
 #include <gtest/gtest.h>
 
 #include <random>
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -15,11 +15,11 @@
       "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
       "GET /d HTTP/1.0\r\n\r\n";
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-    RequestParser reader;
+    RequestParser parser;
     std::vector<Request> all;
     for (std::size_t at = 0; at < text.size(); at += piece) {
-      reader.push(std::string_view(text).substr(at, piece));
-      while (auto request = reader.next())
+      parser.push(std::string_view(text).substr(at, piece));
+      while (auto request = parser.next())
         all.push_back(*request);
     }
     ASSERT_EQ(all.size(), 4u) << piece;
@@ -28,16 +28,16 @@
     EXPECT_EQ(all[1].body, "hello");
     EXPECT_EQ(all[2].body, "abc");
     EXPECT_FALSE(all[3].keep_alive);
-    EXPECT_FALSE(reader.error());
+    EXPECT_FALSE(parser.error());
   }
 }
 
 int error_status(const std::string& text, Limits limits = {}) {
-  RequestParser reader(limits);
-  reader.push(text);
-  while (reader.next()) {
+  RequestParser parser(limits);
+  parser.push(text);
+  while (parser.next()) {
   }
-  return reader.error() ? reader.error()->status : 0;
+  return parser.error() ? parser.error()->status : 0;
 }
 
 TEST(RequestParser, EachLimitHasItsStatusCode) {
@@ -90,31 +90,31 @@
 }
 
 TEST(ResponseParser, BodiesByLengthChunksAndClose) {
-  ResponseParser reader;
-  reader.expect(false);
-  auto part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
+  ResponseParser parser;
+  parser.expect(false);
+  auto part = parser.push("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
   EXPECT_EQ(part.head->content_length, 5u);
   EXPECT_EQ(part.body, "hel");
-  part = reader.push("lo");
+  part = parser.push("lo");
   EXPECT_TRUE(part.done && part.body == "lo" && !part.error);
-  reader.expect(false);
-  part = reader.push("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
+  parser.expect(false);
+  part = parser.push("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
   EXPECT_TRUE(part.done && part.body == "abc" && part.head->chunked);
-  reader.expect(true);
-  part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n");
+  parser.expect(true);
+  part = parser.push("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n");
   EXPECT_TRUE(part.done) << "a response to HEAD has no body";
-  reader.expect(false);
-  part = reader.push("HTTP/1.1 200 OK\r\n\r\nto the ");
+  parser.expect(false);
+  part = parser.push("HTTP/1.1 200 OK\r\n\r\nto the ");
   EXPECT_FALSE(part.done);
-  part = reader.push("end");
-  EXPECT_TRUE(reader.close().done);
+  part = parser.push("end");
+  EXPECT_TRUE(parser.close().done);
 }
 
 TEST(ResponseParser, UnexpectedBytesAreAnError) {
-  ResponseParser reader;
-  EXPECT_TRUE(reader.push("HTTP/1.1 200 OK\r\n\r\n").error) << "no request is outstanding";
-  reader.expect(false);
-  const auto part = reader.push("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n");
+  ResponseParser parser;
+  EXPECT_TRUE(parser.push("HTTP/1.1 200 OK\r\n\r\n").error) << "no request is outstanding";
+  parser.expect(false);
+  const auto part = parser.push("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n");
   EXPECT_TRUE(part.done && part.error) << "a second response";
   ResponseParser cut;
   cut.expect(false);
