--- a/src/manager/manager.cpp
+++ b/src/manager/manager.cpp
@@ -39,7 +39,7 @@
 bool is_hop_by_hop(std::string_view name, std::string_view connection) {
   for (const auto own : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
                          "Upgrade", "Content-Length", "CMSD-Dynamic", "Via"}) {
-    if (http::same_name(name, own))
+    if (http::equals_ignoring_case(name, own))
       return true;
   }
   for (std::size_t from = 0; from < connection.size();) {
@@ -49,7 +49,7 @@
       option.remove_prefix(1);
     while (!option.empty() && option.back() == ' ')
       option.remove_suffix(1);
-    if (http::same_name(name, option))
+    if (http::equals_ignoring_case(name, option))
       return true;
     from = end + 1;
   }
@@ -67,8 +67,8 @@
     : settings_(std::move(settings)),
       decider_(decider ? std::move(decider) : make_policy_decider(settings_.policy, seed)),
       box_list_(settings_.halls),
-      weighing_(std::max<Duration>(settings_.policy.measurement_delay, settings_.object_duration),
-                settings_.policy.rung_kb),
+      hint_evaluator_(std::max<Duration>(settings_.policy.measurement_delay, settings_.object_duration),
+                      settings_.policy.rung_kb),
       cached_box_list_(std::move(cached_box_list)),
       replica_(
           settings_.replica, [this](std::string_view name) { return box_list_.index(name); },
@@ -164,7 +164,7 @@
       return on_seats_tick();
     case TimerKind::weighing_tick:
       start_timer(settings_.object_duration, TimerKind::weighing_tick, 0);
-      return apply_weighing(weighing_.handle(now_, hints::TimePassed{}), 0);
+      return apply_weighing(hint_evaluator_.handle(now_, hints::Tick{}), 0);
     case TimerKind::try_timeout:
     case TimerKind::box_timeout:
       if (const auto found = box_connections_.find(timer.target); found != box_connections_.end())
@@ -215,21 +215,22 @@
     control->id = event.connection;
     // Batches of a bulk load are longer than the limit for viewers' requests.
     http::Limits limits = settings_.http_limits;
-    limits.request_body = max_batch_bytes;
-    control->reader = http::RequestReader(limits);
+    limits.max_request_body_bytes = max_batch_bytes;
+    control->reader = http::RequestParser(limits);
     control_connections_.emplace(event.connection, std::move(control));
     return;
   }
   // Guards against running out of memory: new connections over the limit are refused, open ones stay.
   if (viewer_connections_.size() >= settings_.max_viewer_connections || shutting_down_) {
-    actions_->push_back(Send{event.connection, http::head_text(503, short_retry_after(), 0, false)});
+    actions_->push_back(
+        Send{event.connection, http::serialize_response_head(503, short_retry_after(), 0, false)});
     actions_->push_back(Close{event.connection, true});
     log_event("viewer_turned_away", {{"cause", std::string(shutting_down_ ? "stopping" : "connections")}});
     return;
   }
   auto viewer = std::make_unique<ViewerConnection>();
   viewer->id = event.connection;
-  viewer->reader = http::RequestReader(settings_.http_limits);
+  viewer->reader = http::RequestParser(settings_.http_limits);
   viewer_connections_.emplace(event.connection, std::move(viewer));
 }
 
@@ -247,7 +248,7 @@
       return;  // already closed
     auto& viewer = *found->second;
     viewer.reader.push(event.bytes);
-    if (viewer.busy && viewer.reader.unread() > max_pipelined_bytes && !viewer.reading_paused) {
+    if (viewer.busy && viewer.reader.buffered_bytes() > max_pipelined_bytes && !viewer.reading_paused) {
       viewer.reading_paused = true;
       actions_->push_back(PauseReading{event.connection});
     }
@@ -269,7 +270,7 @@
         return;
       continue;
     }
-    if (const auto& error = viewer.reader.fault()) {
+    if (const auto& error = viewer.reader.error()) {
       viewer.busy = viewer.close_after = true;
       log_event("request_malformed", {{"status", std::int64_t{error->status}}, {"cause", error->cause}});
       return respond(viewer, error->status, error->cause + "\n");
@@ -290,11 +291,11 @@
     return respond(viewer, 405, "only GET is supported for media objects\n", {{"Allow", "GET"}});
   viewer.resource = ViewerConnection::Resource::object;
   viewer.delta_update = viewer.blocking_reload = false;
-  viewer.hints = hints::read_cmcd(viewer.request.fields, viewer.request.target);
+  viewer.hints = hints::parse_cmcd(viewer.request.fields, viewer.request.target);
   viewer.token = ledger_ ? extract_token(viewer.request) : "";
   // A player that gives no session id is identified by its token, so that a retry finds its seat.
-  if (!viewer.token.empty() && !viewer.hints.hints.session_id)
-    viewer.hints.hints.session_id =
+  if (!viewer.token.empty() && !viewer.hints.cmcd.session_id)
+    viewer.hints.cmcd.session_id =
         "t" + std::to_string(XXH3_64bits(viewer.token.data(), viewer.token.size()));
   const auto result = settings_.hls.enabled() ? parse_hls_request(viewer) : HlsRequestResult::not_hls;
   if (result == HlsRequestResult::answered)
@@ -307,9 +308,9 @@
   }
   const auto* trace_context = http::find(viewer.request.fields, "traceparent");
   viewer.trace_context = trace_context ? *trace_context : "";
-  if (!viewer.hints.faults.empty()) {
-    const auto& first_fault = viewer.hints.faults.front();
-    log_event("hints_left_out", {{"count", static_cast<std::int64_t>(viewer.hints.faults.size())},
+  if (!viewer.hints.errors.empty()) {
+    const auto& first_fault = viewer.hints.errors.front();
+    log_event("hints_left_out", {{"count", static_cast<std::int64_t>(viewer.hints.errors.size())},
                                  {"key", first_fault.key},
                                  {"cause", first_fault.cause}});
   }
@@ -346,8 +347,8 @@
   if (ledger_)
     renew_token(playback, viewer);
   const auto id = playback.id;
-  apply_weighing(weighing_.handle(now_, hints::ViewerSaid{id, playback.server, viewer.hints.hints,
-                                                          rate_kb(playback, playback.rung)}),
+  apply_weighing(hint_evaluator_.handle(now_, hints::CmcdReceived{id, playback.server, viewer.hints.cmcd,
+                                                                  rate_kb(playback, playback.rung)}),
                  playback.server);
   if (viewer.resource != ViewerConnection::Resource::object && !admit_hls_request(viewer, playback))
     return;
@@ -374,7 +375,7 @@
 // A playback is identified by plan, title and session id. Without a session id the viewer's connection takes
 // its place, and the playback ends with the connection.
 Manager::Playback& Manager::find_or_create_playback(ViewerConnection& viewer) {
-  const auto& session_id = viewer.hints.hints.session_id;
+  const auto& session_id = viewer.hints.cmcd.session_id;
   auto key = playback_key(viewer.media_path.plan, viewer.media_path.title,
                           session_id ? "s" + *session_id : "l" + std::to_string(viewer.id));
   if (const auto found = playback_by_key_.find(key); found != playback_by_key_.end())
@@ -439,7 +440,7 @@
   request.first_cell = holders.first_cell;
   request.cell_count = holders.cell_count;
   request.listed_holders = listed_holders;
-  request.top = weighing_.top_for(viewer.hints.hints, plan.floor, top, plan.rate_scale);
+  request.top = hint_evaluator_.max_rung(viewer.hints.cmcd, plan.floor, top, plan.rate_scale);
   playback.rung = plan.floor;
   return request;
 }
@@ -471,8 +472,8 @@
     fields.emplace_back("Content-Type", "text/plain");
   fields.insert(fields.end(), extra_fields.begin(), extra_fields.end());
   const bool head_only = viewer.request.method == "HEAD";  // its response has no body (RFC 9110, 9.3.2)
-  send_to_viewer(viewer,
-                 http::head_text(status, fields, text.size(), !viewer.close_after) + (head_only ? "" : text));
+  send_to_viewer(viewer, http::serialize_response_head(status, fields, text.size(), !viewer.close_after) +
+                             (head_only ? "" : text));
   finish_response(viewer);
 }
 
@@ -489,7 +490,7 @@
   }
   // Pipelined requests are read only after the current event is processed, so that no playback is removed
   // while it is in use.
-  if (viewer.reader.unread() > 0 || viewer.reader.fault() || viewer.half_closed || shutting_down_)
+  if (viewer.reader.buffered_bytes() > 0 || viewer.reader.error() || viewer.half_closed || shutting_down_)
     viewers_to_read_.insert(viewer.id);
 }
 
@@ -610,7 +611,8 @@
     if (!is_hop_by_hop(name, connection ? *connection : ""))
       fields.emplace_back(name, value);
   }
-  fields.emplace_back("Via", append_to_list(http::joined(head.fields, "Via"), "1.1 " + settings_.name));
+  fields.emplace_back("Via",
+                      append_to_list(http::combined_value(head.fields, "Via"), "1.1 " + settings_.name));
   hints::CmsdDynamic own_cmsd;
   own_cmsd.server = settings_.name;
   own_cmsd.response_delay = (now_ - box.sent_at).count() / 1000;
@@ -621,13 +623,13 @@
       own_cmsd.max_suggested_bitrate = std::llround(rate_kb(playback, rung) * kbit_per_kb);
     }
   }
-  fields.emplace_back("CMSD-Dynamic", hints::after_entries(box.cmsd_dynamic, own_cmsd));
-  viewer.chunked = !head.length && viewer.request.version >= 11;
-  if (!head.length && !viewer.chunked)
+  fields.emplace_back("CMSD-Dynamic", hints::append_cmsd_entry(box.cmsd_dynamic, own_cmsd));
+  viewer.chunked = !head.content_length && viewer.request.version >= 11;
+  if (!head.content_length && !viewer.chunked)
     viewer.close_after = true;
   viewer.head_sent = true;
-  send_to_viewer(viewer,
-                 http::head_text(head.status, fields, head.length, !viewer.close_after, viewer.chunked));
+  send_to_viewer(viewer, http::serialize_response_head(head.status, fields, head.content_length,
+                                                       !viewer.close_after, viewer.chunked));
 }
 
 // ---- playbacks ----
@@ -700,7 +702,7 @@
     free_title_ids_.push_back(playback.title_id);
     title_ids_.erase(playback.title);
   }
-  weighing_.handle(now_, hints::PlaybackLeft{id});
+  hint_evaluator_.handle(now_, hints::PlaybackEnded{id});
   playbacks_.erase(found);
   if (seat) {
     playback_by_seat_.erase(*seat);
@@ -736,10 +738,10 @@
                                          bool set_up) const {
   http::Fields fields{{"Host", "box"}, {"Via", "1.1 " + settings_.name}};
   if (playback) {
-    hints::Cmcd forwarded = viewer ? viewer->hints.hints : hints::Cmcd{};
+    hints::Cmcd forwarded = viewer ? viewer->hints.cmcd : hints::Cmcd{};
     forwarded.session_id = playback->session_id;
     forwarded.startup = set_up;  // lets the box tell a set-up from a later object
-    for (auto& field : hints::cmcd_headers(forwarded))
+    for (auto& field : hints::serialize_cmcd_headers(forwarded))
       fields.push_back(std::move(field));
   }
   if (viewer && !viewer->trace_context.empty())
@@ -838,7 +840,8 @@
                          {"rung", std::int64_t{connection->rung}},
                          {"try", std::int64_t{playback.tries}}});
   connection->reader.expect(false);
-  send_request(*connection, http::request_text("GET", target, box_request_fields(&viewer, &playback, true)));
+  send_request(*connection,
+               http::serialize_request_head("GET", target, box_request_fields(&viewer, &playback, true)));
 }
 
 void Manager::start_probe(ServerId server) {
@@ -847,13 +850,14 @@
     return post_event(ProbeEnded{server, false, {}});
   connection->response_timer = start_timer(settings_.probe_timeout, TimerKind::box_timeout, connection->id);
   connection->reader.expect(true);
-  send_request(*connection, http::request_text("HEAD", "/", box_request_fields(nullptr, nullptr, false)));
+  send_request(*connection,
+               http::serialize_request_head("HEAD", "/", box_request_fields(nullptr, nullptr, false)));
 }
 
 // Requests an object or a playlist of a running playback.
 void Manager::fetch_from_box(ViewerConnection& viewer, Playback& playback) {
   timers_.cancel(playback.idle_timer);
-  if (const auto& reported = viewer.hints.hints.buffer_length)
+  if (const auto& reported = viewer.hints.cmcd.buffer_length)
     playback.buffer_length = std::chrono::milliseconds(std::min<std::int64_t>(*reported, 60'000));
   ++playback.objects_in_flight;
   auto* connection = acquire_connection(playback.server, ConnectionPurpose::object, viewer.retried);
@@ -875,19 +879,20 @@
     timeout += 3 * playback.hls->target_duration;
   connection->response_timer = start_timer(timeout, TimerKind::box_timeout, connection->id);
   connection->reader.expect(false);
-  send_request(*connection, http::request_text("GET", target, box_request_fields(&viewer, &playback, false)));
+  send_request(*connection,
+               http::serialize_request_head("GET", target, box_request_fields(&viewer, &playback, false)));
 }
 
-void Manager::on_box_response(BoxConnection& connection, http::ResponseReader::Part part) {
+void Manager::on_box_response(BoxConnection& connection, http::ResponseParser::Part part) {
   const ConnectionId id = connection.id;
-  if (part.fault && !part.head && !part.done) {
+  if (part.error && !part.head && !part.done) {
     log_event("box_malformed",
               {{"box", connection.purpose == ConnectionPurpose::box_list         ? std::string("list")
                        : connection.purpose == ConnectionPurpose::catalogue_feed ? std::string("feed")
                        : connection.purpose == ConnectionPurpose::token_keys
                            ? std::string("issuer")
                            : box_list_.box(connection.server).name},
-               {"cause", part.fault->cause}});
+               {"cause", part.error->cause}});
     if (connection.purpose == ConnectionPurpose::idle)
       return close_box_connection(id);
     return on_box_failure(connection, connection.head_received ? Outcome::reset : Outcome::error);
@@ -895,7 +900,7 @@
   if (connection.purpose == ConnectionPurpose::idle)
     return close_box_connection(id);
   // Unrequested bytes after a response: the connection can't be reused.
-  if (part.fault)
+  if (part.error)
     connection.keep_alive = false;
   if (part.head) {
     connection.head_received = true;
@@ -930,10 +935,10 @@
       return;
     case ConnectionPurpose::probe:
       if (part.head) {
-        const auto cmsd = hints::read_cmsd("", http::joined(part.head->fields, "CMSD-Dynamic"));
+        const auto cmsd = hints::parse_cmsd("", http::combined_value(part.head->fields, "CMSD-Dynamic"));
         LoadReport load;
         if (!cmsd.hops.empty())
-          load = weighing_.handle(now_, hints::BoxSaid{connection.server, cmsd.hops.front(), 0})
+          load = hint_evaluator_.handle(now_, hints::CmsdReceived{connection.server, cmsd.hops.front(), 0})
                      .report.value_or(LoadReport{});
         post_event(ProbeEnded{connection.server, connection.status < 500, load});
       }
@@ -1063,36 +1068,38 @@
 }
 
 void Manager::read_box_hints(BoxConnection& connection, const http::ResponseHead& head, double rate) {
-  connection.cmsd_dynamic = http::joined(head.fields, "CMSD-Dynamic");
-  const auto cmsd = hints::read_cmsd(http::joined(head.fields, "CMSD-Static"), connection.cmsd_dynamic);
-  if (!cmsd.dynamic_whole)
+  connection.cmsd_dynamic = http::combined_value(head.fields, "CMSD-Dynamic");
+  const auto cmsd =
+      hints::parse_cmsd(http::combined_value(head.fields, "CMSD-Static"), connection.cmsd_dynamic);
+  if (!cmsd.dynamic_valid)
     connection.cmsd_dynamic.clear();
-  if (!cmsd.faults.empty())
+  if (!cmsd.errors.empty())
     log_event("box_hints_left_out",
-              {{"box", box_list_.box(connection.server).name}, {"cause", cmsd.faults.front()}});
+              {{"box", box_list_.box(connection.server).name}, {"cause", cmsd.errors.front()}});
   double length = seconds(settings_.object_duration);
-  if (cmsd.fixed && cmsd.fixed->object_duration && *cmsd.fixed->object_duration > 0)
-    length = static_cast<double>(*cmsd.fixed->object_duration) / 1000;
+  if (cmsd.static_data && cmsd.static_data->object_duration && *cmsd.static_data->object_duration > 0)
+    length = static_cast<double>(*cmsd.static_data->object_duration) / 1000;
   const auto playback = playbacks_.find(connection.playback_id.value_or(~PlaybackId{0}));
   double rung_rate = playback == playbacks_.end() ? rate : rate_kb(*playback->second, connection.rung);
   if (connection.collects_playlist || connection.off_ladder)
     rung_rate = 0;
   connection.object_bytes_per_s = connection.collects_playlist ? 0
-                                  : head.length                ? static_cast<double>(*head.length) / length
-                                                               : rung_rate * 1000;
+                                  : head.content_length ? static_cast<double>(*head.content_length) / length
+                                                        : rung_rate * 1000;
   if (!cmsd.hops.empty())
-    apply_weighing(weighing_.handle(now_, hints::BoxSaid{connection.server, cmsd.hops.front(), rung_rate}),
-                   connection.server);
+    apply_weighing(
+        hint_evaluator_.handle(now_, hints::CmsdReceived{connection.server, cmsd.hops.front(), rung_rate}),
+        connection.server);
 }
 
-void Manager::forward_object(BoxConnection& connection, http::ResponseReader::Part& part) {
+void Manager::forward_object(BoxConnection& connection, http::ResponseParser::Part& part) {
   const ConnectionId id = connection.id;
   connection.received_bytes += part.body.size();
   const auto found = viewer_connections_.find(connection.viewer_connection);
   if (found != viewer_connections_.end()) {
     auto& viewer = *found->second;
     if (!part.body.empty())
-      send_to_viewer(viewer, viewer.chunked ? http::chunk(part.body) : std::move(part.body));
+      send_to_viewer(viewer, viewer.chunked ? http::serialize_chunk(part.body) : std::move(part.body));
     if (part.done && viewer.chunked)
       send_to_viewer(viewer, std::string(http::last_chunk));
   }
@@ -1129,9 +1136,10 @@
   const double share = elapsed < min_measured_time
                            ? 1.0
                            : std::min(1.0, bytes / (connection.object_bytes_per_s * seconds(elapsed)));
-  apply_weighing(weighing_.handle(now_, hints::Delivered{*connection.playback_id, connection.server, share,
-                                                         connection.paused_since_measure}),
-                 connection.server);
+  apply_weighing(
+      hint_evaluator_.handle(now_, hints::ObjectDelivered{*connection.playback_id, connection.server, share,
+                                                          connection.paused_since_measure}),
+      connection.server);
   connection.measured_at = now_;
   connection.measured_bytes = connection.received_bytes;
   connection.paused_since_measure = connection.reading_paused;
@@ -1162,7 +1170,7 @@
     return close_box_connection(event.connection);
   if (event.reason == CloseReason::finished && connection.connected) {
     auto rest = connection.reader.close();  // ends a body that has no length
-    if (!rest.fault && (rest.done || rest.head)) {
+    if (!rest.error && (rest.done || rest.head)) {
       connection.keep_alive = false;
       return on_box_response(connection, std::move(rest));
     }
@@ -1316,7 +1324,7 @@
   http::Fields fields{{"Host", address}, {"Via", "1.1 " + settings_.name}, {"Connection", "close"}};
   if (!etag.empty())
     fields.emplace_back("If-None-Match", etag);
-  send_request(connection, http::request_text("GET", target, fields));
+  send_request(connection, http::serialize_request_head("GET", target, fields));
   return connection;
 }
 
@@ -1386,10 +1394,10 @@
 
 void Manager::post_event(const Event& event) { events_.push_back(event); }
 
-void Manager::apply_weighing(hints::Weighed weighed, ServerId server) {
-  if (weighed.last_mile)
-    log_event("viewer_line_short", {{"playback", log_id(*weighed.last_mile)}});
-  for (const auto& measurement : weighed.notes)
+void Manager::apply_weighing(hints::Evaluation weighed, ServerId server) {
+  if (weighed.last_mile_limited)
+    log_event("viewer_line_short", {{"playback", log_id(*weighed.last_mile_limited)}});
+  for (const auto& measurement : weighed.measurements)
     post_event(measurement);
   if (!weighed.report)
     return;
--- a/src/manager/manager.h
+++ b/src/manager/manager.h
@@ -133,8 +133,8 @@
   void fetch_from_box(ViewerConnection& viewer, Playback& playback);
   BoxConnection* acquire_connection(ServerId server, ConnectionPurpose purpose, bool force_new);
   void send_request(BoxConnection& connection, std::string text);
-  void on_box_response(BoxConnection& connection, http::ResponseReader::Part part);
-  void forward_object(BoxConnection& connection, http::ResponseReader::Part& part);
+  void on_box_response(BoxConnection& connection, http::ResponseParser::Part part);
+  void forward_object(BoxConnection& connection, http::ResponseParser::Part& part);
   void on_try_response(BoxConnection& connection, const http::ResponseHead& head);
   void on_try_succeeded(BoxConnection& connection, const http::ResponseHead* head);
   void on_try_failed(BoxConnection& connection, Outcome outcome, std::vector<LogField> extra_fields);
@@ -171,7 +171,7 @@
   void attach_hls_state(Playback& playback);
   std::string box_request_target(ViewerConnection& viewer, Playback& playback, BoxConnection& connection);
   bool admit_hls_request(ViewerConnection& viewer, Playback& playback);
-  void collect_playlist(BoxConnection& connection, http::ResponseReader::Part& part);
+  void collect_playlist(BoxConnection& connection, http::ResponseParser::Part& part);
   void on_playlist_complete(BoxConnection& connection);
   void on_playlist_invalid(BoxConnection& connection, const std::string& cause);
   std::variant<std::string, hls::PlaylistError> rewrite_multivariant_playlist(ViewerConnection& viewer,
@@ -223,7 +223,7 @@
   void post_event(const Event& event);
   void process_events();
   void execute(const Command& command);
-  void apply_weighing(hints::Weighed weighed, ServerId server);
+  void apply_weighing(hints::Evaluation weighed, ServerId server);
 
   Timers::Handle start_timer(Duration delay, TimerKind kind, std::uint32_t target) {
     return timers_.schedule(now_ + delay, {kind, target});
@@ -240,7 +240,7 @@
   std::unique_ptr<Decider> decider_;
   std::minstd_rand random_;
   boxlist::BoxList box_list_;
-  hints::Weighing weighing_;
+  hints::HintEvaluator hint_evaluator_;
   std::string cached_box_list_;
   Timers timers_;
   std::vector<Timer> expired_timers_;
--- a/src/manager/manager_catalogue.cpp
+++ b/src/manager/manager_catalogue.cpp
@@ -28,7 +28,7 @@
   while (!control.busy) {
     auto request = control.reader.next();
     if (!request) {
-      if (const auto& error = control.reader.fault()) {
+      if (const auto& error = control.reader.error()) {
         control.close_after = true;
         send_control_reply(control, {error->status, {{"Content-Type", "text/plain"}}, error->cause + "\n"});
       }
@@ -70,7 +70,8 @@
   timers_.cancel(control.feed_wait_timer);
   actions_->push_back(Send{
       connection_id,
-      http::head_text(reply.status, reply.fields, reply.body.size(), !control.close_after) + reply.body});
+      http::serialize_response_head(reply.status, reply.fields, reply.body.size(), !control.close_after) +
+          reply.body});
   if (!control.close_after)
     return;
   actions_->push_back(Close{connection_id, true});
--- a/src/manager/manager_hls.cpp
+++ b/src/manager/manager_hls.cpp
@@ -62,7 +62,7 @@
     const auto parameter = target.substr(at + 1, end == std::string_view::npos ? end : end - at - 1);
     const auto equals = parameter.find('=');
     if (equals != std::string_view::npos) {
-      if (auto value = http::percent_decoded(parameter.substr(equals + 1)))
+      if (auto value = http::percent_decode(parameter.substr(equals + 1)))
         variables.insert_or_assign(std::string(parameter.substr(0, equals)), std::move(*value));
     }
     at = end;
@@ -102,16 +102,16 @@
   }
   viewer.media_path = std::move(std::get<MediaPath>(parsed));
   viewer.resource = ViewerConnection::Resource::multivariant_playlist;
-  viewer.box_target = append_query("/" + http::percent_encoded(settings_.plans[viewer.media_path.plan].name) +
-                                       "/" + http::percent_encoded(viewer.media_path.title) + "/" +
-                                       http::percent_encoded(viewer.media_path.object),
+  viewer.box_target = append_query("/" + http::percent_encode(settings_.plans[viewer.media_path.plan].name) +
+                                       "/" + http::percent_encode(viewer.media_path.title) + "/" +
+                                       http::percent_encode(viewer.media_path.object),
                                    box_query(query));
   viewer.claims = {};
   // A player without a CMCD session id gets one: it is part of its signed URLs, so that it holds across
   // connections.
-  if (!viewer.hints.hints.session_id)
-    viewer.hints.hints.session_id = settings_.name + "-" + std::to_string(wall_clock().count()) + "-" +
-                                    std::to_string(++issued_session_ids_);
+  if (!viewer.hints.cmcd.session_id)
+    viewer.hints.cmcd.session_id = settings_.name + "-" + std::to_string(wall_clock().count()) + "-" +
+                                   std::to_string(++issued_session_ids_);
   return HlsRequestResult::accepted;
 }
 
@@ -144,13 +144,13 @@
     return refuse(403, "this URL was signed for another deployment");
   const auto file_name = path.substr(slash + 1);
   viewer.media_path = {claims.plan, claims.title, claims.rung, std::string(file_name)};
-  viewer.hints.hints.session_id = claims.sid;
+  viewer.hints.cmcd.session_id = claims.sid;
   if (claims.scope == signed_url::Claims::Scope::steering) {
     viewer.resource = ViewerConnection::Resource::steering;
     if (const auto throughput = query_parameter(query, "_HLS_throughput")) {
       // In bits a second (HLS draft, section 7.1); kept as kbit/s.
       if (const auto bits_per_s = hls::parse_integer(*throughput))
-        viewer.hints.hints.measured_throughput =
+        viewer.hints.cmcd.measured_throughput =
             static_cast<std::int64_t>(std::min<std::uint64_t>(*bits_per_s, 1ull << 50) / 1000);
     }
     return HlsRequestResult::accepted;
@@ -340,7 +340,7 @@
   using Resource = ViewerConnection::Resource;
   auto& hls_state = *playback.hls;
   auto& players = hls_state.players;
-  const auto buffer_ms = viewer.hints.hints.buffer_length;
+  const auto buffer_ms = viewer.hints.cmcd.buffer_length;
   const Duration buffer =
       std::chrono::milliseconds(std::clamp<std::int64_t>(buffer_ms.value_or(0), 0, 600'000));
   if (viewer.resource == Resource::multivariant_playlist && !players.contains(viewer.claims.player)) {
@@ -392,16 +392,16 @@
   viewer.playback_id.reset();
   restart_idle_timer(playback);
   respond(viewer, 404, "this rendition is no longer listed\n",
-          {{"CMSD-Dynamic", hints::cmsd_entry(cmsd)}, {"Cache-Control", "no-store"}});
+          {{"CMSD-Dynamic", hints::serialize_cmsd_entry(cmsd)}, {"Cache-Control", "no-store"}});
   return false;
 }
 
 // ---- playlist responses of boxes ----
 
 // Buffers a playlist response until it is complete: it is rewritten as a whole.
-void Manager::collect_playlist(BoxConnection& connection, http::ResponseReader::Part& part) {
+void Manager::collect_playlist(BoxConnection& connection, http::ResponseParser::Part& part) {
   if (part.head)
-    connection.content_encoding = http::joined(part.head->fields, "Content-Encoding");
+    connection.content_encoding = http::combined_value(part.head->fields, "Content-Encoding");
   connection.body += part.body;
   // Guards against unbounded memory use by a response that never ends.
   if (connection.body.size() > settings_.hls.playlist_limits.bytes) {
@@ -481,9 +481,9 @@
                       {"Cache-Control", "no-store"},
                       {"Vary", "Accept-Encoding"},
                       {"Via", "1.1 " + settings_.name},
-                      {"CMSD-Dynamic", hints::cmsd_entry(cmsd)}};
+                      {"CMSD-Dynamic", hints::serialize_cmsd_entry(cmsd)}};
   const bool compress = text.size() >= min_bytes_to_compress &&
-                        gzip::is_accepted(http::joined(viewer.request.fields, "Accept-Encoding"));
+                        gzip::is_accepted(http::combined_value(viewer.request.fields, "Accept-Encoding"));
   if (compress)
     fields.emplace_back("Content-Encoding", "gzip");
   if (viewer.resource == ViewerConnection::Resource::multivariant_playlist) {
@@ -500,7 +500,7 @@
   }
   const auto body = compress ? gzip::compress(text) : text;
   viewer.box_connection = 0;  // released: a viewer that reads slowly must not block the connection for others
-  send_to_viewer(viewer, http::head_text(200, fields, body.size(), !viewer.close_after) + body);
+  send_to_viewer(viewer, http::serialize_response_head(200, fields, body.size(), !viewer.close_after) + body);
   finish_response(viewer);
 }
 
--- a/src/manager/manager_internal.h
+++ b/src/manager/manager_internal.h
@@ -20,9 +20,9 @@
   std::string box_target;  // request target at the box, for HLS resources
   int source_rung = 0;     // rung of the media playlist that fills the requested one
   ConnectionId id = 0;
-  http::RequestReader reader;
+  http::RequestParser reader;
   http::Request request;
-  hints::ReadCmcd hints;
+  hints::ParsedCmcd hints;
   MediaPath media_path;
   std::string token;          // entitlement token of the request, empty if it has none
   std::string trace_context;  // W3C trace context, forwarded unchanged
@@ -55,7 +55,7 @@
   bool collects_playlist = false;     // the body is a playlist and is buffered until it is complete
   bool off_ladder = false;            // audio and the like, whose rate no rung of the ladder gives
   std::string unsent_request;         // the request, until the connection is open
-  http::ResponseReader reader;
+  http::ResponseParser reader;
   std::optional<PlaybackId> playback_id;
   ConnectionId viewer_connection = 0;
   Timers::Handle response_timer, connect_timer;
@@ -121,7 +121,7 @@
 // A connection to the control port: from an operator, a tool or another manager's catalogue feed.
 struct Manager::ControlConnection {
   ConnectionId id = 0;
-  http::RequestReader reader;
+  http::RequestParser reader;
   bool busy = false;
   bool close_after = false;
   std::optional<catalogue::Revision> feed_after;  // revision after which a long poll waits for changes
--- a/src/manager/manager_seats.cpp
+++ b/src/manager/manager_seats.cpp
@@ -34,7 +34,7 @@
 // parameter of RFC 6750, or in the field, cookie or query parameter that CTA-5007 names.
 std::string Manager::extract_token(const http::Request& request) {
   if (const auto* field = http::find(request.fields, "Authorization")) {
-    if (field->size() > 7 && http::same_name(field->substr(0, 7), "Bearer "))
+    if (field->size() > 7 && http::equals_ignoring_case(field->substr(0, 7), "Bearer "))
       return field->substr(7);
   }
   if (const auto* field = http::find(request.fields, cta_token_name))
--- a/src/manager/settings.cpp
+++ b/src/manager/settings.cpp
@@ -26,7 +26,7 @@
     return PathError{"expected /PLAN/TITLE/rN/OBJECT"};
   for (std::size_t from = 1; from <= path.size();) {
     const auto end = std::min(path.find('/', from), path.size());
-    const auto segment = http::percent_decoded(path.substr(from, end - from));
+    const auto segment = http::percent_decode(path.substr(from, end - from));
     if (!segment)
       return PathError{"malformed percent-encoding"};
     // Guards against a name that a box would resolve to another path than the one decided on.
@@ -55,9 +55,8 @@
 }
 
 std::string format_media_path(const ManagerSettings& settings, const MediaPath& path, int rung) {
-  return "/" + http::percent_encoded(settings.plans[path.plan].name) + "/" +
-         http::percent_encoded(path.title) + "/r" + std::to_string(rung) + "/" +
-         http::percent_encoded(path.object);
+  return "/" + http::percent_encode(settings.plans[path.plan].name) + "/" + http::percent_encode(path.title) +
+         "/r" + std::to_string(rung) + "/" + http::percent_encode(path.object);
 }
 
 }  // namespace violettide::manager
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -250,8 +250,8 @@
       front.max_connections_per_box = static_cast<std::size_t>(call.whole("links_per_box"));
       front.max_idle_connections_per_box = static_cast<std::size_t>(call.whole("idle_links_per_box"));
       front.max_unsent_bytes = static_cast<std::size_t>(call.whole("unsent"));
-      front.http_limits.header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
-      front.http_limits.fields = static_cast<std::size_t>(call.whole("fields"));
+      front.http_limits.max_header_bytes = static_cast<std::uint32_t>(call.whole("header_bytes"));
+      front.http_limits.max_fields = static_cast<std::size_t>(call.whole("fields"));
       front.connect_timeout = call.span("connect");
       front.idle_timeout = call.span("silence");
       front.shutdown_timeout = call.span("stop");
--- a/tests/program/hls_front_test.cpp
+++ b/tests/program/hls_front_test.cpp
@@ -43,7 +43,8 @@
     net.add(list_service, 1);
     net.add(viewer, 0);
     list_service.on_bytes = [this](ScriptedPeer&, ConnectionId connection, std::vector<Action>& actions) {
-      actions.push_back(Send{connection, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
+      actions.push_back(
+          Send{connection, http::serialize_response_head(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{connection, true});
     };
     for (int b = 0; b < 2; ++b) {
--- a/tests/program/manager_test.cpp
+++ b/tests/program/manager_test.cpp
@@ -45,7 +45,8 @@
     network.add(list, 1);
     network.add(viewer, 0);
     list.on_bytes = [this](ScriptedPeer&, ConnectionId connection, std::vector<Action>& actions) {
-      actions.push_back(Send{connection, http::head_text(200, {}, boxes_json.size(), false) + boxes_json});
+      actions.push_back(
+          Send{connection, http::serialize_response_head(200, {}, boxes_json.size(), false) + boxes_json});
       actions.push_back(Close{connection, true});
     };
     network.run(100ms);
@@ -699,8 +700,9 @@
   int polls = 0;
   list.on_bytes = [&](ScriptedPeer&, ConnectionId connection, std::vector<Action>& actions) {
     ++polls, ++slices[static_cast<int>(network.now() / 20ms)];
-    actions.push_back(Send{connection, http::head_text(200, {}, testing::two_boxes_json.size(), false) +
-                                           testing::two_boxes_json});
+    actions.push_back(
+        Send{connection, http::serialize_response_head(200, {}, testing::two_boxes_json.size(), false) +
+                             testing::two_boxes_json});
     actions.push_back(Close{connection, true});
   };
   network.add(list, 1);
--- a/tests/program/rules_manager_test.cpp
+++ b/tests/program/rules_manager_test.cpp
@@ -49,7 +49,7 @@
     list_service_.on_bytes = [this](testing::ScriptedPeer&, ConnectionId connection,
                                     std::vector<Action>& actions) {
       const auto text = box_list_json();
-      actions.push_back(Send{connection, http::head_text(200, {}, text.size(), false) + text});
+      actions.push_back(Send{connection, http::serialize_response_head(200, {}, text.size(), false) + text});
       actions.push_back(Close{connection, true});
     };
     net_.add(list_service_, 1);
--- a/tests/program/seats_test.cpp
+++ b/tests/program/seats_test.cpp
@@ -59,7 +59,7 @@
   }
   static void serve_body(ScriptedPeer& peer, std::string body) {
     peer.on_bytes = [body](ScriptedPeer&, ConnectionId connection, std::vector<Action>& actions) {
-      actions.push_back(Send{connection, http::head_text(200, {}, body.size(), false) + body});
+      actions.push_back(Send{connection, http::serialize_response_head(200, {}, body.size(), false) + body});
       actions.push_back(Close{connection, true});
     };
   }
