--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -832,7 +832,7 @@
   const bool replaced =
       server.state == ServerState::gone && server.endpoint.port != 0 && !has_connection_to(id);
   if (silence_timed_out || refused || replaced)
-    return end_all_playbacks(id, silence_timed_out ? "server silent" : refused ? "refused" : "gone");
+    return end_all_playbacks(id, silence_timed_out ? "no sign" : refused ? "refused" : "gone");
   if (server.pending_dial || now_ < server.next_dial_at)
     return;
   server.next_dial_at = now_ + redial_interval;
@@ -1225,7 +1225,7 @@
         entry.started = Duration(listed.started_ms * 1000) - config_.wall_clock_offset;
       list.entries.push_back(entry);
       if (restarted)
-        end_all_playbacks(id, "server restarted");
+        end_all_playbacks(id, "started anew");
     }
     process_event(list);
     // Guards against a pending dial to the old address being taken for a connection to the new process.
