--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -270,14 +270,15 @@
           static_cast<double>(record.at_us() - box.started) / static_cast<double>(micros(site.warmup_time));
       if (age >= 1)
         continue;
-      std::erase_if(box.set_ups,
-                    [&](auto* r) { return r->at_us() + micros(day_.deployment.fall) <= record.at_us(); });
+      std::erase_if(box.set_ups, [&](auto* r) {
+        return r->at_us() + micros(day_.deployment.overload_window) <= record.at_us();
+      });
       box.set_ups.push_back(&record);
       const double warmth = site.warmup_initial_share + (1 - site.warmup_initial_share) * age * age;
       const double streams = site.streams_by_kind[static_cast<std::size_t>(terms[record.box()]->kind)];
       const double most = streams / (static_cast<double>(micros(site.warmup_time)) / 1e6) * warmth *
                               site.overload_multiple *
-                              (static_cast<double>(micros(day_.deployment.fall)) / 1e6) +
+                              (static_cast<double>(micros(day_.deployment.overload_window)) / 1e6) +
                           cold_slack;
       if (static_cast<double>(box.set_ups.size()) <= most)
         continue;
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -171,7 +171,7 @@
     if (day_.deployment.front.catalogued)
       feed_port_ = service_ports.at(day_.boxes.size() + 1);
     // One secret for all managers of the day: an address must outlive the process that gave it out.
-    if (day_.deployment.hls)
+    if (day_.deployment.hls_enabled)
       std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << zero << "\n";
     if (day_.deployment.front.entitlement.on) {
       keys_port_ = service_ports.back();
@@ -282,7 +282,7 @@
         "--log",       folder_ + "/" + name(i) + ".log",
         "--ports-to",  port_file(i),
         "--seed",      std::to_string(day_.seed * 100 + static_cast<std::uint32_t>(i))};
-    if (day_.deployment.hls) {
+    if (day_.deployment.hls_enabled) {
       words.push_back("--hls-secrets");
       words.push_back(folder_ + "/hls.secrets");
     }
@@ -383,9 +383,9 @@
 
 int run_day(const DayWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
-      std::cerr << mistake.text() << '\n';
+      std::cerr << mistake.to_string() << '\n';
     return 1;
   }
   const auto day = std::get<standins::Day>(std::move(read));
@@ -417,9 +417,9 @@
 
 int run_audit(const AuditWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
-      std::cerr << mistake.text() << '\n';
+      std::cerr << mistake.to_string() << '\n';
     return 1;
   }
   try {
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -29,7 +29,7 @@
   const auto path = told("GW_CONFIG");
   if (path.empty())
     return wrong("GW_CONFIG: expected the configuration file's path");
-  const auto text = settings::file_text(path);
+  const auto text = settings::read_file(path);
   if (!text)
     return wrong(path + ": can't be read");
   auto read = platform::read_start(*text);
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -25,9 +25,9 @@
 
 namespace {
 
-int tell(const settings::Mistakes& mistakes) {
+int tell(const settings::Diagnostics& mistakes) {
   for (const auto& mistake : mistakes)
-    std::cerr << mistake.text() << '\n';
+    std::cerr << mistake.to_string() << '\n';
   std::cerr << mistakes.size() << (mistakes.size() == 1 ? " mistake\n" : " mistakes\n");
   return 1;
 }
@@ -128,14 +128,14 @@
   }
   auto settings = standins::read_settings(file);
   if (std::holds_alternative<settings::Deployment>(settings)) {
-    const auto text = settings::file_text(file).value_or("");
+    const auto text = settings::read_file(file).value_or("");
     if (text.find("day(") == std::string::npos) {
       std::cout << file << ": settings without mistakes\n";
       return 0;
     }
-    return tell(std::get<settings::Mistakes>(day));
+    return tell(std::get<settings::Diagnostics>(day));
   }
-  return tell(std::get<settings::Mistakes>(settings));
+  return tell(std::get<settings::Diagnostics>(settings));
 }
 
 namespace {
@@ -234,7 +234,7 @@
 
 int run_serve(const ServeWords& words) {
   auto read = standins::read_settings(words.settings);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
     return tell(*mistakes);
   auto deployment = std::get<settings::Deployment>(std::move(read));
   auto& front = deployment.front;
@@ -251,7 +251,7 @@
   if (words.fronts)
     front.site.front_count = *words.fronts;
   if (!words.keep_in.empty())
-    deployment.keep_in = words.keep_in;
+    deployment.state_directory = words.keep_in;
   if (!words.hall.empty()) {
     const auto at = std::find(front.halls.begin(), front.halls.end(), words.hall);
     if (at == front.halls.end()) {
@@ -260,18 +260,18 @@
     }
     front.site.own_hall = static_cast<int>(at - front.halls.begin());
   }
-  if (deployment.hls) {
-    const auto& file = words.hls_secrets.empty() ? deployment.hls_secrets_from : words.hls_secrets;
+  if (deployment.hls_enabled) {
+    const auto& file = words.hls_secrets.empty() ? deployment.hls_secrets_file : words.hls_secrets;
     if (!take_secrets(file, front.hls.passes.secrets))
       return 2;
   }
   // Guards against an owner that forgets what it gave out, and numbers its claims as before.
-  if (front.entitlement.on && deployment.keep_in.empty()) {
+  if (front.entitlement.on && deployment.state_directory.empty()) {
     std::cerr
         << "violettide: seats take a folder that survives a restart: front(keep_in = ...), or --keep-in\n";
     return 2;
   }
-  if (!take_peers(words, deployment.peers_key_from, front.name, front.peers))
+  if (!take_peers(words, deployment.peers_key_file, front.name, front.peers))
     return 2;
   if (words.number && (*words.number < 0 || *words.number >= front.site.front_count)) {
     std::cerr << "violettide: --number " << *words.number << ": expected 0 to " << front.site.front_count - 1
@@ -287,15 +287,15 @@
   front.wall_at_zero =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   front.peer_door = front.catalogued ? 2 : 1;
-  const auto kept = deployment.keep_in.empty()
+  const auto kept = deployment.state_directory.empty()
                         ? std::string()
-                        : settings::file_text(deployment.keep_in + "/boxes.json").value_or("");
+                        : settings::read_file(deployment.state_directory + "/boxes.json").value_or("");
   return guarded([&] {
     const auto who = front.name;
     const auto log = log_to(words.log, who);
     std::unique_ptr<entitlement::SeatLog> seats;
     if (front.entitlement.on) {
-      seats = std::make_unique<entitlement::SeatLog>(deployment.keep_in);
+      seats = std::make_unique<entitlement::SeatLog>(deployment.state_directory);
       // What no longer matters is left out of the log here, once for each start.
       auto terms = front.entitlement.ledger;
       terms.self = front.peers.self;
@@ -319,8 +319,8 @@
     std::unique_ptr<cataloguestore::Store> store;
     if (front.catalogued) {
       doors.push_back({deployment.control_address, deployment.control_port});
-      if (!deployment.keep_in.empty()) {
-        store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
+      if (!deployment.state_directory.empty()) {
+        store = std::make_unique<cataloguestore::Store>(deployment.state_directory);
         const auto found = store->restore(manager.catalogue());
         log(Duration(0), LogLine{"catalogue_restored",
                                  {{"revision", static_cast<std::int64_t>(found.revision)},
@@ -334,7 +334,7 @@
       doors.push_back({own.address, own.port});
     }
     Books books(store.get(), seats.get());
-    runtime::Loop loop(manager, doors, log, deployment.keep_in, store || seats ? &books : nullptr);
+    runtime::Loop loop(manager, doors, log, deployment.state_directory, store || seats ? &books : nullptr);
     std::vector<std::uint16_t> ports;
     for (int door = 0; door < static_cast<int>(doors.size()); ++door)
       ports.push_back(loop.port(door));
@@ -388,7 +388,7 @@
 
 standins::Issuer issuer_in(const std::string& folder, const standins::Day& day) {
   const auto& gate = day.deployment.front.entitlement.token_validator;
-  return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"), gate.issuer,
+  return standins::Issuer::read(settings::read_file(folder + "/issuer.keys").value_or("[]"), gate.issuer,
                                 gate.audience);
 }
 
@@ -396,7 +396,7 @@
 
 int run_boxes(const StandinWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
     return tell(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
   return guarded([&] {
@@ -430,7 +430,7 @@
 
 int run_viewers(const StandinWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
     return tell(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
   std::vector<standins::Door> doors;
--- a/src/settings/grammar.h
+++ b/src/settings/grammar.h
@@ -1,4 +1,5 @@
-// The script's syntax tree, out of Boost.Spirit X3.
+// The script's abstract syntax tree and its parser, on Boost.Spirit X3. Nodes that derive from
+// position_tagged have a source location.
 #pragma once
 
 #include <boost/fusion/include/adapt_struct.hpp>
@@ -14,68 +15,77 @@
 
 namespace x3 = boost::spirit::x3;
 
-struct None {};
-struct Whole {
+// Literals.
+struct NoneLiteral {};
+struct IntegerLiteral {
   std::int64_t value = 0;
 };
-struct Decimal {
+struct FloatLiteral {
   double value = 0;
 };
-struct Flag {
+struct BooleanLiteral {
   bool value = false;
 };
-struct Text {
+struct StringLiteral {
   std::string value;
 };
-struct Name : x3::position_tagged {
-  std::string text;
+// The use of a variable.
+struct Identifier : x3::position_tagged {
+  std::string name;
 };
-struct List;
-struct Dict;
-struct Invocation;
-struct Negative;
+struct ListExpression;
+struct DictExpression;
+struct CallExpression;
+struct Negation;
 
-struct Expression
-    : x3::variant<None, Flag, Decimal, Whole, Text, Name, x3::forward_ast<List>, x3::forward_ast<Dict>,
-                  x3::forward_ast<Invocation>, x3::forward_ast<Negative>>,
-      x3::position_tagged {
+struct Expression : x3::variant<NoneLiteral, BooleanLiteral, FloatLiteral, IntegerLiteral, StringLiteral,
+                                Identifier, x3::forward_ast<ListExpression>, x3::forward_ast<DictExpression>,
+                                x3::forward_ast<CallExpression>, x3::forward_ast<Negation>>,
+                    x3::position_tagged {
   using base_type::base_type;
   using base_type::operator=;
 };
-struct Negative {
-  Expression of;
+// Unary minus.
+struct Negation {
+  Expression operand;
 };
-struct List {
+struct ListExpression {
   std::vector<Expression> items;
 };
-struct Entry {
+// A key and its value in a dict.
+struct DictEntry {
   Expression key;
   Expression value;
 };
-struct Dict {
-  std::vector<Entry> entries;
+struct DictExpression {
+  std::vector<DictEntry> entries;
 };
+// An argument of a call.
 struct Argument : x3::position_tagged {
-  std::string name;  // empty: by position
+  std::string name;  // empty for a positional argument
   Expression value;
 };
-struct Invocation : x3::position_tagged {
+// A call of a builtin, a unit function or `load`.
+struct CallExpression : x3::position_tagged {
   std::string function;
   std::vector<Argument> arguments;
 };
+// `name = value`.
 struct Assignment : x3::position_tagged {
   std::string name;
   Expression value;
 };
-using Statement = x3::variant<Assignment, Invocation>;
+using Statement = x3::variant<Assignment, CallExpression>;
 using Script = std::vector<Statement>;
 
-struct Parsed {
+// The outcome of parsing. With diagnostics, the tree may be incomplete.
+struct ParseResult {
   Script script;
-  std::vector<Mistake> mistakes;
-  // Where a tagged node begins.
-  std::function<Place(const x3::position_tagged&)> place_of;
+  std::vector<Diagnostic> diagnostics;
+  // Returns where a node begins; line 1, column 1 for a node without a position.
+  std::function<SourceLocation(const x3::position_tagged&)> location_of;
 };
-Parsed parse(const std::string& path, const std::string& text);
+// Parses a script; `path` is only named in locations. Syntax errors are in the diagnostics.
+ParseResult parse(const std::string& path, const std::string& text);
 
 }  // namespace violettide::settings::syntax
--- a/src/settings/script.cpp
+++ b/src/settings/script.cpp
@@ -1,3 +1,4 @@
+// Evaluates a script's syntax tree: variables, loads, unit functions, and argument checks of builtin calls.
 #include "settings/script.h"
 
 #include <algorithm>
@@ -12,11 +13,12 @@
 
 namespace {
 
-// The unit functions: a number in, a span or a rate out.
-const std::map<std::string, double>& span_units() {
+// The unit functions that make a duration, by name, with their factor to seconds.
+const std::map<std::string, double>& duration_units() {
   static const std::map<std::string, double> units{{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"minutes", 60}};
   return units;
 }
+// The unit functions that make a rate, by name, with their factor to kB/s.
 const std::map<std::string, double>& rate_units() {
   static const std::map<std::string, double> units{
       {"kB_per_s", 1}, {"MB_per_s", 1000}, {"kbit_per_s", 0.125}, {"Mbit_per_s", 125}};
@@ -24,205 +26,213 @@
 }
 
 template <typename Kind>
-bool is(const Value& value) {
-  return std::holds_alternative<Kind>(value.held);
+bool holds(const Value& value) {
+  return std::holds_alternative<Kind>(value.data);
 }
 
-std::optional<double> as_number(const Value& value) {
-  if (const auto* whole = std::get_if<std::int64_t>(&value.held))
-    return static_cast<double>(*whole);
-  if (const auto* number = std::get_if<double>(&value.held))
+std::optional<double> to_number(const Value& value) {
+  if (const auto* integer = std::get_if<std::int64_t>(&value.data))
+    return static_cast<double>(*integer);
+  if (const auto* number = std::get_if<double>(&value.data))
     return *number;
   return std::nullopt;
 }
-double in_seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+double to_seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-const char* words_of(Wants wants) {
-  switch (wants) {
-    case Wants::text:
-      return "a text";
-    case Wants::whole:
+const char* describe_type(ValueType type) {
+  switch (type) {
+    case ValueType::string:
+      return "a string";
+    case ValueType::integer:
       return "a whole number";
-    case Wants::number:
+    case ValueType::number:
       return "a number";
-    case Wants::part:
-      return "a part from 0 to 1";
-    case Wants::flag:
+    case ValueType::fraction:
+      return "a fraction from 0 to 1";
+    case ValueType::boolean:
       return "True or False";
-    case Wants::span:
-      return "a time, such as ms(250)";
-    case Wants::rate:
+    case ValueType::duration:
+      return "a duration, such as ms(250)";
+    case ValueType::rate:
       return "a rate, such as kB_per_s(600)";
-    case Wants::texts:
-      return "a list of texts";
-    case Wants::wholes:
+    case ValueType::strings:
+      return "a list of strings";
+    case ValueType::integers:
       return "a list of whole numbers";
-    case Wants::numbers:
+    case ValueType::numbers:
       return "a list of numbers";
-    case Wants::rates:
+    case ValueType::rates:
       return "a list of rates";
   }
   return "";
 }
 
-// Absent: as wanted. Else what is wrong, in words, and where.
-std::optional<Mistake> check(const Value& value, const Parameter& parameter) {
-  const auto wrong = [&](std::string cause) {
-    return Mistake{value.place, "'" + parameter.name + "': " + std::move(cause)};
+// Checks a value's type and range against its parameter; returns no diagnostic if both hold.
+std::optional<Diagnostic> check_argument(const Value& value, const Parameter& parameter) {
+  const auto make_diagnostic = [&](std::string message) {
+    return Diagnostic{value.location, "'" + parameter.name + "': " + std::move(message)};
   };
-  const auto wanted = [&] {
-    return wrong(std::string("expected ") + words_of(parameter.wants) + ", found " + kind_of(value));
+  const auto type_error = [&] {
+    return make_diagnostic(std::string("expected ") + describe_type(parameter.type) + ", found " +
+                           describe(value));
   };
-  const auto bounded = [&](double number) -> std::optional<Mistake> {
-    if (number >= parameter.least && number <= parameter.most)
+  const auto check_range = [&](double number) -> std::optional<Diagnostic> {
+    if (number >= parameter.min && number <= parameter.max)
       return std::nullopt;
-    std::ostringstream cause;
-    cause << number << " is out of bounds: expected ";
-    if (parameter.most >= 1e18)
-      cause << "at least " << parameter.least;
+    std::ostringstream message;
+    message << number << " is out of range: expected ";
+    if (parameter.max >= 1e18)
+      message << "at least " << parameter.min;
     else
-      cause << parameter.least << " to " << parameter.most;
-    return wrong(cause.str());
+      message << parameter.min << " to " << parameter.max;
+    return make_diagnostic(message.str());
   };
-  const auto each = [&](Wants of) -> std::optional<Mistake> {
-    const auto* items = std::get_if<ListOf>(&value.held);
+  const auto check_items = [&](ValueType item_type) -> std::optional<Diagnostic> {
+    const auto* items = std::get_if<List>(&value.data);
     if (!items)
-      return wanted();
+      return type_error();
     Parameter single = parameter;
-    single.wants = of;
+    single.type = item_type;
     for (const auto& item : *items) {
-      if (auto mistake = check(item, single))
-        return mistake;
+      if (auto diagnostic = check_argument(item, single))
+        return diagnostic;
     }
     return std::nullopt;
   };
-  switch (parameter.wants) {
-    case Wants::text:
-      return is<std::string>(value) ? std::nullopt : std::optional(wanted());
-    case Wants::flag:
-      return is<bool>(value) ? std::nullopt : std::optional(wanted());
-    case Wants::whole:
-      return is<std::int64_t>(value) ? bounded(*as_number(value)) : std::optional(wanted());
-    case Wants::number:
-      return as_number(value) ? bounded(*as_number(value)) : std::optional(wanted());
-    case Wants::part: {
-      const auto number = as_number(value);
-      return number && *number >= 0 && *number <= 1 ? std::nullopt : std::optional(wanted());
+  switch (parameter.type) {
+    case ValueType::string:
+      return holds<std::string>(value) ? std::nullopt : std::optional(type_error());
+    case ValueType::boolean:
+      return holds<bool>(value) ? std::nullopt : std::optional(type_error());
+    case ValueType::integer:
+      return holds<std::int64_t>(value) ? check_range(*to_number(value)) : std::optional(type_error());
+    case ValueType::number:
+      return to_number(value) ? check_range(*to_number(value)) : std::optional(type_error());
+    case ValueType::fraction: {
+      const auto number = to_number(value);
+      return number && *number >= 0 && *number <= 1 ? std::nullopt : std::optional(type_error());
     }
-    case Wants::span:
-      return is<Duration>(value) ? bounded(in_seconds(std::get<Duration>(value.held)))
-                                 : std::optional(wanted());
-    case Wants::rate:
-      return is<Rate>(value) ? bounded(std::get<Rate>(value.held).kb_per_s) : std::optional(wanted());
-    case Wants::texts:
-      return each(Wants::text);
-    case Wants::wholes:
-      return each(Wants::whole);
-    case Wants::numbers:
-      return each(Wants::number);
-    case Wants::rates:
-      return each(Wants::rate);
+    case ValueType::duration:
+      return holds<Duration>(value) ? check_range(to_seconds(std::get<Duration>(value.data)))
+                                    : std::optional(type_error());
+    case ValueType::rate:
+      return holds<Rate>(value) ? check_range(std::get<Rate>(value.data).kb_per_s)
+                                : std::optional(type_error());
+    case ValueType::strings:
+      return check_items(ValueType::string);
+    case ValueType::integers:
+      return check_items(ValueType::integer);
+    case ValueType::numbers:
+      return check_items(ValueType::number);
+    case ValueType::rates:
+      return check_items(ValueType::rate);
   }
   return std::nullopt;
 }
 
-// The known name that is nearest to a mistyped one, if any is near.
-std::string nearest(const std::string& typed, const std::vector<std::string>& known) {
+// The hint to append to a message: the known name with the least edit distance to the typed one, or nothing
+// if none is closer than half the typed name's length plus one.
+std::string suggestion_for(const std::string& typed, const std::vector<std::string>& known) {
   std::string best;
-  std::size_t best_far = typed.size() / 2 + 1;
+  std::size_t best_distance = typed.size() / 2 + 1;
   for (const auto& name : known) {
     std::vector<std::size_t> row(name.size() + 1);
     for (std::size_t j = 0; j <= name.size(); ++j)
       row[j] = j;
     for (std::size_t i = 1; i <= typed.size(); ++i) {
-      std::size_t corner = row[0];
+      std::size_t diagonal = row[0];
       row[0] = i;
       for (std::size_t j = 1; j <= name.size(); ++j) {
         const auto above = row[j];
-        row[j] = std::min({above + 1, row[j - 1] + 1, corner + (typed[i - 1] != name[j - 1])});
-        corner = above;
+        row[j] = std::min({above + 1, row[j - 1] + 1, diagonal + (typed[i - 1] != name[j - 1])});
+        diagonal = above;
       }
     }
-    if (row.back() < best_far)
-      best_far = row.back(), best = name;
+    if (row.back() < best_distance)
+      best_distance = row.back(), best = name;
   }
   return best.empty() ? "" : " (did you mean '" + best + "'?)";
 }
 
-class Evaluation {
+// Evaluates a script and the files that it loads. Errors are collected; evaluation goes on after one.
+class Evaluator {
  public:
-  Evaluation(const std::vector<Builtin>& builtins, const Files& files) : builtins_(builtins), files_(files) {}
+  Evaluator(const std::vector<Builtin>& builtins, const FileReader& file_reader)
+      : builtins_(builtins), file_reader_(file_reader) {}
 
-  // The names that a file gives to those that load it; calls go to the one list.
-  std::map<std::string, Value> run(const std::string& path, const Place& from) {
-    if (std::find(open_.begin(), open_.end(), path) != open_.end()) {
-      std::string way;
-      for (const auto& file : open_)
-        way += file + " -> ";
-      mistake(from, "a load that comes back to itself: " + way + path);
+  // Evaluates a file once and returns its variables. Its calls and diagnostics are appended to `result`.
+  // `location` is that of the load, for errors about the file as a whole.
+  std::map<std::string, Value> evaluate_file(const std::string& path, const SourceLocation& location) {
+    if (std::find(load_stack_.begin(), load_stack_.end(), path) != load_stack_.end()) {
+      std::string chain;
+      for (const auto& file : load_stack_)
+        chain += file + " -> ";
+      report_error(location, "circular load: " + chain + path);
       return {};
     }
-    if (const auto before = done_.find(path); before != done_.end())
-      return before->second;
-    const auto text = files_(path);
+    if (const auto cached = loaded_.find(path); cached != loaded_.end())
+      return cached->second;
+    const auto text = file_reader_(path);
     if (!text) {
-      mistake(from, "'" + path + "' can't be read");
+      report_error(location, "can't read '" + path + "'");
       return {};
     }
-    open_.push_back(path);
+    load_stack_.push_back(path);
     const auto parsed = syntax::parse(path, *text);
-    read.mistakes.insert(read.mistakes.end(), parsed.mistakes.begin(), parsed.mistakes.end());
+    result.diagnostics.insert(result.diagnostics.end(), parsed.diagnostics.begin(), parsed.diagnostics.end());
     Scope scope{{}, &parsed, path};
-    if (parsed.mistakes.empty()) {
+    if (parsed.diagnostics.empty()) {
       for (const auto& statement : parsed.script)
         boost::apply_visitor([&](const auto& s) { execute(scope, s); }, statement);
     }
-    open_.pop_back();
-    return done_[path] = scope.names;
+    load_stack_.pop_back();
+    return loaded_[path] = scope.variables;
   }
 
-  ReadScript read;
+  EvaluatedScript result;
 
  private:
+  // One file under evaluation.
   struct Scope {
-    std::map<std::string, Value> names;
-    const syntax::Parsed* parsed;
+    std::map<std::string, Value> variables;
+    const syntax::ParseResult* parsed;
     std::string path;
   };
-  void mistake(Place place, std::string cause) {
-    read.mistakes.push_back({std::move(place), std::move(cause)});
+  void report_error(SourceLocation location, std::string message) {
+    result.diagnostics.push_back({std::move(location), std::move(message)});
   }
 
   void execute(Scope& scope, const syntax::Assignment& statement) {
-    const auto place = scope.parsed->place_of(statement);
-    if (const auto value = evaluate(scope, statement.value, place)) {
-      if (!scope.names.emplace(statement.name, *value).second)
-        mistake(place, "'" + statement.name + "' has a value already");
+    const auto location = scope.parsed->location_of(statement);
+    if (const auto value = evaluate(scope, statement.value, location)) {
+      if (!scope.variables.emplace(statement.name, *value).second)
+        report_error(location, "'" + statement.name + "' is already defined");
     }
   }
 
-  void execute(Scope& scope, const syntax::Invocation& call) {
-    const auto place = scope.parsed->place_of(call);
+  void execute(Scope& scope, const syntax::CallExpression& call) {
+    const auto location = scope.parsed->location_of(call);
     if (call.function == "load")
-      return load(scope, call, place);
-    if (span_units().contains(call.function) || rate_units().contains(call.function))
-      return mistake(place, "'" + call.function + "' gives a value that nothing takes here");
+      return load(scope, call, location);
+    if (duration_units().contains(call.function) || rate_units().contains(call.function))
+      return report_error(location, "the value of '" + call.function + "' is unused");
     const auto builtin =
         std::find_if(builtins_.begin(), builtins_.end(), [&](auto& b) { return b.name == call.function; });
     if (builtin == builtins_.end()) {
       std::vector<std::string> known{"load"};
       for (const auto& b : builtins_)
         known.push_back(b.name);
-      return mistake(place, "no builtin '" + call.function + "'" + nearest(call.function, known));
+      return report_error(location,
+                          "unknown builtin '" + call.function + "'" + suggestion_for(call.function, known));
     }
-    if (builtin->once &&
-        std::any_of(read.calls.begin(), read.calls.end(), [&](auto& c) { return c.name == call.function; }))
-      return mistake(place, "'" + call.function + "' is said twice");
-    Call made{call.function, place, {}};
-    bool whole = true;
+    if (builtin->at_most_once && std::any_of(result.calls.begin(), result.calls.end(),
+                                             [&](auto& c) { return c.name == call.function; }))
+      return report_error(location, "'" + call.function + "' may be called only once");
+    Call checked_call{call.function, location, {}};
+    bool valid = true;
     std::size_t position = 0;
     for (const auto& argument : call.arguments) {
-      const auto at = scope.parsed->place_of(argument);
+      const auto at = scope.parsed->location_of(argument);
       const Parameter* parameter = nullptr;
       if (argument.name.empty()) {
         if (position < builtin->parameters.size())
@@ -237,194 +247,218 @@
         std::vector<std::string> known;
         for (const auto& p : builtin->parameters)
           known.push_back(p.name);
-        mistake(at, argument.name.empty() ? "more arguments than '" + call.function + "' takes"
-                                          : "'" + call.function + "' takes no '" + argument.name + "'" +
-                                                nearest(argument.name, known));
-        whole = false;
+        report_error(at, argument.name.empty()
+                             ? "too many arguments for '" + call.function + "'"
+                             : "'" + call.function + "' has no parameter '" + argument.name + "'" +
+                                   suggestion_for(argument.name, known));
+        valid = false;
         continue;
       }
       auto value = evaluate(scope, argument.value, at);
       if (!value) {
-        whole = false;
+        valid = false;
         continue;
       }
-      if (auto wrong = check(*value, *parameter)) {
-        read.mistakes.push_back(*wrong);
-        whole = false;
+      if (auto diagnostic = check_argument(*value, *parameter)) {
+        result.diagnostics.push_back(*diagnostic);
+        valid = false;
       }
-      if (!made.arguments.emplace(parameter->name, std::move(*value)).second) {
-        mistake(at, "'" + parameter->name + "' is given twice");
-        whole = false;
+      if (!checked_call.arguments.emplace(parameter->name, std::move(*value)).second) {
+        report_error(at, "'" + parameter->name + "' is given twice");
+        valid = false;
       }
     }
     for (const auto& parameter : builtin->parameters) {
-      if (made.arguments.contains(parameter.name))
+      if (checked_call.arguments.contains(parameter.name))
         continue;
-      if (parameter.otherwise) {
-        auto value = *parameter.otherwise;
-        value.place = place;
-        made.arguments.emplace(parameter.name, std::move(value));
-      } else if (whole) {
-        mistake(place, "'" + call.function + "' lacks '" + parameter.name + "': expected " +
-                           words_of(parameter.wants));
-        whole = false;
+      if (parameter.default_value) {
+        auto value = *parameter.default_value;
+        value.location = location;
+        checked_call.arguments.emplace(parameter.name, std::move(value));
+      } else if (valid) {
+        report_error(location, "'" + call.function + "' is missing '" + parameter.name + "': expected " +
+                                   describe_type(parameter.type));
+        valid = false;
       }
     }
-    if (whole)
-      read.calls.push_back(std::move(made));
+    if (valid)
+      result.calls.push_back(std::move(checked_call));
   }
 
-  // load("file.star", "NAME", ...): the file's calls count, and the names become ours.
-  void load(Scope& scope, const syntax::Invocation& call, const Place& place) {
-    std::vector<std::pair<std::string, Place>> words;
+  // load("file.star", "NAME", ...): evaluates the file, calls included, and imports the named variables. A
+  // relative path is resolved against the loading file's directory.
+  void load(Scope& scope, const syntax::CallExpression& call, const SourceLocation& location) {
+    std::vector<std::pair<std::string, SourceLocation>> load_arguments;
     for (const auto& argument : call.arguments) {
-      const auto at = scope.parsed->place_of(argument);
+      const auto at = scope.parsed->location_of(argument);
       const auto value = evaluate(scope, argument.value, at);
       if (!value)
         return;
-      if (!argument.name.empty() || !is<std::string>(*value))
-        return mistake(at, "'load' takes a file and names, as texts");
-      words.emplace_back(std::get<std::string>(value->held), at);
+      if (!argument.name.empty() || !holds<std::string>(*value))
+        return report_error(at, "'load' takes a file path and names, as strings");
+      load_arguments.emplace_back(std::get<std::string>(value->data), at);
     }
-    if (words.empty())
-      return mistake(place, "'load' lacks a file");
-    auto path = words.front().first;
+    if (load_arguments.empty())
+      return report_error(location, "'load' is missing the file path");
+    auto path = load_arguments.front().first;
     const auto slash = scope.path.rfind('/');
     if (path.empty() || (path[0] != '/' && slash != std::string::npos))
       path = scope.path.substr(0, slash + 1) + path;
-    const auto names = run(path, words.front().second);
-    for (std::size_t i = 1; i < words.size(); ++i) {
-      const auto found = names.find(words[i].first);
-      if (found == names.end())
-        mistake(words[i].second, "'" + path + "' gives no name '" + words[i].first + "'");
+    const auto variables = evaluate_file(path, load_arguments.front().second);
+    for (std::size_t i = 1; i < load_arguments.size(); ++i) {
+      const auto found = variables.find(load_arguments[i].first);
+      if (found == variables.end())
+        report_error(load_arguments[i].second,
+                     "'" + path + "' defines no variable '" + load_arguments[i].first + "'");
       else
-        scope.names[words[i].first] = found->second;
+        scope.variables[load_arguments[i].first] = found->second;
     }
   }
 
-  std::optional<Value> evaluate(Scope& scope, const syntax::Expression& expression, Place place) {
+  std::optional<Value> evaluate(Scope& scope, const syntax::Expression& expression, SourceLocation location) {
     if (expression.id_first >= 0)
-      place = scope.parsed->place_of(expression);
-    return boost::apply_visitor([&](const auto& node) { return value_of(scope, node, place); }, expression);
+      location = scope.parsed->location_of(expression);
+    return boost::apply_visitor([&](const auto& node) { return evaluate_node(scope, node, location); },
+                                expression);
   }
-  using Given = std::optional<Value>;
-  Given value_of(Scope&, const syntax::None&, const Place& place) { return Value{Nothing{}, place}; }
-  Given value_of(Scope&, const syntax::Flag& node, const Place& place) { return Value{node.value, place}; }
-  Given value_of(Scope&, const syntax::Whole& node, const Place& place) { return Value{node.value, place}; }
-  Given value_of(Scope&, const syntax::Decimal& node, const Place& place) { return Value{node.value, place}; }
-  Given value_of(Scope&, const syntax::Text& node, const Place& place) { return Value{node.value, place}; }
-  Given value_of(Scope& scope, const syntax::Name& node, const Place& place) {
-    const auto found = scope.names.find(node.text);
-    if (found == scope.names.end()) {
+  // Absent: the expression has no value, and a diagnostic says why.
+  using OptionalValue = std::optional<Value>;
+  OptionalValue evaluate_node(Scope&, const syntax::NoneLiteral&, const SourceLocation& location) {
+    return Value{None{}, location};
+  }
+  OptionalValue evaluate_node(Scope&, const syntax::BooleanLiteral& node, const SourceLocation& location) {
+    return Value{node.value, location};
+  }
+  OptionalValue evaluate_node(Scope&, const syntax::IntegerLiteral& node, const SourceLocation& location) {
+    return Value{node.value, location};
+  }
+  OptionalValue evaluate_node(Scope&, const syntax::FloatLiteral& node, const SourceLocation& location) {
+    return Value{node.value, location};
+  }
+  OptionalValue evaluate_node(Scope&, const syntax::StringLiteral& node, const SourceLocation& location) {
+    return Value{node.value, location};
+  }
+  OptionalValue evaluate_node(Scope& scope, const syntax::Identifier& node, const SourceLocation& location) {
+    const auto found = scope.variables.find(node.name);
+    if (found == scope.variables.end()) {
       std::vector<std::string> known;
-      for (const auto& [name, value] : scope.names)
+      for (const auto& [name, value] : scope.variables)
         known.push_back(name);
-      mistake(place, "no name '" + node.text + "'" + nearest(node.text, known));
+      report_error(location, "undefined name '" + node.name + "'" + suggestion_for(node.name, known));
       return std::nullopt;
     }
     Value value = found->second;
-    value.place = place;
+    value.location = location;
     return value;
   }
   template <typename Node>
-  Given value_of(Scope& scope, const syntax::x3::forward_ast<Node>& node, const Place& place) {
-    return value_of(scope, node.get(), place);
+  OptionalValue evaluate_node(Scope& scope, const syntax::x3::forward_ast<Node>& node,
+                              const SourceLocation& location) {
+    return evaluate_node(scope, node.get(), location);
   }
-  Given value_of(Scope& scope, const syntax::Negative& node, const Place& place) {
-    auto value = evaluate(scope, node.of, place);
+  OptionalValue evaluate_node(Scope& scope, const syntax::Negation& node, const SourceLocation& location) {
+    auto value = evaluate(scope, node.operand, location);
     if (!value)
       return value;
-    if (auto* whole = std::get_if<std::int64_t>(&value->held))
-      *whole = -*whole;
-    else if (auto* number = std::get_if<double>(&value->held))
+    if (auto* integer = std::get_if<std::int64_t>(&value->data))
+      *integer = -*integer;
+    else if (auto* number = std::get_if<double>(&value->data))
       *number = -*number;
     else
-      return mistake(place, "'-' before " + kind_of(*value)), std::nullopt;
-    value->place = place;
+      return report_error(location, "'-' takes a number, found " + describe(*value)), std::nullopt;
+    value->location = location;
     return value;
   }
-  Given value_of(Scope& scope, const syntax::List& node, const Place& place) {
-    ListOf items;
-    bool whole = true;
+  OptionalValue evaluate_node(Scope& scope, const syntax::ListExpression& node,
+                              const SourceLocation& location) {
+    List items;
+    bool valid = true;
     for (const auto& item : node.items) {
-      if (auto value = evaluate(scope, item, place))
+      if (auto value = evaluate(scope, item, location))
         items.push_back(std::move(*value));
       else
-        whole = false;
+        valid = false;
     }
-    if (!whole)
+    if (!valid)
       return std::nullopt;
-    return Value{std::move(items), place};
+    return Value{std::move(items), location};
   }
-  Given value_of(Scope& scope, const syntax::Dict& node, const Place& place) {
-    DictOf entries;
+  OptionalValue evaluate_node(Scope& scope, const syntax::DictExpression& node,
+                              const SourceLocation& location) {
+    Dict entries;
     for (const auto& entry : node.entries) {
-      const auto key = evaluate(scope, entry.key, place);
-      auto value = evaluate(scope, entry.value, place);
+      const auto key = evaluate(scope, entry.key, location);
+      auto value = evaluate(scope, entry.value, location);
       if (!key || !value)
         return std::nullopt;
-      const auto* text = std::get_if<std::string>(&key->held);
+      const auto* text = std::get_if<std::string>(&key->data);
       if (!text)
-        return mistake(key->place, "a key is a text, found " + kind_of(*key)), std::nullopt;
-      for (const auto& [before, v] : entries) {
-        if (before == *text)
-          return mistake(key->place, "the key '" + *text + "' is given twice"), std::nullopt;
+        return report_error(key->location, "a dict key must be a string, found " + describe(*key)),
+               std::nullopt;
+      for (const auto& [earlier_key, earlier_value] : entries) {
+        if (earlier_key == *text)
+          return report_error(key->location, "the key '" + *text + "' is given twice"), std::nullopt;
       }
       entries.emplace_back(*text, std::move(*value));
     }
-    return Value{std::move(entries), place};
+    return Value{std::move(entries), location};
   }
-  Given value_of(Scope& scope, const syntax::Invocation& call, const Place& place) {
-    const auto span = span_units().find(call.function);
+  OptionalValue evaluate_node(Scope& scope, const syntax::CallExpression& call,
+                              const SourceLocation& location) {
+    const auto duration = duration_units().find(call.function);
     const auto rate = rate_units().find(call.function);
-    if (span == span_units().end() && rate == rate_units().end()) {
+    if (duration == duration_units().end() && rate == rate_units().end()) {
       std::vector<std::string> known;
-      for (const auto& [name, factor] : span_units())
+      for (const auto& [name, factor] : duration_units())
         known.push_back(name);
       for (const auto& [name, factor] : rate_units())
         known.push_back(name);
-      mistake(place, "'" + call.function + "' gives no value" + nearest(call.function, known));
+      report_error(location,
+                   "'" + call.function + "' returns no value" + suggestion_for(call.function, known));
       return std::nullopt;
     }
     if (call.arguments.size() != 1 || !call.arguments[0].name.empty())
-      return mistake(place, "'" + call.function + "' takes one number"), std::nullopt;
-    const auto value = evaluate(scope, call.arguments[0].value, place);
+      return report_error(location, "'" + call.function + "' takes one number"), std::nullopt;
+    const auto value = evaluate(scope, call.arguments[0].value, location);
     if (!value)
       return std::nullopt;
-    const auto number = as_number(*value);
+    const auto number = to_number(*value);
     if (!number)
-      return mistake(value->place, "'" + call.function + "' takes a number, found " + kind_of(*value)),
+      return report_error(value->location,
+                          "'" + call.function + "' takes a number, found " + describe(*value)),
              std::nullopt;
     if (std::fabs(*number) > 1e12)
-      return mistake(value->place, "a number too large to mean anything"), std::nullopt;
-    if (span != span_units().end())
-      return Value{Duration(std::llround(*number * span->second * 1e6)), place};
-    return Value{Rate{*number * rate->second}, place};
+      return report_error(value->location, "number out of range: expected a magnitude of at most 1e12"),
+             std::nullopt;
+    if (duration != duration_units().end())
+      return Value{Duration(std::llround(*number * duration->second * 1e6)), location};
+    return Value{Rate{*number * rate->second}, location};
   }
 
   const std::vector<Builtin>& builtins_;
-  const Files& files_;
-  std::vector<std::string> open_;
-  std::map<std::string, std::map<std::string, Value>> done_;
+  const FileReader& file_reader_;
+  std::vector<std::string> load_stack_;  // files under evaluation, outermost first; finds circular loads
+  std::map<std::string, std::map<std::string, Value>> loaded_;  // variables of each evaluated file, by path
 };
 
 template <typename Kind, typename Item>
-std::vector<Item> items_of(const Value& value, Item (*of)(const Kind&)) {
+std::vector<Item> convert_items(const Value& value, Item (*convert)(const Kind&)) {
   std::vector<Item> items;
-  for (const auto& item : std::get<ListOf>(value.held))
-    items.push_back(of(std::get<Kind>(item.held)));
+  for (const auto& item : std::get<List>(value.data))
+    items.push_back(convert(std::get<Kind>(item.data)));
   return items;
 }
 
 }  // namespace
 
-std::string Mistake::text() const {
-  return place.file + ":" + std::to_string(place.line) + ":" + std::to_string(place.column) + ": " + cause;
+std::string Diagnostic::to_string() const {
+  return location.file + ":" + std::to_string(location.line) + ":" + std::to_string(location.column) + ": " +
+         message;
 }
 
-std::string kind_of(const Value& value) {
+std::string describe(const Value& value) {
   struct {
-    std::string operator()(const Nothing&) const { return "None"; }
+    std::string operator()(const None&) const { return "None"; }
     std::string operator()(bool v) const { return v ? "True" : "False"; }
     std::string operator()(std::int64_t v) const { return "the number " + std::to_string(v); }
     std::string operator()(double v) const {
@@ -432,44 +466,45 @@
       s << "the number " << v;
       return s.str();
     }
-    std::string operator()(const std::string& v) const { return "the text \"" + v + "\""; }
-    std::string operator()(const Duration&) const { return "a time"; }
+    std::string operator()(const std::string& v) const { return "the string \"" + v + "\""; }
+    std::string operator()(const Duration&) const { return "a duration"; }
     std::string operator()(const Rate&) const { return "a rate"; }
-    std::string operator()(const ListOf&) const { return "a list"; }
-    std::string operator()(const DictOf&) const { return "a dict"; }
-  } words;
-  return std::visit(words, value.held);
+    std::string operator()(const List&) const { return "a list"; }
+    std::string operator()(const Dict&) const { return "a dict"; }
+  } visitor;
+  return std::visit(visitor, value.data);
 }
 
-const std::string& Call::text(const std::string& name) const {
-  return std::get<std::string>(arguments.at(name).held);
+const std::string& Call::string(const std::string& name) const {
+  return std::get<std::string>(arguments.at(name).data);
 }
-std::int64_t Call::whole(const std::string& name) const {
-  return std::get<std::int64_t>(arguments.at(name).held);
+std::int64_t Call::integer(const std::string& name) const {
+  return std::get<std::int64_t>(arguments.at(name).data);
 }
-double Call::number(const std::string& name) const { return *as_number(arguments.at(name)); }
-bool Call::flag(const std::string& name) const { return std::get<bool>(arguments.at(name).held); }
-Duration Call::span(const std::string& name) const { return std::get<Duration>(arguments.at(name).held); }
+double Call::number(const std::string& name) const { return *to_number(arguments.at(name)); }
+bool Call::boolean(const std::string& name) const { return std::get<bool>(arguments.at(name).data); }
+Duration Call::duration(const std::string& name) const { return std::get<Duration>(arguments.at(name).data); }
 double Call::kb_per_s(const std::string& name) const {
-  return std::get<Rate>(arguments.at(name).held).kb_per_s;
+  return std::get<Rate>(arguments.at(name).data).kb_per_s;
 }
-std::vector<std::string> Call::texts(const std::string& name) const {
-  return items_of<std::string, std::string>(arguments.at(name), [](const std::string& v) { return v; });
+std::vector<std::string> Call::strings(const std::string& name) const {
+  return convert_items<std::string, std::string>(arguments.at(name), [](const std::string& v) { return v; });
 }
-std::vector<std::int64_t> Call::wholes(const std::string& name) const {
-  return items_of<std::int64_t, std::int64_t>(arguments.at(name), [](const std::int64_t& v) { return v; });
+std::vector<std::int64_t> Call::integers(const std::string& name) const {
+  return convert_items<std::int64_t, std::int64_t>(arguments.at(name),
+                                                   [](const std::int64_t& v) { return v; });
 }
 std::vector<double> Call::numbers(const std::string& name) const {
   std::vector<double> items;
-  for (const auto& item : std::get<ListOf>(arguments.at(name).held))
-    items.push_back(*as_number(item));
+  for (const auto& item : std::get<List>(arguments.at(name).data))
+    items.push_back(*to_number(item));
   return items;
 }
 std::vector<double> Call::rates(const std::string& name) const {
-  return items_of<Rate, double>(arguments.at(name), [](const Rate& v) { return v.kb_per_s; });
+  return convert_items<Rate, double>(arguments.at(name), [](const Rate& v) { return v.kb_per_s; });
 }
 
-std::optional<std::string> file_text(const std::string& path) {
+std::optional<std::string> read_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file)
     return std::nullopt;
@@ -478,10 +513,11 @@
   return text.str();
 }
 
-ReadScript read_script(const std::string& path, const std::vector<Builtin>& builtins, const Files& files) {
-  Evaluation evaluation(builtins, files);
-  evaluation.run(path, Place{path, 1, 1});
-  return std::move(evaluation.read);
+EvaluatedScript evaluate_script(const std::string& path, const std::vector<Builtin>& builtins,
+                                const FileReader& file_reader) {
+  Evaluator evaluator(builtins, file_reader);
+  evaluator.evaluate_file(path, SourceLocation{path, 1, 1});
+  return std::move(evaluator.result);
 }
 
 }  // namespace violettide::settings
--- a/src/settings/script.h
+++ b/src/settings/script.h
@@ -1,6 +1,6 @@
-// The notation of settings and days: a Python-like subset (assignments, literals, lists, dicts, calls,
-// comments, `load`). Reading a script gives the calls that it makes of the builtins it is read with, all
-// checked; every mistake names file, line, column and cause.
+// The script language of settings and day files: a subset of Python (assignments, literals, lists, dicts,
+// calls, comments, `load`). Evaluating a script yields its calls of the given builtins, with their arguments
+// checked. Every diagnostic names file, line, column and cause.
 #pragma once
 
 #include <chrono>
@@ -18,76 +18,100 @@
 
 using Duration = std::chrono::microseconds;
 
-struct Place {
+// A position in a script; line and column count from 1.
+struct SourceLocation {
   std::string file;
   int line = 0, column = 0;
 };
-struct Mistake {
-  Place place;
-  std::string cause;
-  std::string text() const;  // file:line:column: cause
+// An error in a script.
+struct Diagnostic {
+  SourceLocation location;
+  std::string message;
+  std::string to_string() const;  // file:line:column: message
 };
-using Mistakes = std::vector<Mistake>;
+using Diagnostics = std::vector<Diagnostic>;
 
-// A rate in kB a second, as the mechanism counts.
+// A data rate, made by unit functions such as kB_per_s(600); 1 kB is 1000 bytes.
 struct Rate {
   double kb_per_s = 0;
 };
 struct Value;
-using ListOf = std::vector<Value>;
-using DictOf = std::vector<std::pair<std::string, Value>>;
-struct Nothing {};
+using List = std::vector<Value>;
+using Dict = std::vector<std::pair<std::string, Value>>;  // in the order of the script
+struct None {};
+// The value of an expression, and where the script gives it.
 struct Value {
-  std::variant<Nothing, bool, std::int64_t, double, std::string, Duration, Rate, ListOf, DictOf> held;
-  Place place;
+  std::variant<None, bool, std::int64_t, double, std::string, Duration, Rate, List, Dict> data;
+  SourceLocation location;
 };
-std::string kind_of(const Value& value);  // in words, for messages
+// A value's type for messages; numbers, strings and booleans with their value.
+std::string describe(const Value& value);
 
-enum class Wants { text, whole, number, part, flag, span, rate, texts, wholes, numbers, rates };
+// The type that a parameter accepts. `number` accepts integers too; `fraction` is a number from 0 to 1; the
+// plural forms are lists.
+enum class ValueType {
+  string,
+  integer,
+  number,
+  fraction,
+  boolean,
+  duration,
+  rate,
+  strings,
+  integers,
+  numbers,
+  rates
+};
 
-// A builtin's parameter. Without `otherwise` it must be given.
+// A builtin's parameter. Without a default value it is required.
 struct Parameter {
   std::string name;
-  Wants wants = Wants::text;
-  std::optional<Value> otherwise;
-  double least = -1e18, most = 1e18;  // of numbers, in seconds for spans, kB/s for rates
+  ValueType type = ValueType::string;
+  std::optional<Value> default_value;
+  // Inclusive range of numbers, of durations in seconds and of rates in kB/s; in a list, of each item.
+  double min = -1e18, max = 1e18;
 };
+// A builtin function; its arguments are given by position or by keyword.
 struct Builtin {
   std::string name;
   std::vector<Parameter> parameters;
-  bool once = false;
+  bool at_most_once = false;  // a second call in a script is an error
 };
 
-// A checked call: every parameter has a value of the kind it wants.
+// A checked call of a builtin: every parameter has a value of its type. Each accessor returns the argument of
+// that name, which must be a parameter of the builtin and of the accessor's type.
 class Call {
  public:
   std::string name;
-  Place place;
+  SourceLocation location;
   std::map<std::string, Value> arguments;
 
-  const std::string& text(const std::string& name) const;
-  std::int64_t whole(const std::string& name) const;
-  double number(const std::string& name) const;  // wholes too
-  bool flag(const std::string& name) const;
-  Duration span(const std::string& name) const;
+  const std::string& string(const std::string& name) const;
+  std::int64_t integer(const std::string& name) const;
+  double number(const std::string& name) const;  // integers too
+  bool boolean(const std::string& name) const;
+  Duration duration(const std::string& name) const;
   double kb_per_s(const std::string& name) const;
-  std::vector<std::string> texts(const std::string& name) const;
-  std::vector<std::int64_t> wholes(const std::string& name) const;
+  std::vector<std::string> strings(const std::string& name) const;
+  std::vector<std::int64_t> integers(const std::string& name) const;
   std::vector<double> numbers(const std::string& name) const;
-  std::vector<double> rates(const std::string& name) const;
-  const Place& place_of(const std::string& name) const { return arguments.at(name).place; }
+  std::vector<double> rates(const std::string& name) const;  // in kB/s
+  const SourceLocation& location_of(const std::string& name) const { return arguments.at(name).location; }
 };
 
-struct ReadScript {
-  std::vector<Call> calls;  // in the order made
-  Mistakes mistakes;
+// What evaluation yields; the calls are complete only if there are no diagnostics.
+struct EvaluatedScript {
+  std::vector<Call> calls;  // in the order made, those of loaded files included
+  Diagnostics diagnostics;
 };
 
-// Gives a file's text; absent: it can't be read.
-using Files = std::function<std::optional<std::string>(const std::string& path)>;
-std::optional<std::string> file_text(const std::string& path);
+// Returns a file's text; nothing if the file can't be read.
+using FileReader = std::function<std::optional<std::string>(const std::string& path)>;
+std::optional<std::string> read_file(const std::string& path);
 
-ReadScript read_script(const std::string& path, const std::vector<Builtin>& builtins,
-                       const Files& files = file_text);
+// Parses and evaluates the script at `path` and the files that it loads. Throws nothing on faulty scripts:
+// errors are in the diagnostics.
+EvaluatedScript evaluate_script(const std::string& path, const std::vector<Builtin>& builtins,
+                                const FileReader& file_reader = read_file);
 
 }  // namespace violettide::settings
--- a/src/standins/day.cpp
+++ b/src/standins/day.cpp
@@ -42,51 +42,51 @@
 }
 
 std::vector<settings::Builtin> day_builtins() {
-  using enum settings::Wants;
+  using enum settings::ValueType;
   auto all = settings::deployment_builtins();
   const std::vector<settings::Builtin> own{
       {"day",
-       {{"length", span, {}, 0.1, 600},
-        {"seed", whole, as(std::int64_t{1}), 0, 2e9},
-        {"managers", whole, as(std::int64_t{3}), 1, 32}},
+       {{"length", duration, {}, 0.1, 600},
+        {"seed", integer, as(std::int64_t{1}), 0, 2e9},
+        {"managers", integer, as(std::int64_t{3}), 1, 32}},
        true},
       {"boxes",
-       {{"count", whole, {}, 1, 400},
-        {"spread", part, as(0.2)},
-        {"list_lag", span, as(Duration(1500ms)), 0, 600},
-        {"setup_time", span, as(Duration(40ms)), 0, 60},
+       {{"count", integer, {}, 1, 400},
+        {"spread", fraction, as(0.2)},
+        {"list_lag", duration, as(Duration(1500ms)), 0, 600},
+        {"setup_time", duration, as(Duration(40ms)), 0, 60},
         {"pace", number, as(1.25), 1, 100},
-        {"live_titles", part, as(0.0)},
-        {"vary", part, as(0.15)}},
+        {"live_titles", fraction, as(0.0)},
+        {"vary", fraction, as(0.15)}},
        true},
       {"viewers",
        {{"per_second", number, {}, 0.01, 10000},
-        {"least_watch", span, {}, 0.1, 86400},
-        {"most_watch", span, {}, 0.1, 86400},
-        {"titles", whole, as(std::int64_t{40}), 1, 1e6},
+        {"least_watch", duration, {}, 0.1, 86400},
+        {"most_watch", duration, {}, 0.1, 86400},
+        {"titles", integer, as(std::int64_t{40}), 1, 1e6},
         {"zipf", number, as(0.8), 0, 5},
-        {"plan_shares", numbers, as(settings::ListOf{}), 0, 1e6},
-        {"hintless", part, as(0.05)},
-        {"malformed", part, as(0.05)},
-        {"small_screens", part, as(0.2)},
-        {"hls", part, as(0.0)},
-        {"returns", part, as(0.9)},
-        {"rejoin", span, as(Duration(1s)), 0, 600},
-        {"crowd_title", whole, as(std::int64_t{0}), 0, 1e6}},
+        {"plan_shares", numbers, as(settings::List{}), 0, 1e6},
+        {"hintless", fraction, as(0.05)},
+        {"malformed", fraction, as(0.05)},
+        {"small_screens", fraction, as(0.2)},
+        {"hls", fraction, as(0.0)},
+        {"returns", fraction, as(0.9)},
+        {"rejoin", duration, as(Duration(1s)), 0, 600},
+        {"crowd_title", integer, as(std::int64_t{0}), 0, 1e6}},
        true},
       {"issuer",
-       {{"rotate", span, as(Duration(5s)), 0.1, 600},
-        {"token_life", span, as(Duration(4s)), 0.1, 86400},
-        {"teams", whole, as(std::int64_t{3}), 1, 1000},
-        {"seats", whole, as(std::int64_t{10}), 0, 1e6},
-        {"bad", part, as(0.05)}},
+       {{"rotate", duration, as(Duration(5s)), 0.1, 600},
+        {"token_life", duration, as(Duration(4s)), 0.1, 86400},
+        {"teams", integer, as(std::int64_t{3}), 1, 1000},
+        {"seats", integer, as(std::int64_t{10}), 0, 1e6},
+        {"bad", fraction, as(0.05)}},
        true},
       {"trouble",
-       {{"kind", text, {}},
-        {"at", span, {}, 0, 600},
-        {"lasts", span, {}, 0, 600},
-        {"boxes", wholes, as(settings::ListOf{}), 0, 400},
-        {"managers", wholes, as(settings::ListOf{}), 0, 32},
+       {{"kind", string, {}},
+        {"at", duration, {}, 0, 600},
+        {"lasts", duration, {}, 0, 600},
+        {"boxes", integers, as(settings::List{}), 0, 400},
+        {"managers", integers, as(settings::List{}), 0, 32},
         {"size", number, as(0.0), 0, 1e6}}},
   };
   all.insert(all.end(), own.begin(), own.end());
@@ -115,28 +115,29 @@
   return (box.cell - at.first_cell % cells + cells) % cells < at.cells;
 }
 
-std::variant<settings::Deployment, settings::Mistakes> read_settings(const std::string& path,
-                                                                     const settings::Files& files) {
+std::variant<settings::Deployment, settings::Diagnostics> read_settings(const std::string& path,
+                                                                        const settings::FileReader& files) {
   const auto builtins = day_builtins();
-  auto read = settings::read_script(path, builtins, files);
-  if (!read.mistakes.empty())
-    return std::move(read.mistakes);
-  return settings::deployment_of(read.calls);
+  auto read = settings::evaluate_script(path, builtins, files);
+  if (!read.diagnostics.empty())
+    return std::move(read.diagnostics);
+  return settings::build_deployment(read.calls);
 }
 
-std::variant<Day, settings::Mistakes> read_day(const std::string& path, const settings::Files& files) {
+std::variant<Day, settings::Diagnostics> read_day(const std::string& path,
+                                                  const settings::FileReader& files) {
   const auto builtins = day_builtins();
-  auto read = settings::read_script(path, builtins, files);
-  if (!read.mistakes.empty())
-    return std::move(read.mistakes);
-  auto deployment = settings::deployment_of(read.calls);
-  settings::Mistakes mistakes;
-  if (auto* wrong = std::get_if<settings::Mistakes>(&deployment))
+  auto read = settings::evaluate_script(path, builtins, files);
+  if (!read.diagnostics.empty())
+    return std::move(read.diagnostics);
+  auto deployment = settings::build_deployment(read.calls);
+  settings::Diagnostics mistakes;
+  if (auto* wrong = std::get_if<settings::Diagnostics>(&deployment))
     mistakes = std::move(*wrong);
   Day day;
   if (mistakes.empty())
     day.deployment = std::get<settings::Deployment>(std::move(deployment));
-  const auto wrong = [&](const settings::Place& place, std::string cause) {
+  const auto wrong = [&](const settings::SourceLocation& place, std::string cause) {
     mistakes.push_back({place, std::move(cause)});
   };
   const settings::Call* said_day = nullptr;
@@ -150,7 +151,7 @@
     if (call.name == "viewers")
       said_viewers = &call;
   }
-  const settings::Place whole{path, 1, 1};
+  const settings::SourceLocation whole{path, 1, 1};
   if (!said_day)
     wrong(whole, "the day lacks 'day'");
   if (!said_boxes)
@@ -160,19 +161,19 @@
   if (!mistakes.empty())
     return mistakes;
 
-  day.length = said_day->span("length");
-  day.seed = static_cast<std::uint32_t>(said_day->whole("seed"));
-  day.managers = static_cast<int>(said_day->whole("managers"));
+  day.length = said_day->duration("length");
+  day.seed = static_cast<std::uint32_t>(said_day->integer("seed"));
+  day.managers = static_cast<int>(said_day->integer("managers"));
   day.deployment.front.site.front_count = day.managers;
-  day.list_lag = said_boxes->span("list_lag");
-  day.setup_time = said_boxes->span("setup_time");
+  day.list_lag = said_boxes->duration("list_lag");
+  day.setup_time = said_boxes->duration("setup_time");
   day.pace = said_boxes->number("pace");
   day.vary = said_boxes->number("vary");
   day.live_titles = said_boxes->number("live_titles");
   std::minstd_rand chance(day.seed + 1);
   const auto& site = day.deployment.front.site;
   const double spread = said_boxes->number("spread");
-  const auto count = static_cast<int>(said_boxes->whole("count"));
+  const auto count = static_cast<int>(said_boxes->integer("count"));
   for (int i = 0; i < count; ++i) {
     BoxTerms box;
     box.name = "box-" + std::to_string(i);
@@ -180,17 +181,17 @@
     box.hall = i % static_cast<int>(day.deployment.front.halls.size());
     box.kind = i % static_cast<int>(site.streams_by_kind.size());
     const double drawn = static_cast<double>(chance() % 2001) / 1000 - 1;
-    box.link_kb = day.deployment.link_kb * (1 + spread * drawn);
+    box.link_kb = day.deployment.link_kb_per_s * (1 + spread * drawn);
     day.boxes.push_back(std::move(box));
   }
   const auto& v = *said_viewers;
   auto& viewers = day.viewers;
   viewers.per_second = v.number("per_second");
-  viewers.least_watch = v.span("least_watch");
-  viewers.most_watch = v.span("most_watch");
+  viewers.least_watch = v.duration("least_watch");
+  viewers.most_watch = v.duration("most_watch");
   if (viewers.most_watch < viewers.least_watch)
-    wrong(v.place_of("most_watch"), "less than 'least_watch'");
-  viewers.titles = static_cast<int>(v.whole("titles"));
+    wrong(v.location_of("most_watch"), "less than 'least_watch'");
+  viewers.titles = static_cast<int>(v.integer("titles"));
   viewers.zipf = v.number("zipf");
   viewers.plan_shares = v.numbers("plan_shares");
   viewers.plan_shares.resize(site.plans.size(), viewers.plan_shares.empty() ? 1 : 0);
@@ -198,20 +199,20 @@
   viewers.malformed = v.number("malformed");
   viewers.small_screens = v.number("small_screens");
   viewers.hls = v.number("hls");
-  if (viewers.hls > 0 && !day.deployment.hls)
-    wrong(v.place_of("hls"), "viewers read HLS, and the settings lack 'hls'");
+  if (viewers.hls > 0 && !day.deployment.hls_enabled)
+    wrong(v.location_of("hls"), "viewers read HLS, and the settings lack 'hls'");
   viewers.returns = v.number("returns");
-  viewers.rejoin = v.span("rejoin");
-  viewers.crowd_title = static_cast<int>(v.whole("crowd_title"));
+  viewers.rejoin = v.duration("rejoin");
+  viewers.crowd_title = static_cast<int>(v.integer("crowd_title"));
   for (const auto& call : read.calls) {
     if (call.name != "issuer")
       continue;
     if (!day.deployment.front.entitlement.on)
-      wrong(call.place, "the settings lack 'entitlement'");
-    day.issuer.rotate = call.span("rotate");
-    day.issuer.token_life = call.span("token_life");
-    day.issuer.teams = static_cast<int>(call.whole("teams"));
-    day.issuer.seats = static_cast<int>(call.whole("seats"));
+      wrong(call.location, "the settings lack 'entitlement'");
+    day.issuer.rotate = call.duration("rotate");
+    day.issuer.token_life = call.duration("token_life");
+    day.issuer.teams = static_cast<int>(call.integer("teams"));
+    day.issuer.seats = static_cast<int>(call.integer("seats"));
     day.issuer.bad = call.number("bad");
   }
   for (const auto& call : read.calls) {
@@ -219,24 +220,24 @@
       continue;
     Trouble trouble;
     const auto known = std::find_if(std::begin(ill_names), std::end(ill_names),
-                                    [&](auto& i) { return call.text("kind") == i.name; });
+                                    [&](auto& i) { return call.string("kind") == i.name; });
     if (known == std::end(ill_names)) {
-      wrong(call.place_of("kind"), "no kind of trouble '" + call.text("kind") + "'");
+      wrong(call.location_of("kind"), "no kind of trouble '" + call.string("kind") + "'");
       continue;
     }
     trouble.ill = known->ill;
-    trouble.at = call.span("at");
-    trouble.lasts = call.span("lasts");
+    trouble.at = call.duration("at");
+    trouble.lasts = call.duration("lasts");
     trouble.size = call.number("size");
     const char* whom = of_managers(trouble.ill) ? "managers" : "boxes";
     const int most = of_managers(trouble.ill) ? day.managers : count;
-    for (const auto number : call.wholes(whom)) {
+    for (const auto number : call.integers(whom)) {
       if (number >= most)
-        wrong(call.place_of(whom), "there are " + std::to_string(most) + " " + whom + ", numbered from 0");
+        wrong(call.location_of(whom), "there are " + std::to_string(most) + " " + whom + ", numbered from 0");
       trouble.whom.push_back(static_cast<int>(number));
     }
     if (!of_none(trouble.ill) && trouble.whom.empty())
-      wrong(call.place, std::string("'") + known->name + "' lacks whom it befalls: '" + whom + "'");
+      wrong(call.location, std::string("'") + known->name + "' lacks whom it befalls: '" + whom + "'");
     day.troubles.push_back(std::move(trouble));
   }
   if (!mistakes.empty())
--- a/src/standins/day.h
+++ b/src/standins/day.h
@@ -85,11 +85,11 @@
   std::vector<Trouble> troubles;
 };
 
-std::variant<Day, settings::Mistakes> read_day(const std::string& path,
-                                               const settings::Files& files = settings::file_text);
+std::variant<Day, settings::Diagnostics> read_day(const std::string& path,
+                                                  const settings::FileReader& files = settings::read_file);
 // The deployment alone: a day's file is a settings file too.
-std::variant<settings::Deployment, settings::Mistakes> read_settings(
-    const std::string& path, const settings::Files& files = settings::file_text);
+std::variant<settings::Deployment, settings::Diagnostics> read_settings(
+    const std::string& path, const settings::FileReader& files = settings::read_file);
 const char* name_of(Ill ill);
 bool holds(const Day& day, const BoxTerms& box, std::string_view title);
 
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -255,7 +255,7 @@
   const auto& site = day_.deployment.front.site;
   if (!box.cold || day_now() - box.started >= site.warmup_time)
     return false;
-  const Duration fall = day_.deployment.fall;
+  const Duration fall = day_.deployment.overload_window;
   std::erase_if(box.set_ups, [&](Duration at) { return at <= day_now() - fall; });
   box.set_ups.push_back(day_now());
   const double pace = site.streams_by_kind[day_.boxes[number].kind] / seconds(site.warmup_time) *
@@ -275,7 +275,7 @@
       if (day_.boxes[i].cell % racks == day_.boxes[number].cell % racks)
         asked += asked_of(i);
     }
-    box.told_uplink = day_.deployment.uplink_kb > 0 ? asked / day_.deployment.uplink_kb : 0;
+    box.told_uplink = day_.deployment.uplink_kb_per_s > 0 ? asked / day_.deployment.uplink_kb_per_s : 0;
   }
   hints::CmsdDynamic hop;
   hop.server = day_.boxes[number].name;
@@ -285,7 +285,7 @@
   hop.util = late ? box.old_util : box.told_util;
   if (const auto* trouble = ill_with(number, Ill::false_cmsd))
     hop.util = trouble->size;
-  if (day_.deployment.uplink_kb > 0)
+  if (day_.deployment.uplink_kb_per_s > 0)
     hop.uplink = late ? box.old_uplink : box.told_uplink;
   hop.streams = box.told_streams;
   hop.duress = *hop.util > 1;
@@ -351,7 +351,7 @@
     actions.push_back(Send{link, http::head_text(200, {{"CMSD-Dynamic", cmsd_of(number)}}, 0, true)});
     return;
   }
-  peer.hls = day_.deployment.hls ? read_hls_path(day_, request.target) : std::nullopt;
+  peer.hls = day_.deployment.hls_enabled ? read_hls_path(day_, request.target) : std::nullopt;
   manager::MediaPath as_hls;
   if (peer.hls)
     as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
@@ -507,10 +507,10 @@
       share[i] = std::min(1.0, link_of(static_cast<int>(i)) / asked[i]);
     rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks] += asked[i] * share[i];
   }
-  for (std::size_t i = 0; i < boxes_.size() && day_.deployment.uplink_kb > 0; ++i) {
+  for (std::size_t i = 0; i < boxes_.size() && day_.deployment.uplink_kb_per_s > 0; ++i) {
     const double of_rack = rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks];
-    if (of_rack > day_.deployment.uplink_kb)
-      share[i] *= day_.deployment.uplink_kb / of_rack;
+    if (of_rack > day_.deployment.uplink_kb_per_s)
+      share[i] *= day_.deployment.uplink_kb_per_s / of_rack;
   }
   static const std::string blank(256 * 1024, 'v');
   std::vector<ConnectionId> whole;
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -40,8 +40,8 @@
     const auto found = texts.find(path);
     return found == texts.end() ? std::nullopt : std::optional(found->second);
   });
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
-    throw std::runtime_error(mistakes->front().text());
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
+    throw std::runtime_error(mistakes->front().to_string());
   return std::get<standins::Day>(read);
 }
 
