--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -249,7 +249,7 @@
         leaked.set_kind(trace::Passed::LEAKED);
         leaked.set_manager(name(i));
         leaked.set_state(odd.record.key.team + " " + odd.record.key.viewer_session + ": " + odd.reason);
-        trace_.put(leaked);
+        trace_.append(leaked);
       }
     }
   }
@@ -348,7 +348,7 @@
     record.set_kind(kind);
     record.set_manager(name(manager));
     record.set_value(value);
-    trace_.put(record);
+    trace_.append(record);
   }
 
   const DayWords& words_;
@@ -366,7 +366,7 @@
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
-    if (read.cut_off)
+    if (read.truncated)
       std::cerr << path << ": cut off after " << read.records.size() << " records\n";
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
@@ -407,8 +407,8 @@
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const Unplayable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const trace::TraceError& failed) {
+    std::cerr << "violettide: " << failed.message << '\n';
   } catch (const std::filesystem::filesystem_error& failed) {
     std::cerr << "violettide: " << failed.what() << '\n';
   }
@@ -424,8 +424,8 @@
   }
   try {
     return audited(std::get<standins::Day>(read), words.traces);
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const trace::TraceError& failed) {
+    std::cerr << "violettide: " << failed.message << '\n';
     return 2;
   }
 }
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -79,7 +79,7 @@
   void put(const trace::Passed& record) {
     if (!writer_)
       return;
-    writer_->put(record);
+    writer_->append(record);
     if (++count_ % 512 == 0)
       writer_->flush();
   }
@@ -105,8 +105,8 @@
     return run();
   } catch (const runtime::LoopError& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const trace::TraceError& failed) {
+    std::cerr << "violettide: " << failed.message << '\n';
   } catch (const entitlement::SeatLog::Error& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const cataloguestore::StoreError& failed) {
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -1,3 +1,4 @@
+// Trace files on zstd and the delimited protobuf utilities.
 #include "trace/trace.h"
 
 #include <google/protobuf/io/coded_stream.h>
@@ -12,46 +13,50 @@
 namespace violettide::trace {
 
 namespace {
-constexpr std::size_t batch = 64 * 1024;
+constexpr std::size_t buffer_bytes = 64 * 1024;
 struct CloseFile {
   void operator()(std::FILE* file) const { std::fclose(file); }
 };
 using File = std::unique_ptr<std::FILE, CloseFile>;
-File opened(const std::string& path, const char* mode) {
+File open_file(const std::string& path, const char* mode) {
   File file(std::fopen(path.c_str(), mode));
   if (!file)
-    throw Failed{path + ": " + std::strerror(errno)};
+    throw TraceError{path + ": " + std::strerror(errno)};
   return file;
 }
 }  // namespace
 
+// The compressed stream and the serialized records that are not compressed yet. Write errors are not
+// reported.
 class Writer::Stream {
  public:
   explicit Stream(const std::string& path)
-      : file_(opened(path, "wb")), context_(ZSTD_createCCtx(), ZSTD_freeCCtx) {}
+      : file_(open_file(path, "wb")), context_(ZSTD_createCCtx(), ZSTD_freeCCtx) {}
   ~Stream() { compress(ZSTD_e_end); }
-  void put(const Passed& record) {
+  void append(const Passed& record) {
     google::protobuf::io::StringOutputStream out(&pending_);
     google::protobuf::util::SerializeDelimitedToZeroCopyStream(record, &out);
-    // The stream gives back what it did not use when it ends.
+    // The destructor of `out` trims the unused space that it reserved in `pending_`.
   }
-  void compress(ZSTD_EndDirective how) {
+  // Compresses and writes all pending records; `directive` says whether to flush or end the zstd stream as
+  // well.
+  void compress(ZSTD_EndDirective directive) {
     ZSTD_inBuffer in{pending_.data(), pending_.size(), 0};
-    char space[batch];
-    std::size_t left = 1;
-    while (left > 0 || in.pos < in.size) {
-      ZSTD_outBuffer out{space, sizeof space, 0};
-      left = ZSTD_compressStream2(context_.get(), &out, &in, how);
-      if (ZSTD_isError(left))
+    char output[buffer_bytes];
+    std::size_t remaining = 1;
+    while (remaining > 0 || in.pos < in.size) {
+      ZSTD_outBuffer out{output, sizeof output, 0};
+      remaining = ZSTD_compressStream2(context_.get(), &out, &in, directive);
+      if (ZSTD_isError(remaining))
         break;
-      std::fwrite(space, 1, out.pos, file_.get());
-      if (how == ZSTD_e_continue && in.pos == in.size)
+      std::fwrite(output, 1, out.pos, file_.get());
+      if (directive == ZSTD_e_continue && in.pos == in.size)
         break;
     }
     pending_.clear();
     std::fflush(file_.get());
   }
-  bool full() const { return pending_.size() >= batch; }
+  bool buffer_full() const { return pending_.size() >= buffer_bytes; }
 
  private:
   File file_;
@@ -61,37 +66,37 @@
 
 Writer::Writer(const std::string& path) : stream_(std::make_unique<Stream>(path)) {}
 Writer::~Writer() = default;
-void Writer::put(const Passed& record) {
-  stream_->put(record);
-  if (stream_->full())
+void Writer::append(const Passed& record) {
+  stream_->append(record);
+  if (stream_->buffer_full())
     stream_->compress(ZSTD_e_continue);
 }
 void Writer::flush() { stream_->compress(ZSTD_e_flush); }
 
-ReadTrace read(const std::string& path) {
-  const auto file = opened(path, "rb");
+TraceContents read(const std::string& path) {
+  const auto file = open_file(path, "rb");
   std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> context(ZSTD_createDCtx(), ZSTD_freeDCtx);
-  std::string plain;
-  std::vector<char> coded(batch), space(batch);
-  ReadTrace trace;
-  std::size_t left = 0;
-  while (const auto count = std::fread(coded.data(), 1, coded.size(), file.get())) {
-    ZSTD_inBuffer in{coded.data(), count, 0};
+  std::string decompressed;
+  std::vector<char> compressed(buffer_bytes), output(buffer_bytes);
+  TraceContents trace;
+  std::size_t remaining = 0;
+  while (const auto count = std::fread(compressed.data(), 1, compressed.size(), file.get())) {
+    ZSTD_inBuffer in{compressed.data(), count, 0};
     while (in.pos < in.size) {
-      ZSTD_outBuffer out{space.data(), space.size(), 0};
-      left = ZSTD_decompressStream(context.get(), &out, &in);
-      if (ZSTD_isError(left))
-        throw Failed{path + ": " + ZSTD_getErrorName(left)};
-      plain.append(space.data(), out.pos);
+      ZSTD_outBuffer out{output.data(), output.size(), 0};
+      remaining = ZSTD_decompressStream(context.get(), &out, &in);
+      if (ZSTD_isError(remaining))
+        throw TraceError{path + ": " + ZSTD_getErrorName(remaining)};
+      decompressed.append(output.data(), out.pos);
     }
   }
-  trace.cut_off = left != 0;
-  google::protobuf::io::ArrayInputStream in(plain.data(), static_cast<int>(plain.size()));
+  trace.truncated = remaining != 0;
+  google::protobuf::io::ArrayInputStream input(decompressed.data(), static_cast<int>(decompressed.size()));
   bool clean_end = false;
-  for (Passed record; google::protobuf::util::ParseDelimitedFromZeroCopyStream(&record, &in, &clean_end);
+  for (Passed record; google::protobuf::util::ParseDelimitedFromZeroCopyStream(&record, &input, &clean_end);
        record.Clear())
     trace.records.push_back(record);
-  trace.cut_off = trace.cut_off || !clean_end;
+  trace.truncated = trace.truncated || !clean_end;
   return trace;
 }
 
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -1,5 +1,5 @@
-// Traces: length-delimited protobuf records in a zstd stream. A file that was cut off is read as far as it
-// goes.
+// Trace files: length-delimited protobuf records in a zstd stream. A truncated file is read up to its last
+// complete record.
 #pragma once
 
 #include <memory>
@@ -10,28 +10,31 @@
 
 namespace violettide::trace {
 
-struct Failed {
-  std::string what;  // file and cause
+// A trace file can't be opened, or is not a zstd stream.
+struct TraceError {
+  std::string message;  // the file and the cause
 };
 
+// Writes a trace file; an existing file is overwritten.
 class Writer {
  public:
-  explicit Writer(const std::string& path);  // throws Failed
+  explicit Writer(const std::string& path);  // throws TraceError
   ~Writer();                                 // ends the stream
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
-  void put(const Passed& record);
-  void flush();  // what was put can be read from now on, whatever becomes of this process
+  void append(const Passed& record);
+  // Makes the records appended so far readable, even if the process is killed afterwards.
+  void flush();
 
  private:
   class Stream;
   std::unique_ptr<Stream> stream_;
 };
 
-struct ReadTrace {
+struct TraceContents {
   std::vector<Passed> records;
-  bool cut_off = false;
+  bool truncated = false;  // the stream or its last record is incomplete
 };
-ReadTrace read(const std::string& path);  // throws Failed
+TraceContents read(const std::string& path);  // throws TraceError
 
 }  // namespace violettide::trace
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -464,7 +464,7 @@
   EXPECT_EQ(broken(audit::check(day, records), 2), 1) << "set up for an address, unasked";
 }
 
-TEST(Trace, AFileCutOffIsReadAsFarAsItGoes) {
+TEST(Trace, ReadsATruncatedFileUpToItsLastRecord) {
   const auto path =
       (std::filesystem::temp_directory_path() / ("violettide-trace-" + std::to_string(::getpid()))).string();
   {
@@ -473,23 +473,23 @@
       trace::Passed record;
       record.set_at_us(static_cast<std::uint64_t>(i));
       record.set_sid("s" + std::to_string(i * 7919));
-      writer.put(record);
+      writer.append(record);
       if (i == 500)
         writer.flush();
     }
   }
   auto whole = trace::read(path);
   EXPECT_EQ(whole.records.size(), 1000u);
-  EXPECT_FALSE(whole.cut_off);
+  EXPECT_FALSE(whole.truncated);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) - 20);
   auto cut = trace::read(path);
-  EXPECT_TRUE(cut.cut_off);
+  EXPECT_TRUE(cut.truncated);
   EXPECT_GE(cut.records.size(), 501u);
   EXPECT_LT(cut.records.size(), 1000u);
   std::ofstream(path) << "not a trace";
-  EXPECT_THROW(trace::read(path), trace::Failed);
+  EXPECT_THROW(trace::read(path), trace::TraceError);
   std::filesystem::remove(path);
-  EXPECT_THROW(trace::read(path), trace::Failed);
+  EXPECT_THROW(trace::read(path), trace::TraceError);
 }
 
 }  // namespace
