--- a/src/settings/script.cpp
+++ b/src/settings/script.cpp
@@ -131,7 +131,7 @@
 }
 
 // The hint to append to a message: the known name with the least edit distance to the typed one, or nothing
-// if none is closer than half the typed name's length plus one.
+// if that distance exceeds half the length of the typed name.
 std::string suggestion_for(const std::string& typed, const std::vector<std::string>& known) {
   std::string best;
   std::size_t best_distance = typed.size() / 2 + 1;
@@ -210,6 +210,7 @@
     }
   }
 
+  // Checks the call's arguments against the builtin's parameters and adds it to the result if they are valid.
   void execute(Scope& scope, const syntax::CallExpression& call) {
     const auto location = scope.parsed->location_of(call);
     if (call.function == "load")
@@ -315,6 +316,7 @@
     }
   }
 
+  // `location` is that of the enclosing node, for expressions that have none of their own.
   std::optional<Value> evaluate(Scope& scope, const syntax::Expression& expression, SourceLocation location) {
     if (expression.id_first >= 0)
       location = scope.parsed->location_of(expression);
@@ -441,6 +443,7 @@
   std::map<std::string, std::map<std::string, Value>> loaded_;  // variables of each evaluated file, by path
 };
 
+// Converts the items of a list, which must all hold a `Kind`.
 template <typename Kind, typename Item>
 std::vector<Item> convert_items(const Value& value, Item (*convert)(const Kind&)) {
   std::vector<Item> items;
