--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -7,6 +7,7 @@
 
 namespace violettide::settings {
 
+// The settings of one session manager and of its fleet of video servers.
 struct Deployment {
   manager::FrontTerms front;
   std::string listen_address = "127.0.0.1";
--- a/src/settings/grammar.h
+++ b/src/settings/grammar.h
@@ -38,6 +38,7 @@
 struct CallExpression;
 struct Negation;
 
+// Any expression.
 struct Expression : x3::variant<NoneLiteral, BooleanLiteral, FloatLiteral, IntegerLiteral, StringLiteral,
                                 Identifier, x3::forward_ast<ListExpression>, x3::forward_ast<DictExpression>,
                                 x3::forward_ast<CallExpression>, x3::forward_ast<Negation>>,
@@ -49,6 +50,7 @@
 struct Negation {
   Expression operand;
 };
+// `[a, b]`.
 struct ListExpression {
   std::vector<Expression> items;
 };
@@ -57,6 +59,7 @@
   Expression key;
   Expression value;
 };
+// `{"key": value}`.
 struct DictExpression {
   std::vector<DictEntry> entries;
 };
@@ -75,7 +78,9 @@
   std::string name;
   Expression value;
 };
+// A statement; a call stands alone only for its effect.
 using Statement = x3::variant<Assignment, CallExpression>;
+// The statements of one file, in order.
 using Script = std::vector<Statement>;
 
 // The outcome of parsing. With diagnostics, the tree may be incomplete.
--- a/src/settings/script.h
+++ b/src/settings/script.h
@@ -29,6 +29,7 @@
   std::string message;
   std::string to_string() const;  // file:line:column: message
 };
+// In the order found.
 using Diagnostics = std::vector<Diagnostic>;
 
 // A data rate, made by unit functions such as kB_per_s(600); 1 kB is 1000 bytes.
@@ -38,6 +39,7 @@
 struct Value;
 using List = std::vector<Value>;
 using Dict = std::vector<std::pair<std::string, Value>>;  // in the order of the script
+// The value of the literal None.
 struct None {};
 // The value of an expression, and where the script gives it.
 struct Value {
@@ -107,6 +109,7 @@
 
 // Returns a file's text; nothing if the file can't be read.
 using FileReader = std::function<std::optional<std::string>(const std::string& path)>;
+// Reads from the file system.
 std::optional<std::string> read_file(const std::string& path);
 
 // Parses and evaluates the script at `path` and the files that it loads. Throws nothing on faulty scripts:
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -22,6 +22,7 @@
   ~Writer();                                 // ends the stream
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
+  // Records are compressed in batches, so one appended is not readable before a flush or the end.
   void append(const Passed& record);
   // Makes the records appended so far readable, even if the process is killed afterwards.
   void flush();
@@ -31,10 +32,12 @@
   std::unique_ptr<Stream> stream_;
 };
 
+// What a trace file holds.
 struct TraceContents {
   std::vector<Passed> records;
   bool truncated = false;  // the stream or its last record is incomplete
 };
+// Reads a whole trace file into memory.
 TraceContents read(const std::string& path);  // throws TraceError
 
 }  // namespace violettide::trace
