--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -171,7 +171,7 @@
     if (day_.deployment.front.has_catalogue)
       feed_port_ = service_ports.at(day_.boxes.size() + 1);
     // One secret for all managers of the day: an address must outlive the process that gave it out.
-    if (day_.deployment.hls)
+    if (day_.deployment.hls_enabled)
       std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << zero << "\n";
     if (day_.deployment.front.entitlement.enabled) {
       keys_port_ = service_ports.back();
@@ -249,7 +249,7 @@
         leaked.set_kind(trace::Passed::LEAKED);
         leaked.set_manager(name(i));
         leaked.set_state(odd.record.key.team + " " + odd.record.key.viewer_session + ": " + odd.reason);
-        trace_.put(leaked);
+        trace_.append(leaked);
       }
     }
   }
@@ -282,7 +282,7 @@
         "--log",       folder_ + "/" + name(i) + ".log",
         "--ports-to",  port_file(i),
         "--seed",      std::to_string(day_.seed * 100 + static_cast<std::uint32_t>(i))};
-    if (day_.deployment.hls) {
+    if (day_.deployment.hls_enabled) {
       words.push_back("--hls-secrets");
       words.push_back(folder_ + "/hls.secrets");
     }
@@ -348,7 +348,7 @@
     record.set_kind(kind);
     record.set_manager(name(manager));
     record.set_value(value);
-    trace_.put(record);
+    trace_.append(record);
   }
 
   const DayWords& words_;
@@ -366,7 +366,7 @@
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
-    if (read.cut_off)
+    if (read.truncated)
       std::cerr << path << ": cut off after " << read.records.size() << " records\n";
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
@@ -383,9 +383,9 @@
 
 int run_day(const DayWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
-      std::cerr << mistake.text() << '\n';
+      std::cerr << mistake.to_string() << '\n';
     return 1;
   }
   const auto day = std::get<standins::Day>(std::move(read));
@@ -407,8 +407,8 @@
     std::cerr << "violettide: " << failed.what << '\n';
   } catch (const Unplayable& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const trace::TraceError& failed) {
+    std::cerr << "violettide: " << failed.message << '\n';
   } catch (const std::filesystem::filesystem_error& failed) {
     std::cerr << "violettide: " << failed.what() << '\n';
   }
@@ -417,15 +417,15 @@
 
 int run_audit(const AuditWords& words) {
   auto read = standins::read_day(words.day);
-  if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
+  if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
-      std::cerr << mistake.text() << '\n';
+      std::cerr << mistake.to_string() << '\n';
     return 1;
   }
   try {
     return audited(std::get<standins::Day>(read), words.traces);
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const trace::TraceError& failed) {
+    std::cerr << "violettide: " << failed.message << '\n';
     return 2;
   }
 }
