--- a/src/cli/catalogue.cpp
+++ b/src/cli/catalogue.cpp
@@ -1,5 +1,5 @@
-// The catalogue's sub-commands: files of a recording a line, plain or zstd, read in bounded memory; and a
-// manager's resource on a connection of its own.
+// The `catalogue` sub-commands. They read files of one recording a line, plain or zstd, in bounded memory,
+// and use the catalogue resource of a manager over one HTTP connection.
 #include <unistd.h>
 #include <zstd.h>
 
@@ -20,255 +20,268 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr std::size_t most_line = 4 * 1024 * 1024;
+// Bounds memory on input without line breaks.
+constexpr std::size_t max_line_bytes = 4 * 1024 * 1024;
 
-struct Unreadable {
+// An input that cannot be read or is invalid; `what` names the file and line.
+struct InputError {
   std::string what;
 };
 
-// A file's lines, one after another.
-class Lines {
+// Reads a plain or zstd file line by line. Throws InputError if it cannot be read, a line is over 4 MiB, or
+// the zstd stream is corrupt or truncated.
+class LineReader {
  public:
-  explicit Lines(const std::string& path)
+  explicit LineReader(const std::string& path)
       : path_(path),
         file_(std::fopen(path.c_str(), "rb"), &std::fclose),
         context_(ZSTD_createDCtx(), ZSTD_freeDCtx),
-        raw_(256 * 1024),
-        space_(256 * 1024) {
+        input_(256 * 1024),
+        output_(256 * 1024) {
     if (!file_)
-      throw Unreadable{path + ": can't be read"};
+      throw InputError{path + ": cannot read the file"};
   }
-  std::size_t number() const { return number_; }  // of the last line given
-  // The next line that is not empty.
+  std::size_t line_number() const { return line_number_; }  // of the last line returned, from 1
+  // Returns the next line that is not empty.
   std::optional<std::string> next() {
     for (;;) {
-      const auto end = plain_.find('\n', from_);
-      if (end != std::string::npos) {
-        auto line = plain_.substr(from_, end - from_);
-        from_ = end + 1;
-        ++number_;
+      const auto line_end = text_.find('\n', position_);
+      if (line_end != std::string::npos) {
+        auto line = text_.substr(position_, line_end - position_);
+        position_ = line_end + 1;
+        ++line_number_;
         if (!line.empty())
           return line;
         continue;
       }
-      plain_.erase(0, from_);
-      from_ = 0;
-      if (plain_.size() > most_line)
-        throw Unreadable{path_ + ":" + std::to_string(number_ + 1) + ": a line of over 4 MiB"};
-      if (!more()) {
-        if (unfinished_ != 0)
-          throw Unreadable{path_ + ": after line " + std::to_string(number_) +
-                           ": the zstd stream is cut off"};
-        if (plain_.empty())
+      text_.erase(0, position_);
+      position_ = 0;
+      if (text_.size() > max_line_bytes)
+        throw InputError{path_ + ":" + std::to_string(line_number_ + 1) + ": line is longer than 4 MiB"};
+      if (!read_more()) {
+        if (zstd_remaining_ != 0)
+          throw InputError{path_ + ": after line " + std::to_string(line_number_) +
+                           ": the zstd stream is truncated"};
+        if (text_.empty())
           return std::nullopt;
-        ++number_;
-        return std::exchange(plain_, {});
+        ++line_number_;
+        return std::exchange(text_, {});
       }
     }
   }
 
  private:
-  bool more() {
-    const auto count = std::fread(raw_.data(), 1, raw_.size(), file_.get());
+  // Reads and decompresses the next block; false at the end of the file.
+  bool read_more() {
+    const auto count = std::fread(input_.data(), 1, input_.size(), file_.get());
     if (count == 0)
       return false;
-    if (std::exchange(first_, false))
-      zstd_ = count >= 4 && std::string_view(raw_.data(), 4) == "\x28\xb5\x2f\xfd";
-    if (!zstd_) {
-      plain_.append(raw_.data(), count);
+    if (std::exchange(at_start_, false))
+      is_zstd_ = count >= 4 && std::string_view(input_.data(), 4) == "\x28\xb5\x2f\xfd";
+    if (!is_zstd_) {
+      text_.append(input_.data(), count);
       return true;
     }
-    ZSTD_inBuffer in{raw_.data(), count, 0};
+    ZSTD_inBuffer in{input_.data(), count, 0};
     while (in.pos < in.size) {
-      ZSTD_outBuffer out{space_.data(), space_.size(), 0};
-      unfinished_ = ZSTD_decompressStream(context_.get(), &out, &in);
-      if (ZSTD_isError(unfinished_))
-        throw Unreadable{path_ + ": after line " + std::to_string(number_) + ": " +
-                         ZSTD_getErrorName(unfinished_)};
-      plain_.append(space_.data(), out.pos);
+      ZSTD_outBuffer out{output_.data(), output_.size(), 0};
+      zstd_remaining_ = ZSTD_decompressStream(context_.get(), &out, &in);
+      if (ZSTD_isError(zstd_remaining_))
+        throw InputError{path_ + ": after line " + std::to_string(line_number_) + ": " +
+                         ZSTD_getErrorName(zstd_remaining_)};
+      text_.append(output_.data(), out.pos);
     }
     return true;
   }
   std::string path_;
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> file_;
   std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> context_;
-  std::vector<char> raw_, space_;
-  std::string plain_;
-  std::size_t from_ = 0, number_ = 0, unfinished_ = 0;
-  bool first_ = true, zstd_ = false;
+  std::vector<char> input_;
+  std::vector<char> output_;
+  std::string text_;
+  std::size_t position_ = 0;  // of the next line in text_
+  std::size_t line_number_ = 0;
+  std::size_t zstd_remaining_ = 0;  // last result of ZSTD_decompressStream; not 0: the frame is incomplete
+  bool at_start_ = true;
+  bool is_zstd_ = false;
 };
 
-catalogue::Recording recording_at(const std::string& path, std::size_t number, std::string_view line) {
+// Parses one line; throws InputError with its place in the file.
+catalogue::Recording recording_at(const std::string& path, std::size_t line_number, std::string_view line) {
   auto read = cataloguewire::read_recording(line);
-  if (const auto* bad = std::get_if<cataloguewire::JsonError>(&read))
-    throw Unreadable{path + ":" + std::to_string(number) + ": " + bad->place + ": " + bad->cause};
+  if (const auto* error = std::get_if<cataloguewire::JsonError>(&read))
+    throw InputError{path + ":" + std::to_string(line_number) + ": " + error->place + ": " + error->cause};
   return std::get<catalogue::Recording>(std::move(read));
 }
 
-// One request after another on one connection; `next` gives them, `take` hears each answer.
-class Asker : public Core {
+// Sends requests one after another on one connection. `next` returns the next request, or nothing to stop;
+// `on_response` gets each response and returns whether to go on. `error` is set if the exchange failed.
+class ManagerClient : public Core {
  public:
-  struct Ask {
+  struct Request {
     std::string method, target, body;
   };
   std::string address;
   std::uint16_t port = 0;
-  std::function<std::optional<Ask>()> next;
-  std::function<bool(int status, const std::string& body)> take;
-  std::string failed;
+  std::function<std::optional<Request>()> next;
+  std::function<bool(int status, const std::string& body)> on_response;
+  std::string error;
 
-  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
-    if (!began_) {
-      began_ = true;
+  void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
+    if (!started_) {
+      started_ = true;
       actions.push_back(Dial{1, address, port});
-      actions.push_back(StartTimer{now + limit});
-      heard_ = now;
+      actions.push_back(StartTimer{now + response_timeout});
+      last_activity_ = now;
     }
-    if (std::holds_alternative<Connected>(what))
-      return ask(actions);
-    if (const auto* received = std::get_if<Received>(&what)) {
-      heard_ = now;
-      auto part = reader_.push(received->bytes);
-      if (part.fault)
-        return end(part.fault->cause, actions);
-      if (part.head)
-        status_ = part.head->status;
-      body_ += part.body;
-      if (!part.done)
+    if (std::holds_alternative<Connected>(event))
+      return send_next(actions);
+    if (const auto* received = std::get_if<Received>(&event)) {
+      last_activity_ = now;
+      auto parsed = reader_.push(received->bytes);
+      if (parsed.fault)
+        return fail(parsed.fault->cause, actions);
+      if (parsed.head)
+        status_ = parsed.head->status;
+      body_ += parsed.body;
+      if (!parsed.done)
         return;
-      const bool on = take(status_, std::exchange(body_, {}));
-      return on ? ask(actions) : actions.push_back(StopLoop{});
+      const bool proceed = on_response(status_, std::exchange(body_, {}));
+      return proceed ? send_next(actions) : actions.push_back(StopLoop{});
     }
-    if (std::holds_alternative<Disconnected>(what) || std::holds_alternative<HalfClosed>(what))
-      return end("no connection to " + address + ":" + std::to_string(port), actions);
-    if (std::holds_alternative<ShutdownRequested>(what))
-      return end("stopped", actions);
-    if (std::holds_alternative<TimerFired>(what) && now - heard_ >= limit)
-      return end("no answer within a minute", actions);
-    if (std::holds_alternative<TimerFired>(what))
-      actions.push_back(StartTimer{heard_ + limit});
+    if (std::holds_alternative<Disconnected>(event) || std::holds_alternative<HalfClosed>(event))
+      return fail("no connection to " + address + ":" + std::to_string(port), actions);
+    if (std::holds_alternative<ShutdownRequested>(event))
+      return fail("stopped", actions);
+    if (std::holds_alternative<TimerFired>(event) && now - last_activity_ >= response_timeout)
+      return fail("no response within 60 s", actions);
+    if (std::holds_alternative<TimerFired>(event))
+      actions.push_back(StartTimer{last_activity_ + response_timeout});
   }
 
  private:
-  static constexpr Duration limit = 60s;
-  void ask(std::vector<Action>& actions) {
-    const auto one = next();
-    if (!one)
+  static constexpr Duration response_timeout = 60s;
+  void send_next(std::vector<Action>& actions) {
+    const auto request = next();
+    if (!request)
       return actions.push_back(StopLoop{});
     reader_.expect(false);
     http::Fields fields{{"Host", address},
                         {"Content-Type", "application/json"},
-                        {"Content-Length", std::to_string(one->body.size())}};
-    actions.push_back(Send{1, http::request_text(one->method, one->target, fields) + one->body});
+                        {"Content-Length", std::to_string(request->body.size())}};
+    actions.push_back(Send{1, http::request_text(request->method, request->target, fields) + request->body});
   }
-  void end(std::string cause, std::vector<Action>& actions) {
-    failed = std::move(cause);
+  void fail(std::string cause, std::vector<Action>& actions) {
+    error = std::move(cause);
     actions.push_back(StopLoop{});
   }
   http::ResponseReader reader_;
-  bool began_ = false;
+  bool started_ = false;
   int status_ = 0;
-  Duration heard_{0};
+  Duration last_activity_{0};
   std::string body_;
 };
 
-int ask_manager(const CatalogueWords& words, std::function<std::optional<Asker::Ask>()> next,
-                std::function<bool(int, const std::string&)> take) {
-  Asker asker;
-  asker.address = words.address;
-  asker.port = words.port;
-  asker.next = std::move(next);
-  asker.take = std::move(take);
-  runtime::Loop loop(asker, {}, {}, "");
+// Runs the requests against the manager; returns 2 if the connection fails.
+int run_requests(const CatalogueOptions& options, std::function<std::optional<ManagerClient::Request>()> next,
+                 std::function<bool(int, const std::string&)> on_response) {
+  ManagerClient client;
+  client.address = options.address;
+  client.port = options.port;
+  client.next = std::move(next);
+  client.on_response = std::move(on_response);
+  runtime::Loop loop(client, {}, {}, "");
   loop.run();
-  if (asker.failed.empty())
+  if (client.error.empty())
     return 0;
-  std::cerr << "violettide: " << asker.failed << '\n';
+  std::cerr << "violettide: " << client.error << '\n';
   return 2;
 }
 
-template <typename Run>
-int guarded(Run run) {
+// Runs a command; reports invalid input as exit code 1 and a runtime failure as 2.
+template <typename Command>
+int run_reporting_errors(Command command) {
   try {
-    return run();
-  } catch (const Unreadable& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+    return command();
+  } catch (const InputError& error) {
+    std::cerr << "violettide: " << error.what << '\n';
     return 1;
-  } catch (const runtime::LoopError& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+  } catch (const runtime::LoopError& error) {
+    std::cerr << "violettide: " << error.what << '\n';
     return 2;
   }
 }
 
-// One get whose answer is handed on; a refusal is told.
-int get(const CatalogueWords& words, const std::string& target,
-        const std::function<void(const std::string&)>& use) {
+// Sends one GET and passes the body of a 200 response on; prints that of any other and returns 1.
+int fetch(const CatalogueOptions& options, const std::string& target,
+          const std::function<void(const std::string&)>& on_body) {
   int result = 0;
-  bool asked = false;
-  const int code = ask_manager(
-      words,
-      [&]() -> std::optional<Asker::Ask> {
-        if (std::exchange(asked, true))
+  bool sent = false;
+  const int exit_code = run_requests(
+      options,
+      [&]() -> std::optional<ManagerClient::Request> {
+        if (std::exchange(sent, true))
           return std::nullopt;
-        return Asker::Ask{"GET", target, ""};
+        return ManagerClient::Request{"GET", target, ""};
       },
       [&](int status, const std::string& body) {
         if (status == 200)
-          use(body);
+          on_body(body);
         else
           std::cerr << body, result = 1;
         return true;
       });
-  return code ? code : result;
+  return exit_code ? exit_code : result;
 }
 
 }  // namespace
 
-int run_catalogue_check(const CatalogueWords& words) {
-  return guarded([&] {
-    std::size_t recordings = 0, locations = 0, mistakes = 0;
-    Lines lines(words.file);
+int run_catalogue_check(const CatalogueOptions& options) {
+  return run_reporting_errors([&] {
+    std::size_t recordings = 0, locations = 0, mistake_count = 0;
+    LineReader lines(options.file);
     while (const auto line = lines.next()) {
       try {
-        const auto recording = recording_at(words.file, lines.number(), *line);
+        const auto recording = recording_at(options.file, lines.line_number(), *line);
         ++recordings;
         locations += recording.locations.size();
-      } catch (const Unreadable& bad) {
-        std::cerr << bad.what << '\n';
-        if (++mistakes == 100)
+      } catch (const InputError& error) {
+        std::cerr << error.what << '\n';
+        if (++mistake_count == 100)
           break;
       }
     }
-    std::cout << words.file << ": " << recordings << " recordings, " << locations << " locations, "
-              << mistakes << " mistakes\n";
-    return mistakes == 0 ? 0 : 1;
+    std::cout << options.file << ": " << recordings << " recordings, " << locations << " locations, "
+              << mistake_count << " mistakes\n";
+    return mistake_count == 0 ? 0 : 1;
   });
 }
 
-int run_catalogue_load(const CatalogueWords& words) {
-  return guarded([&] {
-    // Read whole first: a file with a mistake loads nothing.
+int run_catalogue_load(const CatalogueOptions& options) {
+  return run_reporting_errors([&] {
+    // Validates the whole file first, so that a file with a mistake loads nothing.
     std::size_t total = 0;
-    for (Lines lines(words.file); const auto line = lines.next(); ++total)
-      recording_at(words.file, lines.number(), *line);
-    Lines lines(words.file);
+    for (LineReader lines(options.file); const auto line = lines.next(); ++total)
+      recording_at(options.file, lines.line_number(), *line);
+    LineReader lines(options.file);
     std::size_t loaded = 0, sent = 0;
     int result = 0;
     const bool terminal = isatty(STDERR_FILENO);
-    const int code = ask_manager(
-        words,
-        [&]() -> std::optional<Asker::Ask> {
+    const int exit_code = run_requests(
+        options,
+        [&]() -> std::optional<ManagerClient::Request> {
           std::vector<catalogue::Change> changes;
-          while (changes.size() < words.batch) {
+          while (changes.size() < options.batch) {
             const auto line = lines.next();
             if (!line)
               break;
-            changes.push_back(catalogue::PutRecording{recording_at(words.file, lines.number(), *line)});
+            changes.push_back(
+                catalogue::PutRecording{recording_at(options.file, lines.line_number(), *line)});
           }
           if (changes.empty())
             return std::nullopt;
           sent += changes.size();
-          return Asker::Ask{"POST", "/catalogue/changes", cataloguewire::json_text(changes)};
+          return ManagerClient::Request{"POST", "/catalogue/changes", cataloguewire::json_text(changes)};
         },
         [&](int status, const std::string& body) {
           if (status != 200) {
@@ -283,62 +296,64 @@
         });
     if (terminal)
       std::cerr << '\n';
-    if (code || result)
-      return code ? code : result;
+    if (exit_code || result)
+      return exit_code ? exit_code : result;
     std::cout << loaded << " recordings loaded\n";
     return 0;
   });
 }
 
-int run_catalogue_export(const CatalogueWords& words) {
-  return guarded([&] {
-    return get(words, "/catalogue/whole", [](const std::string& body) {
+int run_catalogue_export(const CatalogueOptions& options) {
+  return run_reporting_errors([&] {
+    return fetch(options, "/catalogue/whole", [](const std::string& body) {
       const auto json = nlohmann::json::parse(body, nullptr, false);
       if (!json.is_object() || !json.contains("recordings"))
-        throw Unreadable{"the manager's answer is no catalogue"};
+        throw InputError{"the manager's response is not a catalogue"};
       for (const auto& recording : json["recordings"])
         std::cout << recording.dump() << '\n';
     });
   });
 }
 
-int run_catalogue_show(const CatalogueWords& words) {
-  return guarded([&] {
-    const auto target = words.title.empty() ? std::string("/catalogue")
-                                            : "/catalogue/recordings/" + http::percent_encoded(words.title);
-    return get(words, target, [](const std::string& body) {
+int run_catalogue_show(const CatalogueOptions& options) {
+  return run_reporting_errors([&] {
+    const auto target = options.title.empty()
+                            ? std::string("/catalogue")
+                            : "/catalogue/recordings/" + http::percent_encoded(options.title);
+    return fetch(options, target, [](const std::string& body) {
       std::cout << nlohmann::json::parse(body, nullptr, false).dump(2) << '\n';
     });
   });
 }
 
-int run_catalogue_diff(const CatalogueWords& words) {
-  return guarded([&] {
-    const auto all = [](const std::string& path) {
+int run_catalogue_diff(const CatalogueOptions& options) {
+  return run_reporting_errors([&] {
+    const auto read_recordings = [](const std::string& path) {
       std::map<std::string, std::string> recordings;
-      Lines lines(path);
+      LineReader lines(path);
       while (const auto line = lines.next()) {
-        const auto recording = recording_at(path, lines.number(), *line);
+        const auto recording = recording_at(path, lines.line_number(), *line);
         if (!recordings.emplace(recording.title, cataloguewire::json_text(recording)).second)
-          throw Unreadable{path + ":" + std::to_string(lines.number()) + ": title: '" + recording.title +
-                           "' is named twice"};
+          throw InputError{path + ":" + std::to_string(lines.line_number()) + ": title: '" + recording.title +
+                           "' is a duplicate"};
       }
       return recordings;
     };
-    const auto before = all(words.file), after = all(words.other);
-    std::size_t differ = 0;
+    const auto before = read_recordings(options.file), after = read_recordings(options.other_file);
+    std::size_t difference_count = 0;
     for (const auto& [title, text] : before) {
       const auto found = after.find(title);
       if (found == after.end())
-        ++differ, std::cout << "- " << title << '\n';
+        ++difference_count, std::cout << "- " << title << '\n';
       else if (found->second != text)
-        ++differ, std::cout << "~ " << title << "\n  - " << text << "\n  + " << found->second << '\n';
+        ++difference_count,
+            std::cout << "~ " << title << "\n  - " << text << "\n  + " << found->second << '\n';
     }
     for (const auto& [title, text] : after) {
       if (!before.contains(title))
-        ++differ, std::cout << "+ " << title << '\n';
+        ++difference_count, std::cout << "+ " << title << '\n';
     }
-    return differ == 0 ? 0 : 1;
+    return difference_count == 0 ? 0 : 1;
   });
 }
 
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -1,5 +1,5 @@
-// Plays a day: starts the boxes, the managers and the viewers in processes of their own, kills, starts and
-// stops managers as the script says, and audits what passed.
+// The sub-commands `day` and `audit`. `day` starts the boxes, the managers and the viewers as child
+// processes, kills, starts, suspends and resumes managers as the script says, and audits the traces.
 #include "standins/day.h"
 
 #include <arpa/inet.h>
@@ -34,31 +34,34 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr auto start_limit = 10s;
-constexpr auto stop_limit = 10s;
-constexpr auto look_every = 10ms;  // at children and files, where the system gives no event to wait for
+constexpr auto start_timeout = 10s;
+constexpr auto stop_timeout = 10s;
+constexpr auto poll_interval = 10ms;  // for child exits and port files: the system gives no event for them
 
-struct Unplayable {
+// A day run that could not be completed; `what` is the cause.
+struct RunError {
   std::string what;
 };
 
-// A child process of ours, ended with us.
+// A child process that runs this executable; it is killed when the object is destroyed. Throws RunError if it
+// cannot be started.
 class Child {
  public:
   Child() = default;
-  Child(std::vector<std::string> words, const std::string& errors_to) {
+  Child(std::vector<std::string> arguments, const std::string& stderr_file) {
     std::vector<char*> pointers;
-    for (auto& word : words)
-      pointers.push_back(word.data());
+    for (auto& argument : arguments)
+      pointers.push_back(argument.data());
     pointers.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, errors_to.c_str(),
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, stderr_file.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
-    const int code = posix_spawn(&pid_, "/proc/self/exe", &actions, nullptr, pointers.data(), environ);
+    const int error_number =
+        posix_spawn(&pid_, "/proc/self/exe", &actions, nullptr, pointers.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
-    if (code)
-      throw Unplayable{"can't start '" + words[1] + "': " + std::strerror(code)};
+    if (error_number)
+      throw RunError{"cannot start '" + arguments[1] + "': " + std::strerror(error_number)};
   }
   Child(Child&& other) noexcept : pid_(std::exchange(other.pid_, 0)) {}
   Child& operator=(Child&& other) noexcept {
@@ -76,15 +79,15 @@
     if (pid_ > 0)
       kill(pid_, number);
   }
-  void end_at_once() {
+  void kill_and_wait() {
     if (pid_ <= 0)
       return;
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     pid_ = 0;
   }
-  // Its exit code, or 128 and the signal, once it has ended.
-  std::optional<int> ended() {
+  // Exit code, or 128 plus the signal number; nothing while the process runs. 0 if it was never started.
+  std::optional<int> poll_exit() {
     if (pid_ <= 0)
       return 0;
     int status = 0;
@@ -93,14 +96,15 @@
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
-  std::optional<int> wait(std::chrono::steady_clock::duration limit) {
-    const auto until = std::chrono::steady_clock::now() + limit;
+  // Waits for the exit code; nothing if the process still runs after `timeout`.
+  std::optional<int> wait(std::chrono::steady_clock::duration timeout) {
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     for (;;) {
-      if (const auto code = ended())
-        return code;
-      if (std::chrono::steady_clock::now() >= until)
+      if (const auto exit_code = poll_exit())
+        return exit_code;
+      if (std::chrono::steady_clock::now() >= deadline)
         return std::nullopt;
-      std::this_thread::sleep_for(look_every);
+      std::this_thread::sleep_for(poll_interval);
     }
   }
 
@@ -108,8 +112,9 @@
   pid_t pid_ = 0;
 };
 
-std::vector<std::uint16_t> ports_in(const std::string& path, Child& writer) {
-  const auto until = std::chrono::steady_clock::now() + start_limit;
+// Waits for the ports that a child writes once it listens. Throws RunError if it exits or takes over 10 s.
+std::vector<std::uint16_t> wait_for_ports(const std::string& path, Child& writer) {
+  const auto deadline = std::chrono::steady_clock::now() + start_timeout;
   for (;;) {
     if (std::ifstream file(path); file) {
       std::vector<std::uint16_t> ports;
@@ -118,15 +123,16 @@
       if (!ports.empty())
         return ports;
     }
-    if (const auto code = writer.ended())
-      throw Unplayable{path + ": its process ended with " + std::to_string(*code)};
-    if (std::chrono::steady_clock::now() >= until)
-      throw Unplayable{path + ": nothing listens there after 10 s"};
-    std::this_thread::sleep_for(look_every);
+    if (const auto exit_code = writer.poll_exit())
+      throw RunError{path + ": the process that writes it exited with " + std::to_string(*exit_code)};
+    if (std::chrono::steady_clock::now() >= deadline)
+      throw RunError{path + ": no ports after 10 s"};
+    std::this_thread::sleep_for(poll_interval);
   }
 }
 
-// One that nothing listens at now; managers must know each other's before they start.
+// Finds a loopback port that is free now: managers need the peer ports of each other before they start.
+// Another process can still take it until the manager listens.
 std::uint16_t free_port() {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
@@ -139,43 +145,46 @@
   if (socket >= 0)
     close(socket);
   if (!bound)
-    throw Unplayable{std::string("no port is free: ") + std::strerror(errno)};
+    throw RunError{std::string("no free port: ") + std::strerror(errno)};
   return ntohs(address.sin_port);
 }
 
-class Played {
+// One run of a day in a folder. `run` throws RunError if a process fails or does not end in time.
+class DayRun {
  public:
-  Played(const DayWords& words, const standins::Day& day, std::string folder)
-      : words_(words), day_(day), folder_(std::move(folder)), trace_(folder_ + "/day.trace") {}
+  DayRun(const DayOptions& options, const standins::Day& day, std::string folder)
+      : options_(options), day_(day), folder_(std::move(folder)), trace_(folder_ + "/day.trace") {}
 
   void run() {
-    // Guards against the ports and logs of a day that was played in this folder before.
+    // Guards against reading the ports and logs of an earlier run in this folder.
     for (const auto& entry : std::filesystem::directory_iterator(folder_)) {
       const auto kind = entry.path().extension();
       if (kind == ".ports" || kind == ".port" || kind == ".log" || kind == ".err")
         std::filesystem::remove(entry.path());
     }
-    if (const auto& gate = day_.deployment.front.entitlement.token_validator;
+    if (const auto& validator_settings = day_.deployment.front.entitlement.token_validator;
         day_.deployment.front.entitlement.enabled) {
-      const auto turns = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
+      const auto key_count = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
       std::ofstream(folder_ + "/issuer.keys")
-          << standins::Issuer::made(gate.issuer, gate.audience, turns).written();
+          << standins::Issuer::made(validator_settings.issuer, validator_settings.audience, key_count)
+                 .written();
     }
-    const auto zero = runtime::Loop::machine_clock_us() + 1'500'000;  // for everybody to have started
-    const auto zero_text = std::to_string(zero);
-    Child boxes({"violettide", "boxes", words_.day, "--folder", folder_, "--zero-us", zero_text, "--ports-to",
-                 folder_ + "/boxes.ports"},
+    const auto day_start_us =
+        runtime::Loop::machine_clock_us() + 1'500'000;  // leaves 1.5 s for all processes to start
+    const auto day_start_text = std::to_string(day_start_us);
+    Child boxes({"violettide", "boxes", options_.day_file, "--folder", folder_, "--zero-us", day_start_text,
+                 "--ports-to", folder_ + "/boxes.ports"},
                 folder_ + "/boxes.err");
-    const auto service_ports = ports_in(folder_ + "/boxes.ports", boxes);
+    const auto service_ports = wait_for_ports(folder_ + "/boxes.ports", boxes);
     list_port_ = service_ports.at(day_.boxes.size());
     if (day_.deployment.front.has_catalogue)
       feed_port_ = service_ports.at(day_.boxes.size() + 1);
-    // One secret for all managers of the day: an address must outlive the process that gave it out.
+    // All managers of the day share one secret: a URL must stay valid after the process that signed it ends.
     if (day_.deployment.hls)
-      std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << zero << "\n";
+      std::ofstream(folder_ + "/hls.secrets") << "day " << day_.seed << " " << day_start_us << "\n";
     if (day_.deployment.front.entitlement.enabled) {
       keys_port_ = service_ports.back();
-      std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << zero << "\n";
+      std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << day_start_us << "\n";
       for (int i = 0; i < day_.managers; ++i)
         peer_ports_.push_back(free_port());
     }
@@ -183,175 +192,184 @@
     ports_.resize(managers_.size());
     for (int i = 0; i < day_.managers; ++i) {
       start(i);
-      ports_[i] = ports_in(port_file(i), managers_[i]).front();
+      ports_[i] = wait_for_ports(port_file(i), managers_[i]).front();
     }
-    std::vector<std::string> watch{"violettide", "viewers",   words_.day, "--folder",
-                                   folder_,      "--zero-us", zero_text};
+    std::vector<std::string> viewer_arguments{"violettide", "viewers",   options_.day_file, "--folder",
+                                              folder_,      "--zero-us", day_start_text};
     for (int i = 0; i < day_.managers; ++i) {
-      watch.push_back("--manager");
-      watch.push_back(name(i) + ":" + hall(i) + ":" + std::to_string(ports_[i]));
+      viewer_arguments.push_back("--manager");
+      viewer_arguments.push_back(manager_name(i) + ":" + manager_hall(i) + ":" + std::to_string(ports_[i]));
     }
-    Child viewers(watch, folder_ + "/viewers.err");
-    std::vector<Deed> deeds = script();
+    Child viewers(viewer_arguments, folder_ + "/viewers.err");
+    std::vector<PlannedAction> actions = planned_actions();
     std::size_t next = 0;
-    Duration longest{0};
+    Duration longest_abandon_time{0};
     for (const auto& plan : day_.deployment.front.plans)
-      longest = std::max(longest, plan.abandon_time);
-    const auto give_up = zero + static_cast<std::uint64_t>((day_.length + 4 * longest).count()) + 10'000'000;
-    std::optional<int> over;
-    while (!(over = viewers.ended())) {
+      longest_abandon_time = std::max(longest_abandon_time, plan.abandon_time);
+    const auto deadline_us = day_start_us +
+                             static_cast<std::uint64_t>((day_.length + 4 * longest_abandon_time).count()) +
+                             10'000'000;
+    std::optional<int> viewers_exit_code;
+    while (!(viewers_exit_code = viewers.poll_exit())) {
       const auto now = runtime::Loop::machine_clock_us();
-      while (next < deeds.size() && zero + static_cast<std::uint64_t>(deeds[next].at.count()) <= now)
-        perform(deeds[next++]);
+      while (next < actions.size() &&
+             day_start_us + static_cast<std::uint64_t>(actions[next].at.count()) <= now)
+        execute(actions[next++]);
       for (std::size_t i = 0; i < managers_.size(); ++i) {
-        if (down_[static_cast<int>(i)])
+        if (is_down_[static_cast<int>(i)])
           continue;
-        if (const auto code = managers_[i].ended())
-          throw Unplayable{name(static_cast<int>(i)) + " ended by itself with " + std::to_string(*code) +
-                           ": see " + folder_};
+        if (const auto exit_code = managers_[i].poll_exit())
+          throw RunError{manager_name(static_cast<int>(i)) + " exited unexpectedly with " +
+                         std::to_string(*exit_code) + ": see " + folder_};
       }
-      if (now > give_up)
-        throw Unplayable{"the viewers did not end"};
-      std::this_thread::sleep_for(look_every);
+      if (now > deadline_us)
+        throw RunError{"the viewers did not end in time"};
+      std::this_thread::sleep_for(poll_interval);
     }
-    if (*over != 0)
-      throw Unplayable{"the viewers ended with " + std::to_string(*over) + ": see " + folder_};
-    const auto stopped = std::chrono::system_clock::now();
+    if (*viewers_exit_code != 0)
+      throw RunError{"the viewers exited with " + std::to_string(*viewers_exit_code) + ": see " + folder_};
+    const auto stopped_at = std::chrono::system_clock::now();
     for (auto& manager : managers_)
       manager.signal(SIGCONT), manager.signal(SIGTERM);
     for (std::size_t i = 0; i < managers_.size(); ++i) {
-      const auto code = managers_[i].wait(stop_limit);
-      if (!code || *code != 0)
-        throw Unplayable{name(static_cast<int>(i)) + (code ? " ended with " + std::to_string(*code)
-                                                           : std::string(" did not stop when asked"))};
+      const auto exit_code = managers_[i].wait(stop_timeout);
+      if (!exit_code || *exit_code != 0)
+        throw RunError{manager_name(static_cast<int>(i)) +
+                       (exit_code ? " exited with " + std::to_string(*exit_code)
+                                  : std::string(" did not stop within 10 s of SIGTERM"))};
     }
     boxes.signal(SIGTERM);
-    const auto code = boxes.wait(stop_limit);
-    if (!code || *code != 0)
-      throw Unplayable{"the boxes ended with " + (code ? std::to_string(*code) : std::string("nothing")) +
-                       ": see " + folder_};
+    const auto exit_code = boxes.wait(stop_timeout);
+    if (!exit_code || *exit_code != 0)
+      throw RunError{"the boxes did not stop cleanly; exit code: " +
+                     (exit_code ? std::to_string(*exit_code) : std::string("none within 10 s")) + ": see " +
+                     folder_};
     if (day_.deployment.front.entitlement.enabled)
-      look_for_leaks(stopped);
+      record_leaked_seats(stopped_at);
     trace_.flush();
   }
 
  private:
-  // What a manager's log still gave out long after its token's time when it was stopped, it had leaked.
-  void look_for_leaks(std::chrono::system_clock::time_point stopped) {
-    // A second for a stalled manager to catch up.
+  // Records a LEAKED event for each anomaly in the seat logs of the stopped managers: a grant past its
+  // expiry, or one whose claim holds another seat too.
+  void record_leaked_seats(std::chrono::system_clock::time_point stopped_at) {
+    // Allows 1 s for a stalled manager to catch up.
     const auto& skew = day_.deployment.front.entitlement.ledger.skew;
-    const auto at = std::chrono::duration_cast<Duration>(stopped.time_since_epoch()) - skew - 1s;
+    const auto at = std::chrono::duration_cast<Duration>(stopped_at.time_since_epoch()) - skew - 1s;
     for (int i = 0; i < day_.managers; ++i) {
-      for (const auto& odd :
-           entitlement::find_anomalies(entitlement::SeatLog::read_records(folder_ + "/" + name(i)), at)) {
-        trace::Passed leaked;
-        leaked.set_at_us(runtime::Loop::machine_clock_us());
-        leaked.set_kind(trace::Passed::LEAKED);
-        leaked.set_manager(name(i));
-        leaked.set_state(odd.record.key.team + " " + odd.record.key.viewer_session + ": " + odd.reason);
-        trace_.put(leaked);
+      for (const auto& anomaly : entitlement::find_anomalies(
+               entitlement::SeatLog::read_records(folder_ + "/" + manager_name(i)), at)) {
+        trace::Passed record;
+        record.set_at_us(runtime::Loop::machine_clock_us());
+        record.set_kind(trace::Passed::LEAKED);
+        record.set_manager(manager_name(i));
+        record.set_state(anomaly.record.key.team + " " + anomaly.record.key.viewer_session + ": " +
+                         anomaly.reason);
+        trace_.put(record);
       }
     }
   }
 
-  struct Deed {
+  // An action on a manager process; `at` counts from the start of the day.
+  struct PlannedAction {
     Duration at;
-    enum class What { kill, start, stop, go_on } what;
+    enum class Kind { kill, start, suspend, resume } kind;
     int manager;
-    double size = 0;
+    double stall_s = 0;  // planned length of a stall, in seconds
   };
-  std::string name(int i) const { return "manager-" + std::to_string(i); }
-  std::string hall(int i) const {
+  std::string manager_name(int i) const { return "manager-" + std::to_string(i); }
+  std::string manager_hall(int i) const {
     return day_.deployment.front.halls[static_cast<std::size_t>(i) % day_.deployment.front.halls.size()];
   }
-  std::string port_file(int i) const { return folder_ + "/" + name(i) + ".port"; }
+  std::string port_file(int i) const { return folder_ + "/" + manager_name(i) + ".port"; }
 
   void start(int i) {
-    const auto keep = folder_ + "/" + name(i);
-    std::filesystem::create_directories(keep);
-    std::vector<std::string> words{
+    const auto state_folder = folder_ + "/" + manager_name(i);
+    std::filesystem::create_directories(state_folder);
+    std::vector<std::string> arguments{
         "violettide",  "serve",
-        "--settings",  words_.day,
-        "--name",      name(i),
-        "--hall",      hall(i),
+        "--settings",  options_.day_file,
+        "--name",      manager_name(i),
+        "--hall",      manager_hall(i),
         "--port",      std::to_string(ports_[i]),
         "--list-port", std::to_string(list_port_),
         "--fronts",    std::to_string(day_.managers),
         "--number",    std::to_string(i),
-        "--keep-in",   keep,
-        "--log",       folder_ + "/" + name(i) + ".log",
+        "--keep-in",   state_folder,
+        "--log",       folder_ + "/" + manager_name(i) + ".log",
         "--ports-to",  port_file(i),
         "--seed",      std::to_string(day_.seed * 100 + static_cast<std::uint32_t>(i))};
     if (day_.deployment.hls) {
-      words.push_back("--hls-secrets");
-      words.push_back(folder_ + "/hls.secrets");
+      arguments.push_back("--hls-secrets");
+      arguments.push_back(folder_ + "/hls.secrets");
     }
     if (feed_port_ != 0) {
-      words.push_back("--feed-port");
-      words.push_back(std::to_string(feed_port_));
+      arguments.push_back("--feed-port");
+      arguments.push_back(std::to_string(feed_port_));
     }
     if (day_.deployment.front.entitlement.enabled) {
-      words.insert(words.end(),
-                   {"--keys-port", std::to_string(keys_port_), "--peers-key", folder_ + "/peers.key"});
+      arguments.insert(arguments.end(),
+                       {"--keys-port", std::to_string(keys_port_), "--peers-key", folder_ + "/peers.key"});
       for (int p = 0; p < day_.managers; ++p) {
-        words.push_back("--peer");
-        words.push_back(name(p) + ":" + std::to_string(peer_ports_[static_cast<std::size_t>(p)]));
+        arguments.push_back("--peer");
+        arguments.push_back(manager_name(p) + ":" + std::to_string(peer_ports_[static_cast<std::size_t>(p)]));
       }
     }
-    put(trace::Passed::STARTED, i);
-    managers_[i] = Child(words, folder_ + "/" + name(i) + ".err");
-    down_[i] = false;
+    record_event(trace::Passed::STARTED, i);
+    managers_[i] = Child(arguments, folder_ + "/" + manager_name(i) + ".err");
+    is_down_[i] = false;
   }
 
-  std::vector<Deed> script() const {
-    std::vector<Deed> deeds;
+  // The restarts and stalls of the day's troubles, in order of time.
+  std::vector<PlannedAction> planned_actions() const {
+    std::vector<PlannedAction> actions;
     for (const auto& trouble : day_.troubles) {
       const auto count = static_cast<std::int64_t>(trouble.whom.size());
       for (std::int64_t k = 0; k < count; ++k) {
-        const int whom = trouble.whom[static_cast<std::size_t>(k)];
+        const int manager = trouble.whom[static_cast<std::size_t>(k)];
         if (trouble.ill == standins::Ill::roll) {
           const Duration at = trouble.at + trouble.lasts * k / count;
-          deeds.push_back({at, Deed::What::kill, whom});
-          deeds.push_back(
-              {at + Duration(static_cast<std::int64_t>(trouble.size * 1e6)), Deed::What::start, whom});
+          actions.push_back({at, PlannedAction::Kind::kill, manager});
+          actions.push_back({at + Duration(static_cast<std::int64_t>(trouble.size * 1e6)),
+                             PlannedAction::Kind::start, manager});
         } else if (trouble.ill == standins::Ill::stall) {
-          deeds.push_back(
-              {trouble.at, Deed::What::stop, whom, std::chrono::duration<double>(trouble.lasts).count()});
-          deeds.push_back({trouble.at + trouble.lasts, Deed::What::go_on, whom});
+          actions.push_back({trouble.at, PlannedAction::Kind::suspend, manager,
+                             std::chrono::duration<double>(trouble.lasts).count()});
+          actions.push_back({trouble.at + trouble.lasts, PlannedAction::Kind::resume, manager});
         }
       }
     }
-    std::stable_sort(deeds.begin(), deeds.end(), [](auto& a, auto& b) { return a.at < b.at; });
-    return deeds;
+    std::stable_sort(actions.begin(), actions.end(), [](auto& a, auto& b) { return a.at < b.at; });
+    return actions;
   }
 
-  void perform(const Deed& deed) {
-    switch (deed.what) {
-      case Deed::What::kill:
-        put(trace::Passed::KILLED, deed.manager);
-        managers_[deed.manager].end_at_once();
-        down_[deed.manager] = true;
+  void execute(const PlannedAction& action) {
+    switch (action.kind) {
+      case PlannedAction::Kind::kill:
+        record_event(trace::Passed::KILLED, action.manager);
+        managers_[action.manager].kill_and_wait();
+        is_down_[action.manager] = true;
         return;
-      case Deed::What::start:
-        return start(deed.manager);
-      case Deed::What::stop:
-        put(trace::Passed::STOOD_STILL, deed.manager, deed.size + 0.2);
-        return managers_[deed.manager].signal(SIGSTOP);
-      case Deed::What::go_on:
-        return managers_[deed.manager].signal(SIGCONT);
+      case PlannedAction::Kind::start:
+        return start(action.manager);
+      case PlannedAction::Kind::suspend:
+        record_event(trace::Passed::STOOD_STILL, action.manager, action.stall_s + 0.2);
+        return managers_[action.manager].signal(SIGSTOP);
+      case PlannedAction::Kind::resume:
+        return managers_[action.manager].signal(SIGCONT);
     }
   }
 
-  void put(trace::Passed::Kind kind, int manager, double value = 0) {
+  void record_event(trace::Passed::Kind kind, int manager, double value = 0) {
     trace::Passed record;
     record.set_at_us(runtime::Loop::machine_clock_us());
     record.set_kind(kind);
-    record.set_manager(name(manager));
+    record.set_manager(manager_name(manager));
     record.set_value(value);
     trace_.put(record);
   }
 
-  const DayWords& words_;
+  const DayOptions& options_;
   const standins::Day& day_;
   std::string folder_;
   trace::Writer trace_;
@@ -359,15 +377,17 @@
   std::vector<std::uint16_t> peer_ports_;
   std::vector<Child> managers_;
   std::vector<std::uint16_t> ports_;
-  std::map<int, bool> down_;
+  std::map<int, bool> is_down_;
 };
 
-int audited(const standins::Day& day, const std::vector<std::string>& traces) {
+// Prints the verdict on the traces. Returns 1 if a rule was broken, or if no playback was requested, as the
+// rules then hold for lack of events.
+int audit_traces(const standins::Day& day, const std::vector<std::string>& traces) {
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
     if (read.cut_off)
-      std::cerr << path << ": cut off after " << read.records.size() << " records\n";
+      std::cerr << path << ": truncated after " << read.records.size() << " records\n";
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
   const auto verdict = audit::check(day, std::move(records));
@@ -381,8 +401,8 @@
 
 }  // namespace
 
-int run_day(const DayWords& words) {
-  auto read = standins::read_day(words.day);
+int run_day(const DayOptions& options) {
+  auto read = standins::read_day(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.text() << '\n';
@@ -390,42 +410,42 @@
   }
   const auto day = std::get<standins::Day>(std::move(read));
   try {
-    auto folder = words.folder;
+    auto folder = options.folder;
     if (folder.empty()) {
       auto pattern = (std::filesystem::temp_directory_path() / "violettide-day-XXXXXX").string();
       if (!mkdtemp(pattern.data()))
-        throw Unplayable{pattern + ": " + std::strerror(errno)};
+        throw RunError{pattern + ": " + std::strerror(errno)};
       folder = pattern;
     }
     std::filesystem::create_directories(folder);
-    std::cout << words.day << ": " << day.boxes.size() << " boxes, " << day.managers << " managers, "
+    std::cout << options.day_file << ": " << day.boxes.size() << " boxes, " << day.managers << " managers, "
               << std::chrono::duration<double>(day.length).count() << " s, " << day.troubles.size()
               << " troubles; traces in " << folder << std::endl;
-    Played(words, day, folder).run();
-    return audited(day, {folder + "/viewers.trace", folder + "/boxes.trace", folder + "/day.trace"});
-  } catch (const entitlement::SeatLog::Error& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const Unplayable& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const std::filesystem::filesystem_error& failed) {
-    std::cerr << "violettide: " << failed.what() << '\n';
+    DayRun(options, day, folder).run();
+    return audit_traces(day, {folder + "/viewers.trace", folder + "/boxes.trace", folder + "/day.trace"});
+  } catch (const entitlement::SeatLog::Error& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const RunError& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const trace::Failed& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const std::filesystem::filesystem_error& error) {
+    std::cerr << "violettide: " << error.what() << '\n';
   }
   return 2;
 }
 
-int run_audit(const AuditWords& words) {
-  auto read = standins::read_day(words.day);
+int run_audit(const AuditOptions& options) {
+  auto read = standins::read_day(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.text() << '\n';
     return 1;
   }
   try {
-    return audited(std::get<standins::Day>(read), words.traces);
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
+    return audit_traces(std::get<standins::Day>(read), options.traces);
+  } catch (const trace::Failed& error) {
+    std::cerr << "violettide: " << error.what << '\n';
     return 2;
   }
 }
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -1,4 +1,5 @@
-// The session manager on the operators' platform: told by the environment, driven by the runtime.
+// The `platform` sub-command: runs a session manager on the operators' platform, configured by environment
+// variables.
 #include "platform/platform.h"
 
 #include <chrono>
@@ -13,48 +14,50 @@
 
 namespace {
 
-std::string told(const char* name) {
+// Returns an empty string if the variable is not set.
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
-int wrong(const std::string& what) {
-  std::cerr << "violettide: " << what << '\n';
+// Reports an error and returns the exit code 2.
+int fail(const std::string& message) {
+  std::cerr << "violettide: " << message << '\n';
   return 2;
 }
 
 }  // namespace
 
 int run_platform() {
-  const auto path = told("GW_CONFIG");
+  const auto path = environment_variable("GW_CONFIG");
   if (path.empty())
-    return wrong("GW_CONFIG: expected the configuration file's path");
+    return fail("GW_CONFIG: expected the path of the configuration file");
   const auto text = settings::file_text(path);
   if (!text)
-    return wrong(path + ": can't be read");
-  auto read = platform::parse_platform_config(*text);
-  if (const auto* fault = std::get_if<platform::ConfigError>(&read))
-    return wrong(path + ": " + fault->message);
-  auto terms = std::get<platform::PlatformConfig>(std::move(read));
-  if (const auto name = told("GW_NAME"); !name.empty())
-    terms.name = name;
-  if (const auto listen = told("GW_LISTEN"); !listen.empty()) {
-    const auto place = platform::parse_endpoint(listen);
-    if (!place)
-      return wrong("GW_LISTEN: expected address:port");
-    terms.listen = *place;
+    return fail(path + ": cannot read the file");
+  auto parsed = platform::parse_platform_config(*text);
+  if (const auto* error = std::get_if<platform::ConfigError>(&parsed))
+    return fail(path + ": " + error->message);
+  auto config = std::get<platform::PlatformConfig>(std::move(parsed));
+  if (const auto name = environment_variable("GW_NAME"); !name.empty())
+    config.name = name;
+  if (const auto listen = environment_variable("GW_LISTEN"); !listen.empty()) {
+    const auto endpoint = platform::parse_endpoint(listen);
+    if (!endpoint)
+      return fail("GW_LISTEN: expected address:port");
+    config.listen = *endpoint;
   }
-  terms.wall_clock_offset =
+  config.wall_clock_offset =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   try {
-    const auto place = terms.listen;
-    const auto name = terms.name;
-    platform::Platform core(std::move(terms), nullptr);
-    runtime::Loop loop(core, {{place.address, place.port}}, log_to("", name), "");
+    const auto endpoint = config.listen;
+    const auto name = config.name;
+    platform::Platform platform_core(std::move(config), nullptr);
+    runtime::Loop loop(platform_core, {{endpoint.address, endpoint.port}}, make_log_sink("", name), "");
     loop.reload_on_sighup(path);
     loop.run();
-  } catch (const runtime::LoopError& failed) {
-    return wrong(failed.what);
+  } catch (const runtime::LoopError& error) {
+    return fail(error.what);
   }
   return 0;
 }
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -1,4 +1,5 @@
-// The sub-commands that stand and serve: one core each, driven by the runtime.
+// The sub-commands `serve`, `boxes` and `viewers`, which each run one core in an event loop, and `check` and
+// `seats`.
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -25,7 +26,8 @@
 
 namespace {
 
-int tell(const settings::Mistakes& mistakes) {
+// Prints the mistakes of a script; returns the exit code 1.
+int report_mistakes(const settings::Mistakes& mistakes) {
   for (const auto& mistake : mistakes)
     std::cerr << mistake.text() << '\n';
   std::cerr << mistakes.size() << (mistakes.size() == 1 ? " mistake\n" : " mistakes\n");
@@ -34,24 +36,25 @@
 
 }  // namespace
 
-std::function<void(Duration, const LogLine&)> log_to(const std::string& file, const std::string& who) {
+std::function<void(Duration, const LogLine&)> make_log_sink(const std::string& file, const std::string& who) {
   auto logger =
       file.empty()
           ? std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_mt>())
           : std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::basic_file_sink_mt>(file));
   logger->set_pattern("%v");
   logger->flush_on(spdlog::level::warn);
-  return [logger, who](Duration now, const LogLine& said) {
+  return [logger, who](Duration now, const LogLine& entry) {
     nlohmann::ordered_json line{
-        {"t", static_cast<double>(now.count()) / 1e6}, {"who", who}, {"event", said.event}};
-    for (const auto& [name, value] : said.fields)
-      std::visit([&](const auto& held) { line[name] = held; }, value);
+        {"t", static_cast<double>(now.count()) / 1e6}, {"who", who}, {"event", entry.event}};
+    for (const auto& [name, value] : entry.fields)
+      std::visit([&](const auto& field_value) { line[name] = field_value; }, value);
     logger->info(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   };
 }
 
 namespace {
 
+// Renames the file into place, so that a reader never sees it half written.
 void write_ports(const std::string& path, const std::vector<std::uint16_t>& ports) {
   if (path.empty())
     return;
@@ -63,13 +66,15 @@
   std::rename((path + ".new").c_str(), path.c_str());
 }
 
-Duration into_day(std::uint64_t origin_us, std::uint64_t zero_us) {
-  if (zero_us == 0)
+// Time in the day at which the loop's clock started; 0 if no day start is given.
+Duration time_since_day_start(std::uint64_t origin_us, std::uint64_t day_start_us) {
+  if (day_start_us == 0)
     return Duration(0);
-  return Duration(static_cast<std::int64_t>(origin_us) - static_cast<std::int64_t>(zero_us));
+  return Duration(static_cast<std::int64_t>(origin_us) - static_cast<std::int64_t>(day_start_us));
 }
 
-// Flushes a trace now and then, so that a reader finds it nearly whole at any time.
+// Writes a trace and flushes it every 512 records, so that a reader finds it nearly complete at any time.
+// Writes nothing without a folder.
 class TraceFile {
  public:
   explicit TraceFile(const std::string& folder, const std::string& name) {
@@ -89,30 +94,31 @@
   std::size_t count_ = 0;
 };
 
-// A core made after its loop, as it must know the ports that the loop bound.
-class Later : public Core {
+// Forwards events to a core that is created after the loop, as it needs the ports that the loop bound.
+class DeferredCore : public Core {
  public:
-  void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override {
+  void handle(Duration now, const IoEvent& event, std::vector<Action>& actions) override {
     if (core)
-      core->handle(now, what, actions);
+      core->handle(now, event, actions);
   }
   std::unique_ptr<Core> core;
 };
 
-template <typename Run>
-int guarded(Run run) {
+// Runs a command and reports a failure as exit code 2.
+template <typename Command>
+int run_reporting_errors(Command command) {
   try {
-    return run();
-  } catch (const runtime::LoopError& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const trace::Failed& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const entitlement::SeatLog::Error& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const cataloguestore::StoreError& failed) {
-    std::cerr << "violettide: " << failed.what << '\n';
-  } catch (const spdlog::spdlog_ex& failed) {
-    std::cerr << "violettide: " << failed.what() << '\n';
+    return command();
+  } catch (const runtime::LoopError& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const trace::Failed& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const entitlement::SeatLog::Error& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const cataloguestore::StoreError& error) {
+    std::cerr << "violettide: " << error.what << '\n';
+  } catch (const spdlog::spdlog_ex& error) {
+    std::cerr << "violettide: " << error.what() << '\n';
   }
   return 2;
 }
@@ -120,7 +126,7 @@
 }  // namespace
 
 int run_check(const std::string& file) {
-  // A file with a day's calls is a day; the rest are settings.
+  // A file that calls day() is a day script; any other is a settings script.
   auto day = standins::read_day(file);
   if (std::holds_alternative<standins::Day>(day)) {
     std::cout << file << ": a day without mistakes\n";
@@ -133,20 +139,21 @@
       std::cout << file << ": settings without mistakes\n";
       return 0;
     }
-    return tell(std::get<settings::Mistakes>(day));
+    return report_mistakes(std::get<settings::Mistakes>(day));
   }
-  return tell(std::get<settings::Mistakes>(settings));
+  return report_mistakes(std::get<settings::Mistakes>(settings));
 }
 
 namespace {
 
-// Two books on one disk thread: the catalogue's and the seats', told apart by their tickets.
-class Books : public runtime::Storage {
+// Dispatches the writes of the storage thread to the catalogue store or the seat log, by ticket range.
+class StorageDispatcher : public runtime::Storage {
  public:
-  Books(runtime::Storage* catalogue, runtime::Storage* seats) : catalogue_(catalogue), seats_(seats) {}
-  std::string persist(std::uint64_t ticket, const std::string& bytes, bool whole) override {
-    auto* book = ticket >= first_seat_ticket ? seats_ : catalogue_;
-    return book ? book->persist(ticket, bytes, whole) : "";
+  StorageDispatcher(runtime::Storage* catalogue, runtime::Storage* seats)
+      : catalogue_(catalogue), seats_(seats) {}
+  std::string persist(std::uint64_t ticket, const std::string& bytes, bool replaces_all) override {
+    auto* target = ticket >= first_seat_ticket ? seats_ : catalogue_;
+    return target ? target->persist(ticket, bytes, replaces_all) : "";
   }
 
  private:
@@ -154,48 +161,51 @@
   runtime::Storage* seats_;
 };
 
-// The managers of the hall by words in place of the settings', this one's place among them, and their key.
-bool take_peers(const ServeWords& words, const std::string& key_from, const std::string& own,
-                peers::PeerSettings& terms) {
-  if (!words.peers.empty())
-    terms.managers.clear();
-  for (const auto& word : words.peers) {
-    const auto colon = word.rfind(':');
-    const int port = colon == std::string::npos ? 0 : std::atoi(word.c_str() + colon + 1);
+// Applies --peer and --peers-key, finds this manager among its peers and reads their shared key. Reports an
+// error and returns false if a peer is malformed, this manager is not among them, or there is no key.
+bool apply_peer_options(const ServeOptions& options, const std::string& settings_key_file,
+                        const std::string& own_name, peers::PeerSettings& peer_settings) {
+  if (!options.peers.empty())
+    peer_settings.managers.clear();
+  for (const auto& argument : options.peers) {
+    const auto colon = argument.rfind(':');
+    const int port = colon == std::string::npos ? 0 : std::atoi(argument.c_str() + colon + 1);
     if (port < 1 || port > 65535) {
-      std::cerr << "violettide: --peer " << word << ": expected NAME:PORT\n";
+      std::cerr << "violettide: --peer " << argument << ": expected NAME:PORT\n";
       return false;
     }
-    terms.managers.push_back({word.substr(0, colon), "127.0.0.1", static_cast<std::uint16_t>(port)});
+    peer_settings.managers.push_back(
+        {argument.substr(0, colon), "127.0.0.1", static_cast<std::uint16_t>(port)});
   }
-  if (terms.managers.empty())
+  if (peer_settings.managers.empty())
     return true;
-  const auto at = std::find_if(terms.managers.begin(), terms.managers.end(),
-                               [&](auto& peer) { return peer.name == own; });
-  if (at == terms.managers.end()) {
-    std::cerr << "violettide: no peer is named '" << own << "', as this manager is\n";
+  const auto at = std::find_if(peer_settings.managers.begin(), peer_settings.managers.end(),
+                               [&](auto& peer) { return peer.name == own_name; });
+  if (at == peer_settings.managers.end()) {
+    std::cerr << "violettide: no peer has the name of this manager, '" << own_name << "'\n";
     return false;
   }
-  terms.self = static_cast<peers::PeerIndex>(at - terms.managers.begin());
-  const auto file = words.peers_key.empty() ? key_from : words.peers_key;
+  peer_settings.self = static_cast<peers::PeerIndex>(at - peer_settings.managers.begin());
+  const auto file = options.peers_key_file.empty() ? settings_key_file : options.peers_key_file;
   if (!file.empty()) {
     std::ifstream lines(file);
-    if (!std::getline(lines, terms.key)) {
-      std::cerr << "violettide: " << file << ": " << (lines.is_open() ? "no key in it" : std::strerror(errno))
-                << '\n';
+    if (!std::getline(lines, peer_settings.key)) {
+      std::cerr << "violettide: " << file << ": "
+                << (lines.is_open() ? "the file has no key" : std::strerror(errno)) << '\n';
       return false;
     }
   }
-  if (terms.key.empty()) {
-    std::cerr << "violettide: managers that speak to each other take a key: peers(key_from = ...)\n";
+  if (peer_settings.key.empty()) {
+    std::cerr << "violettide: peers need a shared key: peers(key_from = ...), or --peers-key\n";
     return false;
   }
   return true;
 }
 
-// The second front's secrets: of a file, of the settings, or one of chance, whose addresses end with this
-// process. False, and told, where the file has none.
-bool take_secrets(const std::string& file, std::vector<std::string>& secrets) {
+// Reads the secrets that sign HLS URLs from the file, if given, else keeps those of the settings. Without
+// any, draws a random one: its URLs are invalid once this process ends. Reports an error and returns false if
+// the file cannot be read or has no secret.
+bool load_hls_secrets(const std::string& file, std::vector<std::string>& secrets) {
   if (!file.empty()) {
     std::ifstream lines(file);
     if (!lines) {
@@ -208,140 +218,141 @@
         secrets.push_back(line);
     }
     if (secrets.empty()) {
-      std::cerr << "violettide: " << file << ": no secret in it\n";
+      std::cerr << "violettide: " << file << ": the file has no secret\n";
       return false;
     }
   }
   if (secrets.empty()) {
-    std::random_device chance;
+    std::random_device random;
     std::string secret;
     for (int i = 0; i < 8; ++i) {
-      const auto word = chance();
-      secret.append(reinterpret_cast<const char*>(&word), sizeof word);
+      const auto random_word = random();
+      secret.append(reinterpret_cast<const char*>(&random_word), sizeof random_word);
     }
     secrets.push_back(secret);
-    std::cerr << "violettide: no secret is set: HLS addresses end with this process\n";
+    std::cerr << "violettide: no HLS secret is set: HLS URLs become invalid when this process ends\n";
   }
   return true;
 }
 
-std::uint64_t drawn_seed() {
-  std::random_device chance;
-  return std::uint64_t{chance()} << 32 | chance();
+std::uint64_t random_seed() {
+  std::random_device random;
+  return std::uint64_t{random()} << 32 | random();
 }
 
 }  // namespace
 
-int run_serve(const ServeWords& words) {
-  auto read = standins::read_settings(words.settings);
+int run_serve(const ServeOptions& options) {
+  auto read = standins::read_settings(options.settings_file);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
-    return tell(*mistakes);
+    return report_mistakes(*mistakes);
   auto deployment = std::get<settings::Deployment>(std::move(read));
   auto& front = deployment.front;
-  if (!words.name.empty())
-    front.name = words.name;
-  if (words.list_port)
-    front.box_list_port = *words.list_port;
-  if (words.port)
-    deployment.listen_port = *words.port;
-  if (words.control_port)
-    deployment.control_port = *words.control_port;
-  if (words.feed_port)
-    front.feed_port = *words.feed_port;
-  if (words.fronts)
-    front.policy.front_count = *words.fronts;
-  if (!words.keep_in.empty())
-    deployment.keep_in = words.keep_in;
-  if (!words.hall.empty()) {
-    const auto at = std::find(front.halls.begin(), front.halls.end(), words.hall);
+  if (!options.name.empty())
+    front.name = options.name;
+  if (options.list_port)
+    front.box_list_port = *options.list_port;
+  if (options.port)
+    deployment.listen_port = *options.port;
+  if (options.control_port)
+    deployment.control_port = *options.control_port;
+  if (options.feed_port)
+    front.feed_port = *options.feed_port;
+  if (options.front_count)
+    front.policy.front_count = *options.front_count;
+  if (!options.state_folder.empty())
+    deployment.keep_in = options.state_folder;
+  if (!options.hall.empty()) {
+    const auto at = std::find(front.halls.begin(), front.halls.end(), options.hall);
     if (at == front.halls.end()) {
-      std::cerr << "violettide: --hall: the settings have no hall named '" << words.hall << "'\n";
+      std::cerr << "violettide: --hall: the settings have no hall named '" << options.hall << "'\n";
       return 2;
     }
     front.policy.own_hall = static_cast<int>(at - front.halls.begin());
   }
   if (deployment.hls) {
-    const auto& file = words.hls_secrets.empty() ? deployment.hls_secrets_from : words.hls_secrets;
-    if (!take_secrets(file, front.hls.url_keys.secrets))
+    const auto& file =
+        options.hls_secrets_file.empty() ? deployment.hls_secrets_from : options.hls_secrets_file;
+    if (!load_hls_secrets(file, front.hls.url_keys.secrets))
       return 2;
   }
-  // Guards against an owner that forgets what it gave out, and numbers its claims as before.
+  // Guards against a seat owner that loses its grants in a restart and reuses the numbers of its claims.
   if (front.entitlement.enabled && deployment.keep_in.empty()) {
     std::cerr
-        << "violettide: seats take a folder that survives a restart: front(keep_in = ...), or --keep-in\n";
+        << "violettide: seats need a folder that survives a restart: front(keep_in = ...), or --keep-in\n";
     return 2;
   }
-  if (!take_peers(words, deployment.peers_key_from, front.name, front.peers))
+  if (!apply_peer_options(options, deployment.peers_key_from, front.name, front.peers))
     return 2;
-  if (words.number && (*words.number < 0 || *words.number >= front.policy.front_count)) {
-    std::cerr << "violettide: --number " << *words.number << ": expected 0 to "
+  if (options.front_index && (*options.front_index < 0 || *options.front_index >= front.policy.front_count)) {
+    std::cerr << "violettide: --number " << *options.front_index << ": expected 0 to "
               << front.policy.front_count - 1 << ", as there are " << front.policy.front_count
               << " managers\n";
     return 2;
   }
-  if (words.number)
-    front.policy.front_index = *words.number;
+  if (options.front_index)
+    front.policy.front_index = *options.front_index;
   if (!front.policy.front_index && static_cast<int>(front.peers.managers.size()) == front.policy.front_count)
     front.policy.front_index = static_cast<int>(front.peers.self);
-  if (words.keys_port)
-    front.entitlement.keys_port = *words.keys_port;
+  if (options.keys_port)
+    front.entitlement.keys_port = *options.keys_port;
   front.wall_clock_at_zero =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   front.peer_listener = front.has_catalogue ? 2 : 1;
-  const auto kept = deployment.keep_in.empty()
-                        ? std::string()
-                        : settings::file_text(deployment.keep_in + "/boxes.json").value_or("");
-  return guarded([&] {
+  const auto cached_box_list = deployment.keep_in.empty()
+                                   ? std::string()
+                                   : settings::file_text(deployment.keep_in + "/boxes.json").value_or("");
+  return run_reporting_errors([&] {
     const auto who = front.name;
-    const auto log = log_to(words.log, who);
+    const auto log = make_log_sink(options.log_file, who);
     std::unique_ptr<entitlement::SeatLog> seats;
     if (front.entitlement.enabled) {
       seats = std::make_unique<entitlement::SeatLog>(deployment.keep_in);
-      // What no longer matters is left out of the log here, once for each start.
-      auto terms = front.entitlement.ledger;
-      terms.self = front.peers.self;
+      // Compacts the seat log once at each start: records that no longer matter are dropped.
+      auto ledger_settings = front.entitlement.ledger;
+      ledger_settings.self = front.peers.self;
       for (const auto& peer : front.peers.managers)
-        terms.peers.push_back(peer.name);
-      if (terms.peers.empty())
-        terms.peers.push_back(front.name);
-      const auto present =
-          entitlement::Ledger(terms, 0, front.wall_clock_at_zero, seats->records()).snapshot();
+        ledger_settings.peers.push_back(peer.name);
+      if (ledger_settings.peers.empty())
+        ledger_settings.peers.push_back(front.name);
+      const auto current_records =
+          entitlement::Ledger(ledger_settings, 0, front.wall_clock_at_zero, seats->records()).snapshot();
       front.entitlement.restart_number = seats->restart();
-      front.entitlement.stored_records = present;
-      seats->replace_all(present);
+      front.entitlement.stored_records = current_records;
+      seats->replace_all(current_records);
       log(Duration(0), LogLine{"seats_restored",
-                               {{"records", static_cast<std::int64_t>(present.size())},
+                               {{"records", static_cast<std::int64_t>(current_records.size())},
                                 {"start", static_cast<std::int64_t>(seats->restart())}}});
     }
-    // Guards against managers that were started alike drawing alike.
-    const auto seed = words.seed ? *words.seed : drawn_seed();
+    // Guards against managers with the same options making the same random choices.
+    const auto seed = options.seed ? *options.seed : random_seed();
     log(Duration(0), LogLine{"seeded", {{"seed", std::to_string(seed)}}});
-    manager::Manager manager(front, seed, kept, nullptr);
-    std::vector<runtime::ListenAddress> doors{{deployment.listen_address, deployment.listen_port}};
+    manager::Manager manager(front, seed, cached_box_list, nullptr);
+    std::vector<runtime::ListenAddress> listeners{{deployment.listen_address, deployment.listen_port}};
     std::unique_ptr<cataloguestore::Store> store;
     if (front.has_catalogue) {
-      doors.push_back({deployment.control_address, deployment.control_port});
+      listeners.push_back({deployment.control_address, deployment.control_port});
       if (!deployment.keep_in.empty()) {
         store = std::make_unique<cataloguestore::Store>(deployment.keep_in);
-        const auto found = store->restore(manager.catalogue());
+        const auto restored = store->restore(manager.catalogue());
         log(Duration(0), LogLine{"catalogue_restored",
-                                 {{"revision", static_cast<std::int64_t>(found.revision)},
-                                  {"damage", found.damage_report}}});
-        if (found.damaged)
-          std::cerr << "violettide: the catalogue was damaged: " << found.damage_report << '\n';
+                                 {{"revision", static_cast<std::int64_t>(restored.revision)},
+                                  {"damage", restored.damage_report}}});
+        if (restored.damaged)
+          std::cerr << "violettide: the stored catalogue was damaged: " << restored.damage_report << '\n';
       }
     }
     if (!front.peers.managers.empty()) {
-      const auto& own = front.peers.managers[front.peers.self];
-      doors.push_back({own.address, own.port});
+      const auto& self = front.peers.managers[front.peers.self];
+      listeners.push_back({self.address, self.port});
     }
-    Books books(store.get(), seats.get());
-    runtime::Loop loop(manager, doors, log, deployment.keep_in, store || seats ? &books : nullptr);
+    StorageDispatcher storage(store.get(), seats.get());
+    runtime::Loop loop(manager, listeners, log, deployment.keep_in, store || seats ? &storage : nullptr);
     std::vector<std::uint16_t> ports;
-    for (int door = 0; door < static_cast<int>(doors.size()); ++door)
-      ports.push_back(loop.port(door));
-    write_ports(words.ports_to, ports);
-    if (words.log.empty()) {
+    for (int listener = 0; listener < static_cast<int>(listeners.size()); ++listener)
+      ports.push_back(loop.port(listener));
+    write_ports(options.ports_file, ports);
+    if (options.log_file.empty()) {
       std::cerr << "violettide: " << who << " listens at http://" << deployment.listen_address << ":"
                 << ports[0] << "/\n";
       if (front.has_catalogue)
@@ -353,76 +364,79 @@
   });
 }
 
-// What the log holds, and what an operator who suspects a leak should look at.
-int run_seats(const SeatsWords& words) {
+int run_seats(const SeatsOptions& options) {
   try {
-    const auto records = entitlement::SeatLog::read_records(words.folder);
+    const auto records = entitlement::SeatLog::read_records(options.folder);
     const auto now =
         std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
-    // Owners wait the clocks' skew before they free a seat; ten seconds are more than any hall needs.
-    const auto odd = entitlement::find_anomalies(records, now - std::chrono::seconds(10));
-    const auto tell_seat = [&](const entitlement::Record& record, const std::string& why) {
+    // Owners wait for the clock skew (5 s by default) before they free a seat; 10 s is meant to exceed that
+    // of any hall.
+    const auto anomalies = entitlement::find_anomalies(records, now - std::chrono::seconds(10));
+    const auto print_seat = [&](const entitlement::Record& record, const std::string& suffix) {
       std::printf("given  %-20s %-40s manager %u, until %.0f s from now%s\n", record.key.team.c_str(),
                   record.key.viewer_session.c_str(), record.holder,
-                  std::chrono::duration<double>(record.until - now).count(), why.c_str());
+                  std::chrono::duration<double>(record.until - now).count(), suffix.c_str());
     };
-    const auto found = entitlement::replay_log(records);
-    if (!words.audit) {
-      for (const auto& [key, record] : found.grants)
-        tell_seat(record, "");
-      for (const auto& [key, record] : found.claims)
+    const auto replayed = entitlement::replay_log(records);
+    if (!options.audit) {
+      for (const auto& [key, record] : replayed.grants)
+        print_seat(record, "");
+      for (const auto& [key, record] : replayed.claims)
         std::printf("asked  %-20s %-40s by this manager\n", key.team.c_str(), key.viewer_session.c_str());
     }
-    for (const auto& [record, why] : odd)
-      tell_seat(record, ": odd: " + why);
-    std::printf("%zu seats given, %zu odd; %zu asked for by this manager; %zu records\n", found.grants.size(),
-                odd.size(), found.claims.size(), records.size());
-    if (words.audit && !odd.empty())
+    for (const auto& [record, reason] : anomalies)
+      print_seat(record, ": odd: " + reason);
+    std::printf("%zu seats given, %zu odd; %zu asked for by this manager; %zu records\n",
+                replayed.grants.size(), anomalies.size(), replayed.claims.size(), records.size());
+    if (options.audit && !anomalies.empty())
       return 1;
     return 0;
-  } catch (const entitlement::SeatLog::Error& unusable) {
-    std::cerr << "violettide: " << unusable.what << '\n';
+  } catch (const entitlement::SeatLog::Error& error) {
+    std::cerr << "violettide: " << error.what << '\n';
     return 2;
   }
 }
 
 namespace {
 
-standins::Issuer issuer_in(const std::string& folder, const standins::Day& day) {
-  const auto& gate = day.deployment.front.entitlement.token_validator;
-  return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"), gate.issuer,
-                                gate.audience);
+// Reads the issuer's keys that the day runner wrote; without the file the issuer has none.
+standins::Issuer read_issuer(const std::string& folder, const standins::Day& day) {
+  const auto& validator_settings = day.deployment.front.entitlement.token_validator;
+  return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"),
+                                validator_settings.issuer, validator_settings.audience);
 }
 
 }  // namespace
 
-int run_boxes(const StandinWords& words) {
-  auto read = standins::read_day(words.day);
+int run_boxes(const StandinOptions& options) {
+  auto read = standins::read_day(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
-    return tell(*mistakes);
+    return report_mistakes(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
-  return guarded([&] {
-    TraceFile trace(words.folder, "boxes.trace");
-    Later later;
-    std::vector<runtime::ListenAddress> doors(day.boxes.size(), {"127.0.0.1", 0});
-    doors.push_back({"127.0.0.1", day.deployment.front.box_list_port});
+  return run_reporting_errors([&] {
+    TraceFile trace(options.folder, "boxes.trace");
+    DeferredCore deferred;
+    std::vector<runtime::ListenAddress> listeners(day.boxes.size(), {"127.0.0.1", 0});
+    listeners.push_back({"127.0.0.1", day.deployment.front.box_list_port});
     if (day.deployment.front.has_catalogue)
-      doors.push_back({"127.0.0.1", day.deployment.front.feed_port});
+      listeners.push_back({"127.0.0.1", day.deployment.front.feed_port});
     if (day.deployment.front.entitlement.enabled)
-      doors.push_back({"127.0.0.1", 0});
-    runtime::Loop loop(later, doors, log_to(words.folder.empty() ? "" : words.folder + "/boxes.log", "boxes"),
+      listeners.push_back({"127.0.0.1", 0});
+    runtime::Loop loop(deferred, listeners,
+                       make_log_sink(options.folder.empty() ? "" : options.folder + "/boxes.log", "boxes"),
                        "");
     std::vector<std::uint16_t> ports;
-    for (int i = 0; i < static_cast<int>(doors.size()); ++i)
+    for (int i = 0; i < static_cast<int>(listeners.size()); ++i)
       ports.push_back(loop.port(i));
-    auto fleet = std::make_unique<standins::Fleet>(day, ports, into_day(loop.origin_us(), words.zero_us),
-                                                   [&](const trace::Passed& record) { trace.put(record); });
+    auto fleet = std::make_unique<standins::Fleet>(
+        day, ports, time_since_day_start(loop.origin_us(), options.day_start_us),
+        [&](const trace::Passed& record) { trace.put(record); });
     fleet->clock_at(loop.origin_us());
     if (day.deployment.front.entitlement.enabled)
-      fleet->issue_by(issuer_in(words.folder, day));
-    later.core = std::move(fleet);
-    write_ports(words.ports_to, ports);
-    if (words.ports_to.empty())
+      fleet->issue_by(read_issuer(options.folder, day));
+    deferred.core = std::move(fleet);
+    write_ports(options.ports_file, ports);
+    if (options.ports_file.empty())
       std::cerr << "violettide: " << day.boxes.size()
                 << " boxes, their list at http://127.0.0.1:" << ports[day.boxes.size()] << "/boxes\n";
     loop.run();
@@ -430,39 +444,41 @@
   });
 }
 
-int run_viewers(const StandinWords& words) {
-  auto read = standins::read_day(words.day);
+int run_viewers(const StandinOptions& options) {
+  auto read = standins::read_day(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
-    return tell(*mistakes);
+    return report_mistakes(*mistakes);
   const auto day = std::get<standins::Day>(std::move(read));
-  std::vector<standins::Door> doors;
-  for (const auto& word : words.managers) {
-    const auto first = word.find(':'), second = word.rfind(':');
-    const auto hall = first == std::string::npos || first == second
+  std::vector<standins::Door> managers;
+  for (const auto& argument : options.managers) {
+    const auto first_colon = argument.find(':'), last_colon = argument.rfind(':');
+    const auto hall = first_colon == std::string::npos || first_colon == last_colon
                           ? std::string()
-                          : word.substr(first + 1, second - first - 1);
+                          : argument.substr(first_colon + 1, last_colon - first_colon - 1);
     const auto& halls = day.deployment.front.halls;
     const auto at = std::find(halls.begin(), halls.end(), hall);
-    const int port = std::atoi(word.substr(second + 1).c_str());
+    const int port = std::atoi(argument.substr(last_colon + 1).c_str());
     if (at == halls.end() || port < 1 || port > 65535) {
-      std::cerr << "violettide: --manager " << word << ": expected NAME:HALL:PORT with a hall of the day\n";
+      std::cerr << "violettide: --manager " << argument
+                << ": expected NAME:HALL:PORT, with a hall of the day script\n";
       return 2;
     }
-    doors.push_back(
-        {word.substr(0, first), static_cast<std::uint16_t>(port), static_cast<int>(at - halls.begin())});
+    managers.push_back({argument.substr(0, first_colon), static_cast<std::uint16_t>(port),
+                        static_cast<int>(at - halls.begin())});
   }
-  return guarded([&] {
-    TraceFile trace(words.folder, "viewers.trace");
-    Later later;
-    runtime::Loop loop(later, {},
-                       log_to(words.folder.empty() ? "" : words.folder + "/viewers.log", "viewers"), "");
-    later.core = std::make_unique<standins::Viewers>(day, doors, into_day(loop.origin_us(), words.zero_us),
-                                                     loop.origin_us(),
-                                                     [&](const trace::Passed& record) { trace.put(record); });
+  return run_reporting_errors([&] {
+    TraceFile trace(options.folder, "viewers.trace");
+    DeferredCore deferred;
+    runtime::Loop loop(
+        deferred, {}, make_log_sink(options.folder.empty() ? "" : options.folder + "/viewers.log", "viewers"),
+        "");
+    deferred.core = std::make_unique<standins::Viewers>(
+        day, managers, time_since_day_start(loop.origin_us(), options.day_start_us), loop.origin_us(),
+        [&](const trace::Passed& record) { trace.put(record); });
     if (day.deployment.front.entitlement.enabled)
-      static_cast<standins::Viewers&>(*later.core)
+      static_cast<standins::Viewers&>(*deferred.core)
           .licensed_by(
-              issuer_in(words.folder, day),
+              read_issuer(options.folder, day),
               std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
                   loop.now());
     loop.run();
--- a/tests/program/serve_test.cpp
+++ b/tests/program/serve_test.cpp
@@ -1,4 +1,4 @@
-// What `serve` does before it listens. The port it is given is taken, so that each run ends by itself.
+// Tests what `serve` does before it listens. Its port is already in use, so that each run fails and returns.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -16,58 +16,61 @@
 class Serve : public ::testing::Test {
  protected:
   void SetUp() override {
-    sockaddr_in place{};
-    place.sin_family = AF_INET;
-    place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof place;
-    ASSERT_EQ(::bind(socket_, reinterpret_cast<const sockaddr*>(&place), size), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    ASSERT_EQ(::bind(socket_, reinterpret_cast<const sockaddr*>(&address), size), 0);
     ASSERT_EQ(::listen(socket_, 1), 0);
-    ::getsockname(socket_, reinterpret_cast<sockaddr*>(&place), &size);
-    words.settings = SETTINGS;
-    words.port = ntohs(place.sin_port);
-    words.log =
+    ::getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size);
+    options.settings_file = SETTINGS;
+    options.port = ntohs(address.sin_port);
+    options.log_file =
         (std::filesystem::path(::testing::TempDir()) / ("serve-" + std::to_string(::getpid()) + ".log"))
             .string();
   }
   void TearDown() override {
     ::close(socket_);
-    std::filesystem::remove(words.log);
+    std::filesystem::remove(options.log_file);
   }
-  // The seed that the log names; empty: none.
+  // Runs `serve` and returns the seed in its log; empty if there is none.
   std::string seed() {
-    std::filesystem::remove(words.log);
-    EXPECT_EQ(run_serve(words), 2) << "its port is taken";
-    std::ifstream log(words.log);
+    std::filesystem::remove(options.log_file);
+    EXPECT_EQ(run_serve(options), 2) << "the port is in use";
+    std::ifstream log(options.log_file);
     for (std::string line; std::getline(log, line);) {
-      const auto said = nlohmann::json::parse(line);
-      if (said["event"] == "seeded")
-        return said["seed"];
+      const auto entry = nlohmann::json::parse(line);
+      if (entry["event"] == "seeded")
+        return entry["seed"];
     }
     return "";
   }
-  ServeWords words;
+  ServeOptions options;
 
  private:
   int socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
 };
 
-TEST_F(Serve, StartedAlikeTwoDrawApartUnlessTold) {
-  const auto one = seed(), other = seed();
-  EXPECT_FALSE(one.empty());
-  EXPECT_NE(one, other);
-  words.seed = 7;
+// Guards against managers that start with the same options drawing the same seed.
+TEST_F(Serve, DrawsADifferentSeedInEachRunUnlessOneIsGiven) {
+  const auto first = seed(), second = seed();
+  EXPECT_FALSE(first.empty());
+  EXPECT_NE(first, second);
+  options.seed = 7;
   EXPECT_EQ(seed(), "7");
 }
 
-TEST_F(Serve, ANumberThatNoFrontHasIsRefused) {
-  words.fronts = 3;
+// Guards against an index outside the range of the managers being accepted.
+TEST_F(Serve, RejectsAnIndexOutsideTheManagerCount) {
+  options.front_count = 3;
   for (const int number : {-1, 3}) {
-    words.number = number;
+    options.front_index = number;
     ::testing::internal::CaptureStderr();
-    EXPECT_EQ(run_serve(words), 2);
-    const auto told = ::testing::internal::GetCapturedStderr();
-    EXPECT_NE(told.find("--number " + std::to_string(number) + ": expected 0 to 2"), std::string::npos)
-        << told;
+    EXPECT_EQ(run_serve(options), 2);
+    const auto error_output = ::testing::internal::GetCapturedStderr();
+    EXPECT_NE(error_output.find("--number " + std::to_string(number) + ": expected 0 to 2"),
+              std::string::npos)
+        << error_output;
   }
 }
 
