--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -371,12 +371,12 @@
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
   const auto verdict = audit::check(day, std::move(records));
-  std::cout << audit::table(verdict);
-  if (verdict.asks == 0) {
+  std::cout << audit::format_verdict(verdict);
+  if (verdict.playbacks_requested == 0) {
     std::cout << "no playback was asked: nothing is proven\n";
     return 1;
   }
-  return verdict.kept() ? 0 : 1;
+  return verdict.passed() ? 0 : 1;
 }
 
 }  // namespace
