--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -45,10 +45,11 @@
 // Invariant checker over the merged trace records of one run.
 class Auditor {
  public:
-  Auditor(const standins::Day& day, std::vector<Passed> records) : day_(day), records_(std::move(records)) {
+  Auditor(const standins::Scenario& scenario, std::vector<Passed> records)
+      : scenario_(scenario), records_(std::move(records)) {
     std::stable_sort(records_.begin(), records_.end(),
                      [](auto& a, auto& b) { return a.at_us() < b.at_us(); });
-    const auto& plans = day_.deployment.front.plans;
+    const auto& plans = scenario_.deployment.front.plans;
     for (std::size_t i = 0; i < plans.size(); ++i)
       plan_index_[plans[i].name] = i;
     index_records();
@@ -137,10 +138,10 @@
   }
 
   const manager::Plan& plan(const Passed& record) const {
-    return day_.deployment.front.plans[plan_index_.at(record.plan())];
+    return scenario_.deployment.front.plans[plan_index_.at(record.plan())];
   }
   const PlanSettings& plan_settings(const Passed& record) const {
-    return day_.deployment.front.policy.plans[plan_index_.at(record.plan())];
+    return scenario_.deployment.front.policy.plans[plan_index_.at(record.plan())];
   }
 
   // Rule 1: each playback request gets exactly one answer, before its abandon time.
@@ -227,7 +228,7 @@
       std::string state;
     };
     std::map<std::pair<std::string, std::string>, ListedState> listed_states;
-    const auto grace = micros(day_.deployment.drain_grace) + list_delivery_slack_us;
+    const auto grace = micros(scenario_.deployment.drain_grace) + list_delivery_slack_us;
     for (const auto& record : records_) {
       if (record.kind() == Passed::STARTED) {
         std::erase_if(listed_states, [&](auto& entry) { return entry.first.first == record.manager(); });
@@ -253,7 +254,7 @@
 
   // Rule 4: managers that know of a box's restart keep its setup rate within the cold start limit.
   void check_cold_start_rate() {
-    const auto& policy = day_.deployment.front.policy;
+    const auto& policy = scenario_.deployment.front.policy;
     if (policy.warmup_time.count() <= 0)
       return;
     struct BoxState {
@@ -262,8 +263,8 @@
       std::vector<const Passed*> setups;
     };
     std::map<std::string, BoxState> box_states;
-    std::map<std::string, const standins::BoxTerms*> settings_by_box;
-    for (const auto& box : day_.boxes)
+    std::map<std::string, const standins::BoxSettings*> settings_by_box;
+    for (const auto& box : scenario_.boxes)
       settings_by_box[box.name] = &box;
     std::map<std::pair<std::string, std::string>, std::uint64_t> known_incarnations,
         last_failures;  // by manager and box: listed incarnation; time of the last failed try
@@ -288,8 +289,9 @@
           static_cast<double>(record.at_us() - box.started) / static_cast<double>(micros(policy.warmup_time));
       if (age >= 1)
         continue;
-      std::erase_if(box.setups,
-                    [&](auto* r) { return r->at_us() + micros(day_.deployment.fall) <= record.at_us(); });
+      std::erase_if(box.setups, [&](auto* r) {
+        return r->at_us() + micros(scenario_.deployment.fall) <= record.at_us();
+      });
       box.setups.push_back(&record);
       const double capacity_share =
           policy.warmup_initial_share + (1 - policy.warmup_initial_share) * age * age;
@@ -297,7 +299,7 @@
           policy.streams_by_kind[static_cast<std::size_t>(settings_by_box[record.box()]->kind)];
       const double limit = streams / (static_cast<double>(micros(policy.warmup_time)) / 1e6) *
                                capacity_share * policy.overload_multiple *
-                               (static_cast<double>(micros(day_.deployment.fall)) / 1e6) +
+                               (static_cast<double>(micros(scenario_.deployment.fall)) / 1e6) +
                            cold_setup_slack;
       if (static_cast<double>(box.setups.size()) <= limit)
         continue;
@@ -372,7 +374,7 @@
 
   // Rule 6: further tries per manager stay within the retry budget in each window.
   void check_retry_budget() {
-    const auto& policy = day_.deployment.front.policy;
+    const auto& policy = scenario_.deployment.front.policy;
     const auto window = micros(policy.retry_budget_window);
     if (window == 0)
       return;
@@ -432,7 +434,7 @@
   // from its answer to its last object, when it certainly holds a seat. Also reports accepted invalid tokens
   // and seats left in a manager's log.
   void check_team_seats() {
-    if (!day_.deployment.front.entitlement.enabled)
+    if (!scenario_.deployment.front.entitlement.enabled)
       return;
     struct ActivePlayback {
       std::string team;
@@ -475,10 +477,10 @@
       int in_use = 0;
       for (const auto& [at, delta] : team_steps) {
         in_use += delta;
-        if (delta > 0 && in_use > day_.issuer.seats)
+        if (delta > 0 && in_use > scenario_.issuer.seats_per_team)
           report_violation(9, at,
                            team + " plays " + std::to_string(in_use) + " on " +
-                               std::to_string(day_.issuer.seats) + " seats");
+                               std::to_string(scenario_.issuer.seats_per_team) + " seats");
       }
     }
   }
@@ -496,7 +498,7 @@
 
   // Fills the totals per plan and over all plans.
   void compute_totals() {
-    const auto& front = day_.deployment.front;
+    const auto& front = scenario_.deployment.front;
     verdict_.plans.resize(front.plans.size());
     std::vector<std::set<std::uint64_t>> seen_viewers(front.plans.size());
     for (std::size_t i = 0; i < front.plans.size(); ++i)
@@ -541,7 +543,7 @@
       verdict_.plans[i].viewers = seen_viewers[i].size();
   }
 
-  const standins::Day& day_;
+  const standins::Scenario& scenario_;
   std::vector<Passed> records_;
   std::map<std::string, std::size_t> plan_index_;
   std::map<std::string, PlaybackRecords> playbacks_;
@@ -551,8 +553,8 @@
 
 }  // namespace
 
-Verdict check(const standins::Day& day, std::vector<trace::Passed> records) {
-  return Auditor(day, std::move(records)).run();
+Verdict check(const standins::Scenario& scenario, std::vector<trace::Passed> records) {
+  return Auditor(scenario, std::move(records)).run();
 }
 
 std::string format_record(const trace::Passed& record) {
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -35,7 +35,7 @@
 };
 
 // Checks all rules. `records`: those of all processes, in any order.
-Verdict check(const standins::Day& day, std::vector<trace::Passed> records);
+Verdict check(const standins::Scenario& scenario, std::vector<trace::Passed> records);
 // The report for operators: totals per plan, the state of each rule and the first 20 violations.
 std::string format_verdict(const Verdict& verdict);
 // One record as a line of text, without a line break.
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -145,7 +145,7 @@
 
 class Played {
  public:
-  Played(const DayWords& words, const standins::Day& day, std::string folder)
+  Played(const DayWords& words, const standins::Scenario& day, std::string folder)
       : words_(words), day_(day), folder_(std::move(folder)), trace_(folder_ + "/day.trace") {}
 
   void run() {
@@ -157,7 +157,7 @@
     }
     if (const auto& gate = day_.deployment.front.entitlement.token_validator;
         day_.deployment.front.entitlement.enabled) {
-      const auto turns = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
+      const auto turns = static_cast<int>((day_.duration + 30s) / day_.issuer.rotation_interval) + 2;
       std::ofstream(folder_ + "/issuer.keys")
           << standins::Issuer::made(gate.issuer, gate.audience, turns).written();
     }
@@ -176,18 +176,18 @@
     if (day_.deployment.front.entitlement.enabled) {
       keys_port_ = service_ports.back();
       std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << zero << "\n";
-      for (int i = 0; i < day_.managers; ++i)
+      for (int i = 0; i < day_.manager_count; ++i)
         peer_ports_.push_back(free_port());
     }
-    managers_.resize(static_cast<std::size_t>(day_.managers));
+    managers_.resize(static_cast<std::size_t>(day_.manager_count));
     ports_.resize(managers_.size());
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       start(i);
       ports_[i] = ports_in(port_file(i), managers_[i]).front();
     }
     std::vector<std::string> watch{"violettide", "viewers",   words_.day, "--folder",
                                    folder_,      "--zero-us", zero_text};
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       watch.push_back("--manager");
       watch.push_back(name(i) + ":" + hall(i) + ":" + std::to_string(ports_[i]));
     }
@@ -197,7 +197,8 @@
     Duration longest{0};
     for (const auto& plan : day_.deployment.front.plans)
       longest = std::max(longest, plan.abandon_time);
-    const auto give_up = zero + static_cast<std::uint64_t>((day_.length + 4 * longest).count()) + 10'000'000;
+    const auto give_up =
+        zero + static_cast<std::uint64_t>((day_.duration + 4 * longest).count()) + 10'000'000;
     std::optional<int> over;
     while (!(over = viewers.ended())) {
       const auto now = runtime::Loop::machine_clock_us();
@@ -241,7 +242,7 @@
     // A second for a stalled manager to catch up.
     const auto& skew = day_.deployment.front.entitlement.ledger.skew;
     const auto at = std::chrono::duration_cast<Duration>(stopped.time_since_epoch()) - skew - 1s;
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       for (const auto& odd :
            entitlement::find_anomalies(entitlement::SeatLog::read_records(folder_ + "/" + name(i)), at)) {
         trace::Passed leaked;
@@ -276,7 +277,7 @@
         "--hall",      hall(i),
         "--port",      std::to_string(ports_[i]),
         "--list-port", std::to_string(list_port_),
-        "--fronts",    std::to_string(day_.managers),
+        "--fronts",    std::to_string(day_.manager_count),
         "--number",    std::to_string(i),
         "--keep-in",   keep,
         "--log",       folder_ + "/" + name(i) + ".log",
@@ -293,7 +294,7 @@
     if (day_.deployment.front.entitlement.enabled) {
       words.insert(words.end(),
                    {"--keys-port", std::to_string(keys_port_), "--peers-key", folder_ + "/peers.key"});
-      for (int p = 0; p < day_.managers; ++p) {
+      for (int p = 0; p < day_.manager_count; ++p) {
         words.push_back("--peer");
         words.push_back(name(p) + ":" + std::to_string(peer_ports_[static_cast<std::size_t>(p)]));
       }
@@ -305,19 +306,19 @@
 
   std::vector<Deed> script() const {
     std::vector<Deed> deeds;
-    for (const auto& trouble : day_.troubles) {
-      const auto count = static_cast<std::int64_t>(trouble.whom.size());
+    for (const auto& fault : day_.faults) {
+      const auto count = static_cast<std::int64_t>(fault.targets.size());
       for (std::int64_t k = 0; k < count; ++k) {
-        const int whom = trouble.whom[static_cast<std::size_t>(k)];
-        if (trouble.ill == standins::Ill::roll) {
-          const Duration at = trouble.at + trouble.lasts * k / count;
+        const int whom = fault.targets[static_cast<std::size_t>(k)];
+        if (fault.kind == standins::FaultKind::roll) {
+          const Duration at = fault.start + fault.duration * k / count;
           deeds.push_back({at, Deed::What::kill, whom});
           deeds.push_back(
-              {at + Duration(static_cast<std::int64_t>(trouble.size * 1e6)), Deed::What::start, whom});
-        } else if (trouble.ill == standins::Ill::stall) {
+              {at + Duration(static_cast<std::int64_t>(fault.magnitude * 1e6)), Deed::What::start, whom});
+        } else if (fault.kind == standins::FaultKind::stall) {
           deeds.push_back(
-              {trouble.at, Deed::What::stop, whom, std::chrono::duration<double>(trouble.lasts).count()});
-          deeds.push_back({trouble.at + trouble.lasts, Deed::What::go_on, whom});
+              {fault.start, Deed::What::stop, whom, std::chrono::duration<double>(fault.duration).count()});
+          deeds.push_back({fault.start + fault.duration, Deed::What::go_on, whom});
         }
       }
     }
@@ -352,7 +353,7 @@
   }
 
   const DayWords& words_;
-  const standins::Day& day_;
+  const standins::Scenario& day_;
   std::string folder_;
   trace::Writer trace_;
   std::uint16_t list_port_ = 0, feed_port_ = 0, keys_port_ = 0;
@@ -362,7 +363,7 @@
   std::map<int, bool> down_;
 };
 
-int audited(const standins::Day& day, const std::vector<std::string>& traces) {
+int audited(const standins::Scenario& day, const std::vector<std::string>& traces) {
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
@@ -382,13 +383,13 @@
 }  // namespace
 
 int run_day(const DayWords& words) {
-  auto read = standins::read_day(words.day);
+  auto read = standins::read_scenario(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.text() << '\n';
     return 1;
   }
-  const auto day = std::get<standins::Day>(std::move(read));
+  const auto day = std::get<standins::Scenario>(std::move(read));
   try {
     auto folder = words.folder;
     if (folder.empty()) {
@@ -398,8 +399,8 @@
       folder = pattern;
     }
     std::filesystem::create_directories(folder);
-    std::cout << words.day << ": " << day.boxes.size() << " boxes, " << day.managers << " managers, "
-              << std::chrono::duration<double>(day.length).count() << " s, " << day.troubles.size()
+    std::cout << words.day << ": " << day.boxes.size() << " boxes, " << day.manager_count << " managers, "
+              << std::chrono::duration<double>(day.duration).count() << " s, " << day.faults.size()
               << " troubles; traces in " << folder << std::endl;
     Played(words, day, folder).run();
     return audited(day, {folder + "/viewers.trace", folder + "/boxes.trace", folder + "/day.trace"});
@@ -416,14 +417,14 @@
 }
 
 int run_audit(const AuditWords& words) {
-  auto read = standins::read_day(words.day);
+  auto read = standins::read_scenario(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.text() << '\n';
     return 1;
   }
   try {
-    return audited(std::get<standins::Day>(read), words.traces);
+    return audited(std::get<standins::Scenario>(read), words.traces);
   } catch (const trace::Failed& failed) {
     std::cerr << "violettide: " << failed.what << '\n';
     return 2;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -121,8 +121,8 @@
 
 int run_check(const std::string& file) {
   // A file with a day's calls is a day; the rest are settings.
-  auto day = standins::read_day(file);
-  if (std::holds_alternative<standins::Day>(day)) {
+  auto day = standins::read_scenario(file);
+  if (std::holds_alternative<standins::Scenario>(day)) {
     std::cout << file << ": a day without mistakes\n";
     return 0;
   }
@@ -388,7 +388,7 @@
 
 namespace {
 
-standins::Issuer issuer_in(const std::string& folder, const standins::Day& day) {
+standins::Issuer issuer_in(const std::string& folder, const standins::Scenario& day) {
   const auto& gate = day.deployment.front.entitlement.token_validator;
   return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"), gate.issuer,
                                 gate.audience);
@@ -397,10 +397,10 @@
 }  // namespace
 
 int run_boxes(const StandinWords& words) {
-  auto read = standins::read_day(words.day);
+  auto read = standins::read_scenario(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
     return tell(*mistakes);
-  const auto day = std::get<standins::Day>(std::move(read));
+  const auto day = std::get<standins::Scenario>(std::move(read));
   return guarded([&] {
     TraceFile trace(words.folder, "boxes.trace");
     Later later;
@@ -431,10 +431,10 @@
 }
 
 int run_viewers(const StandinWords& words) {
-  auto read = standins::read_day(words.day);
+  auto read = standins::read_scenario(words.day);
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
     return tell(*mistakes);
-  const auto day = std::get<standins::Day>(std::move(read));
+  const auto day = std::get<standins::Scenario>(std::move(read));
   std::vector<standins::Door> doors;
   for (const auto& word : words.managers) {
     const auto first = word.find(':'), second = word.rfind(':');
--- a/src/standins/day.cpp
+++ b/src/standins/day.cpp
@@ -10,238 +10,244 @@
 using namespace std::chrono_literals;
 using settings::Value;
 
-struct IllName {
-  Ill ill;
+// Script name of a fault kind.
+struct FaultName {
+  FaultKind kind;
   const char* name;
 };
-constexpr IllName ill_names[] = {{Ill::crash, "crash"},
-                                 {Ill::vanish, "vanish"},
-                                 {Ill::hang, "hang"},
-                                 {Ill::slow, "slow"},
-                                 {Ill::ageing, "ageing"},
-                                 {Ill::neighbour, "neighbour"},
-                                 {Ill::drain, "drain"},
-                                 {Ill::answer_lost, "answer_lost"},
-                                 {Ill::false_cmsd, "false_cmsd"},
-                                 {Ill::report_late, "report_late"},
-                                 {Ill::list_late, "list_late"},
-                                 {Ill::list_down, "list_down"},
-                                 {Ill::crowd, "crowd"},
-                                 {Ill::roll, "roll"},
-                                 {Ill::catalogue_moves, "catalogue_moves"},
-                                 {Ill::feed_broken, "feed_broken"},
-                                 {Ill::stall, "stall"},
-                                 {Ill::issuer_down, "issuer_down"},
-                                 {Ill::list_behind, "list_behind"},
-                                 {Ill::list_gaps, "list_gaps"},
-                                 {Ill::list_nonsense, "list_nonsense"}};
+constexpr FaultName fault_names[] = {{FaultKind::crash, "crash"},
+                                     {FaultKind::vanish, "vanish"},
+                                     {FaultKind::hang, "hang"},
+                                     {FaultKind::slow, "slow"},
+                                     {FaultKind::ageing, "ageing"},
+                                     {FaultKind::neighbour, "neighbour"},
+                                     {FaultKind::drain, "drain"},
+                                     {FaultKind::answer_lost, "answer_lost"},
+                                     {FaultKind::false_cmsd, "false_cmsd"},
+                                     {FaultKind::report_late, "report_late"},
+                                     {FaultKind::list_late, "list_late"},
+                                     {FaultKind::list_down, "list_down"},
+                                     {FaultKind::crowd, "crowd"},
+                                     {FaultKind::roll, "roll"},
+                                     {FaultKind::catalogue_moves, "catalogue_moves"},
+                                     {FaultKind::feed_broken, "feed_broken"},
+                                     {FaultKind::stall, "stall"},
+                                     {FaultKind::issuer_down, "issuer_down"},
+                                     {FaultKind::list_behind, "list_behind"},
+                                     {FaultKind::list_gaps, "list_gaps"},
+                                     {FaultKind::list_nonsense, "list_nonsense"}};
 
-template <typename Held>
-std::optional<Value> as(Held held) {
-  return Value{std::move(held), {}};
+template <typename T>
+std::optional<Value> default_value(T value) {
+  return Value{std::move(value), {}};
 }
 
-std::vector<settings::Builtin> day_builtins() {
+std::vector<settings::Builtin> scenario_builtins() {
   using enum settings::Wants;
   auto all = settings::deployment_builtins();
-  const std::vector<settings::Builtin> own{
+  const std::vector<settings::Builtin> scenario_only{
       {"day",
        {{"length", span, {}, 0.1, 600},
-        {"seed", whole, as(std::int64_t{1}), 0, 2e9},
-        {"managers", whole, as(std::int64_t{3}), 1, 32}},
+        {"seed", whole, default_value(std::int64_t{1}), 0, 2e9},
+        {"managers", whole, default_value(std::int64_t{3}), 1, 32}},
        true},
       {"boxes",
        {{"count", whole, {}, 1, 400},
-        {"spread", part, as(0.2)},
-        {"list_lag", span, as(Duration(1500ms)), 0, 600},
-        {"setup_time", span, as(Duration(40ms)), 0, 60},
-        {"pace", number, as(1.25), 1, 100},
-        {"live_titles", part, as(0.0)},
-        {"vary", part, as(0.15)}},
+        {"spread", part, default_value(0.2)},
+        {"list_lag", span, default_value(Duration(1500ms)), 0, 600},
+        {"setup_time", span, default_value(Duration(40ms)), 0, 60},
+        {"pace", number, default_value(1.25), 1, 100},
+        {"live_titles", part, default_value(0.0)},
+        {"vary", part, default_value(0.15)}},
        true},
       {"viewers",
        {{"per_second", number, {}, 0.01, 10000},
         {"least_watch", span, {}, 0.1, 86400},
         {"most_watch", span, {}, 0.1, 86400},
-        {"titles", whole, as(std::int64_t{40}), 1, 1e6},
-        {"zipf", number, as(0.8), 0, 5},
-        {"plan_shares", numbers, as(settings::ListOf{}), 0, 1e6},
-        {"hintless", part, as(0.05)},
-        {"malformed", part, as(0.05)},
-        {"small_screens", part, as(0.2)},
-        {"hls", part, as(0.0)},
-        {"returns", part, as(0.9)},
-        {"rejoin", span, as(Duration(1s)), 0, 600},
-        {"crowd_title", whole, as(std::int64_t{0}), 0, 1e6}},
+        {"titles", whole, default_value(std::int64_t{40}), 1, 1e6},
+        {"zipf", number, default_value(0.8), 0, 5},
+        {"plan_shares", numbers, default_value(settings::ListOf{}), 0, 1e6},
+        {"hintless", part, default_value(0.05)},
+        {"malformed", part, default_value(0.05)},
+        {"small_screens", part, default_value(0.2)},
+        {"hls", part, default_value(0.0)},
+        {"returns", part, default_value(0.9)},
+        {"rejoin", span, default_value(Duration(1s)), 0, 600},
+        {"crowd_title", whole, default_value(std::int64_t{0}), 0, 1e6}},
        true},
       {"issuer",
-       {{"rotate", span, as(Duration(5s)), 0.1, 600},
-        {"token_life", span, as(Duration(4s)), 0.1, 86400},
-        {"teams", whole, as(std::int64_t{3}), 1, 1000},
-        {"seats", whole, as(std::int64_t{10}), 0, 1e6},
-        {"bad", part, as(0.05)}},
+       {{"rotate", span, default_value(Duration(5s)), 0.1, 600},
+        {"token_life", span, default_value(Duration(4s)), 0.1, 86400},
+        {"teams", whole, default_value(std::int64_t{3}), 1, 1000},
+        {"seats", whole, default_value(std::int64_t{10}), 0, 1e6},
+        {"bad", part, default_value(0.05)}},
        true},
       {"trouble",
        {{"kind", text, {}},
         {"at", span, {}, 0, 600},
         {"lasts", span, {}, 0, 600},
-        {"boxes", wholes, as(settings::ListOf{}), 0, 400},
-        {"managers", wholes, as(settings::ListOf{}), 0, 32},
-        {"size", number, as(0.0), 0, 1e6}}},
+        {"boxes", wholes, default_value(settings::ListOf{}), 0, 400},
+        {"managers", wholes, default_value(settings::ListOf{}), 0, 32},
+        {"size", number, default_value(0.0), 0, 1e6}}},
   };
-  all.insert(all.end(), own.begin(), own.end());
+  all.insert(all.end(), scenario_only.begin(), scenario_only.end());
   return all;
 }
 
-bool of_managers(Ill ill) { return ill == Ill::roll || ill == Ill::stall; }
-bool of_none(Ill ill) {
-  return ill == Ill::crowd || ill == Ill::list_late || ill == Ill::list_down || ill == Ill::catalogue_moves ||
-         ill == Ill::feed_broken || ill == Ill::issuer_down;
+bool targets_managers(FaultKind kind) { return kind == FaultKind::roll || kind == FaultKind::stall; }
+bool has_no_targets(FaultKind kind) {
+  return kind == FaultKind::crowd || kind == FaultKind::list_late || kind == FaultKind::list_down ||
+         kind == FaultKind::catalogue_moves || kind == FaultKind::feed_broken ||
+         kind == FaultKind::issuer_down;
 }
 
 }  // namespace
 
-const char* name_of(Ill ill) {
-  for (const auto& known : ill_names) {
-    if (known.ill == ill)
+const char* fault_name(FaultKind kind) {
+  for (const auto& known : fault_names) {
+    if (known.kind == kind)
       return known.name;
   }
   return "?";
 }
 
-bool holds(const Day& day, const BoxTerms& box, std::string_view title) {
-  const auto at = manager::holder_cells(day.deployment.front, title);
-  const int cells = std::max(1, day.deployment.front.policy.cells);
-  return (box.cell - at.first_cell % cells + cells) % cells < at.cell_count;
+bool is_holder(const Scenario& scenario, const BoxSettings& box, std::string_view title) {
+  const auto cells_of_title = manager::holder_cells(scenario.deployment.front, title);
+  const int cell_count = std::max(1, scenario.deployment.front.policy.cells);
+  return (box.cell - cells_of_title.first_cell % cell_count + cell_count) % cell_count <
+         cells_of_title.cell_count;
 }
 
 std::variant<settings::Deployment, settings::Mistakes> read_settings(const std::string& path,
                                                                      const settings::Files& files) {
-  const auto builtins = day_builtins();
+  const auto builtins = scenario_builtins();
   auto read = settings::read_script(path, builtins, files);
   if (!read.mistakes.empty())
     return std::move(read.mistakes);
   return settings::deployment_of(read.calls);
 }
 
-std::variant<Day, settings::Mistakes> read_day(const std::string& path, const settings::Files& files) {
-  const auto builtins = day_builtins();
+std::variant<Scenario, settings::Mistakes> read_scenario(const std::string& path,
+                                                         const settings::Files& files) {
+  const auto builtins = scenario_builtins();
   auto read = settings::read_script(path, builtins, files);
   if (!read.mistakes.empty())
     return std::move(read.mistakes);
   auto deployment = settings::deployment_of(read.calls);
   settings::Mistakes mistakes;
-  if (auto* wrong = std::get_if<settings::Mistakes>(&deployment))
-    mistakes = std::move(*wrong);
-  Day day;
+  if (auto* deployment_mistakes = std::get_if<settings::Mistakes>(&deployment))
+    mistakes = std::move(*deployment_mistakes);
+  Scenario scenario;
   if (mistakes.empty())
-    day.deployment = std::get<settings::Deployment>(std::move(deployment));
-  const auto wrong = [&](const settings::Place& place, std::string cause) {
+    scenario.deployment = std::get<settings::Deployment>(std::move(deployment));
+  const auto add_mistake = [&](const settings::Place& place, std::string cause) {
     mistakes.push_back({place, std::move(cause)});
   };
-  const settings::Call* said_day = nullptr;
-  const settings::Call* said_boxes = nullptr;
-  const settings::Call* said_viewers = nullptr;
+  const settings::Call* day_call = nullptr;
+  const settings::Call* boxes_call = nullptr;
+  const settings::Call* viewers_call = nullptr;
   for (const auto& call : read.calls) {
     if (call.name == "day")
-      said_day = &call;
+      day_call = &call;
     if (call.name == "boxes")
-      said_boxes = &call;
+      boxes_call = &call;
     if (call.name == "viewers")
-      said_viewers = &call;
+      viewers_call = &call;
   }
-  const settings::Place whole{path, 1, 1};
-  if (!said_day)
-    wrong(whole, "the day lacks 'day'");
-  if (!said_boxes)
-    wrong(whole, "the day lacks 'boxes'");
-  if (!said_viewers)
-    wrong(whole, "the day lacks 'viewers'");
+  const settings::Place script_start{path, 1, 1};
+  if (!day_call)
+    add_mistake(script_start, "the day lacks 'day'");
+  if (!boxes_call)
+    add_mistake(script_start, "the day lacks 'boxes'");
+  if (!viewers_call)
+    add_mistake(script_start, "the day lacks 'viewers'");
   if (!mistakes.empty())
     return mistakes;
 
-  day.length = said_day->span("length");
-  day.seed = static_cast<std::uint32_t>(said_day->whole("seed"));
-  day.managers = static_cast<int>(said_day->whole("managers"));
-  day.deployment.front.policy.front_count = day.managers;
-  day.list_lag = said_boxes->span("list_lag");
-  day.setup_time = said_boxes->span("setup_time");
-  day.pace = said_boxes->number("pace");
-  day.vary = said_boxes->number("vary");
-  day.live_titles = said_boxes->number("live_titles");
-  std::minstd_rand chance(day.seed + 1);
-  const auto& site = day.deployment.front.policy;
-  const double spread = said_boxes->number("spread");
-  const auto count = static_cast<int>(said_boxes->whole("count"));
+  scenario.duration = day_call->span("length");
+  scenario.seed = static_cast<std::uint32_t>(day_call->whole("seed"));
+  scenario.manager_count = static_cast<int>(day_call->whole("managers"));
+  scenario.deployment.front.policy.front_count = scenario.manager_count;
+  scenario.list_delay = boxes_call->span("list_lag");
+  scenario.setup_time = boxes_call->span("setup_time");
+  scenario.pacing_factor = boxes_call->number("pace");
+  scenario.rate_variation = boxes_call->number("vary");
+  scenario.live_title_share = boxes_call->number("live_titles");
+  std::minstd_rand random(scenario.seed + 1);
+  const auto& policy = scenario.deployment.front.policy;
+  const double spread = boxes_call->number("spread");
+  const auto count = static_cast<int>(boxes_call->whole("count"));
   for (int i = 0; i < count; ++i) {
-    BoxTerms box;
+    BoxSettings box;
     box.name = "box-" + std::to_string(i);
-    box.cell = i % site.cells;
-    box.hall = i % static_cast<int>(day.deployment.front.halls.size());
-    box.kind = i % static_cast<int>(site.streams_by_kind.size());
-    const double drawn = static_cast<double>(chance() % 2001) / 1000 - 1;
-    box.link_kb = day.deployment.link_kb * (1 + spread * drawn);
-    day.boxes.push_back(std::move(box));
+    box.cell = i % policy.cells;
+    box.hall = i % static_cast<int>(scenario.deployment.front.halls.size());
+    box.kind = i % static_cast<int>(policy.streams_by_kind.size());
+    const double deviation = static_cast<double>(random() % 2001) / 1000 - 1;
+    box.link_kb = scenario.deployment.link_kb * (1 + spread * deviation);
+    scenario.boxes.push_back(std::move(box));
   }
-  const auto& v = *said_viewers;
-  auto& viewers = day.viewers;
-  viewers.per_second = v.number("per_second");
-  viewers.least_watch = v.span("least_watch");
-  viewers.most_watch = v.span("most_watch");
-  if (viewers.most_watch < viewers.least_watch)
-    wrong(v.place_of("most_watch"), "less than 'least_watch'");
-  viewers.titles = static_cast<int>(v.whole("titles"));
-  viewers.zipf = v.number("zipf");
-  viewers.plan_shares = v.numbers("plan_shares");
-  viewers.plan_shares.resize(site.plans.size(), viewers.plan_shares.empty() ? 1 : 0);
-  viewers.hintless = v.number("hintless");
-  viewers.malformed = v.number("malformed");
-  viewers.small_screens = v.number("small_screens");
-  viewers.hls = v.number("hls");
-  if (viewers.hls > 0 && !day.deployment.hls)
-    wrong(v.place_of("hls"), "viewers read HLS, and the settings lack 'hls'");
-  viewers.returns = v.number("returns");
-  viewers.rejoin = v.span("rejoin");
-  viewers.crowd_title = static_cast<int>(v.whole("crowd_title"));
+  const auto& workload_call = *viewers_call;
+  auto& workload = scenario.workload;
+  workload.arrivals_per_second = workload_call.number("per_second");
+  workload.min_watch_time = workload_call.span("least_watch");
+  workload.max_watch_time = workload_call.span("most_watch");
+  if (workload.max_watch_time < workload.min_watch_time)
+    add_mistake(workload_call.place_of("most_watch"), "less than 'least_watch'");
+  workload.title_count = static_cast<int>(workload_call.whole("titles"));
+  workload.zipf_exponent = workload_call.number("zipf");
+  workload.plan_shares = workload_call.numbers("plan_shares");
+  workload.plan_shares.resize(policy.plans.size(), workload.plan_shares.empty() ? 1 : 0);
+  workload.no_hints_share = workload_call.number("hintless");
+  workload.malformed_hints_share = workload_call.number("malformed");
+  workload.small_screen_share = workload_call.number("small_screens");
+  workload.hls_share = workload_call.number("hls");
+  if (workload.hls_share > 0 && !scenario.deployment.hls)
+    add_mistake(workload_call.place_of("hls"), "viewers read HLS, and the settings lack 'hls'");
+  workload.return_probability = workload_call.number("returns");
+  workload.rejoin_delay = workload_call.span("rejoin");
+  workload.crowd_title = static_cast<int>(workload_call.whole("crowd_title"));
   for (const auto& call : read.calls) {
     if (call.name != "issuer")
       continue;
-    if (!day.deployment.front.entitlement.enabled)
-      wrong(call.place, "the settings lack 'entitlement'");
-    day.issuer.rotate = call.span("rotate");
-    day.issuer.token_life = call.span("token_life");
-    day.issuer.teams = static_cast<int>(call.whole("teams"));
-    day.issuer.seats = static_cast<int>(call.whole("seats"));
-    day.issuer.bad = call.number("bad");
+    if (!scenario.deployment.front.entitlement.enabled)
+      add_mistake(call.place, "the settings lack 'entitlement'");
+    scenario.issuer.rotation_interval = call.span("rotate");
+    scenario.issuer.token_lifetime = call.span("token_life");
+    scenario.issuer.team_count = static_cast<int>(call.whole("teams"));
+    scenario.issuer.seats_per_team = static_cast<int>(call.whole("seats"));
+    scenario.issuer.invalid_token_share = call.number("bad");
   }
   for (const auto& call : read.calls) {
     if (call.name != "trouble")
       continue;
-    Trouble trouble;
-    const auto known = std::find_if(std::begin(ill_names), std::end(ill_names),
+    Fault fault;
+    const auto known = std::find_if(std::begin(fault_names), std::end(fault_names),
                                     [&](auto& i) { return call.text("kind") == i.name; });
-    if (known == std::end(ill_names)) {
-      wrong(call.place_of("kind"), "no kind of trouble '" + call.text("kind") + "'");
+    if (known == std::end(fault_names)) {
+      add_mistake(call.place_of("kind"), "no kind of trouble '" + call.text("kind") + "'");
       continue;
     }
-    trouble.ill = known->ill;
-    trouble.at = call.span("at");
-    trouble.lasts = call.span("lasts");
-    trouble.size = call.number("size");
-    const char* whom = of_managers(trouble.ill) ? "managers" : "boxes";
-    const int most = of_managers(trouble.ill) ? day.managers : count;
-    for (const auto number : call.wholes(whom)) {
-      if (number >= most)
-        wrong(call.place_of(whom), "there are " + std::to_string(most) + " " + whom + ", numbered from 0");
-      trouble.whom.push_back(static_cast<int>(number));
+    fault.kind = known->kind;
+    fault.start = call.span("at");
+    fault.duration = call.span("lasts");
+    fault.magnitude = call.number("size");
+    const char* targets_key = targets_managers(fault.kind) ? "managers" : "boxes";
+    const int limit = targets_managers(fault.kind) ? scenario.manager_count : count;
+    for (const auto number : call.wholes(targets_key)) {
+      if (number >= limit)
+        add_mistake(call.place_of(targets_key),
+                    "there are " + std::to_string(limit) + " " + targets_key + ", numbered from 0");
+      fault.targets.push_back(static_cast<int>(number));
     }
-    if (!of_none(trouble.ill) && trouble.whom.empty())
-      wrong(call.place, std::string("'") + known->name + "' lacks whom it befalls: '" + whom + "'");
-    day.troubles.push_back(std::move(trouble));
+    if (!has_no_targets(fault.kind) && fault.targets.empty())
+      add_mistake(call.place,
+                  std::string("'") + known->name + "' lacks whom it befalls: '" + targets_key + "'");
+    scenario.faults.push_back(std::move(fault));
   }
   if (!mistakes.empty())
     return mistakes;
-  return day;
+  return scenario;
 }
 
 }  // namespace violettide::standins
--- a/src/standins/day.h
+++ b/src/standins/day.h
@@ -1,4 +1,5 @@
-// A day's script: the deployment, its boxes, its viewers and the troubles that befall them.
+// Scenario scripts ("days"): the deployment under test, its boxes, the viewer workload and the fault
+// schedule.
 #pragma once
 
 #include <string>
@@ -10,87 +11,102 @@
 
 using settings::Duration;
 
-struct BoxTerms {
+// One simulated video server.
+struct BoxSettings {
   std::string name;
-  int hall = 0, cell = 0, kind = 0;
-  double link_kb = 0;  // true
-  double weight = 1;   // as the list tells
+  int hall = 0;
+  int cell = 0;
+  int kind = 0;
+  double link_kb = 0;  // actual link capacity, kB/s
+  double weight = 1;   // as reported in the server list
 };
 
-// Kinds of trouble. Those of bench days are named as there; docs/operate/days.md maps them.
-enum class Ill {
-  crash,            // the process dies: connections reset, refused until it is back, cold
-  vanish,           // the machine goes silent; back cold
-  hang,             // takes work, answers nothing
-  slow,             // link and set-ups `size` times slower
-  ageing,           // slower and slower, then dead, back cold
-  neighbour,        // another program takes `size` of the link, seconds on and off
-  drain,            // the list says draining; `size` seconds later the process is gone, back cold at the end
-  answer_lost,      // a set-up runs, its answer never comes
-  false_cmsd,       // the box tells a util of `size` whatever it does
-  report_late,      // the box's CMSD is `size` seconds old
-  list_late,        // the list is `size` seconds further behind
-  list_down,        // the list service answers nothing
-  crowd,            // `size` more viewers a second come for one title
-  roll,             // managers killed one after another, `size` seconds down
-  catalogue_moves,  // `size` times a second a recording moves to another box
-  feed_broken,      // the catalogue's feed breaks off, leaves out batches, repeats them, or is refused
-  stall,            // managers stand still
-  list_behind,      // a box's live playlists end `size` segments early
-  list_gaps,        // they lack segments, and number the rest as if those had never been
-  issuer_down,      // the issuer's keys can't be had
+// Kinds of injected fault. Those that benchmark days also have use the same names; docs/operate/days.md maps
+// them. `magnitude` is the field of Fault.
+enum class FaultKind {
+  crash,            // the process exits: connections are reset, then refused until it restarts cold
+  vanish,           // the machine stops responding, without resets, and later restarts cold
+  hang,             // accepts requests but never answers
+  slow,             // link and setups are `magnitude` times slower
+  ageing,           // gradually slower, then exits, and restarts cold
+  neighbour,        // another program takes the share `magnitude` of the link, on and off every few seconds
+  drain,            // listed as draining; exits `magnitude` seconds later and restarts cold at the end
+  answer_lost,      // setups are executed but never answered
+  false_cmsd,       // reports a utilization of `magnitude` in CMSD, whatever the load
+  report_late,      // stops updating the utilization in its CMSD
+  list_late,        // the list lags `magnitude` seconds more
+  list_down,        // the list service doesn't answer
+  crowd,            // `magnitude` more viewers per second, all for one title
+  roll,             // managers are killed one after another and restarted `magnitude` seconds later
+  catalogue_moves,  // `magnitude` recordings per second move to another box
+  feed_broken,      // the catalogue feed closes, skips batches, repeats them, truncates them or answers 503
+  stall,            // managers are suspended
+  list_behind,      // a box's live playlists end `magnitude` segments early
+  list_gaps,        // live playlists lack segments and number the others without counting those
+  issuer_down,      // the issuer doesn't serve its keys
   list_nonsense,    // a box's playlists are malformed or hostile
 };
-struct Trouble {
-  Ill ill = Ill::crash;
-  Duration at{0}, lasts{0};
-  std::vector<int> whom;  // boxes or managers, by number
-  double size = 0;
+// One entry of the fault schedule.
+struct Fault {
+  FaultKind kind = FaultKind::crash;
+  Duration start{0};  // scenario time
+  Duration duration{0};
+  std::vector<int> targets;  // indices of boxes or managers
+  double magnitude = 0;      // meaning and unit depend on the kind
 };
 
-struct ViewerTerms {
-  double per_second = 4;
-  Duration least_watch{0}, most_watch{0};
-  int titles = 40;
-  double zipf = 0.8;
+// The viewer workload: arrival process, popularity and behaviour. Shares are 0 to 1.
+struct WorkloadSettings {
+  double arrivals_per_second = 4;  // Poisson
+  Duration min_watch_time{0};
+  Duration max_watch_time{0};
+  int title_count = 40;
+  double zipf_exponent = 0.8;  // of title popularity
   std::vector<double> plan_shares;
-  double hintless = 0;   // part of the viewers that send no CMCD
-  double malformed = 0;  // and that send malformed ones
-  double small_screens = 0.2;
-  double hls = 0;        // part of the viewers that read HLS
-  double returns = 0.9;  // chance to come again after a refusal or a break
-  Duration rejoin{1'000'000};
-  int crowd_title = 0;
+  double no_hints_share = 0;         // viewers that send no CMCD
+  double malformed_hints_share = 0;  // viewers that send malformed CMCD
+  double small_screen_share = 0.2;
+  double hls_share = 0;             // viewers that play by HLS
+  double return_probability = 0.9;  // of another request after a rejection or a broken connection
+  Duration rejoin_delay{1'000'000};
+  int crowd_title = 0;  // index of the title that a `crowd` fault requests
 };
 
-struct IssuerTerms {
-  Duration rotate{5'000'000}, token_life{4'000'000};
-  int teams = 3, seats = 10;
-  double bad = 0.05;  // part of the viewers whose tokens are forged or expired
+// The token issuer.
+struct IssuerSettings {
+  Duration rotation_interval{5'000'000};
+  Duration token_lifetime{4'000'000};
+  int team_count = 3;
+  int seats_per_team = 10;
+  double invalid_token_share = 0.05;  // viewers whose tokens are forged or expired
 };
 
-struct Day {
+// A whole scenario.
+struct Scenario {
   settings::Deployment deployment;
-  Duration length{0};
+  Duration duration{0};
   std::uint32_t seed = 1;
-  int managers = 3;
-  std::vector<BoxTerms> boxes;
-  Duration list_lag{1'500'000};
+  int manager_count = 3;
+  std::vector<BoxSettings> boxes;
+  Duration list_delay{1'500'000};  // until the list shows a change
   Duration setup_time{40'000};
-  double pace = 1.25;      // an object is sent at so many times its rate
-  double live_titles = 0;  // part of the titles that are live, for viewers that read HLS
-  double vary = 0.15;      // true rates leave the ladder by so much
-  ViewerTerms viewers;
-  IssuerTerms issuer;  // where the settings ask for tokens
-  std::vector<Trouble> troubles;
+  double pacing_factor = 1.25;   // objects are sent at this multiple of their rate
+  double live_title_share = 0;   // titles that are live, for viewers that play by HLS
+  double rate_variation = 0.15;  // largest relative deviation of an object's rate from the ladder
+  WorkloadSettings workload;
+  IssuerSettings issuer;  // used where the settings require tokens
+  std::vector<Fault> faults;
 };
 
-std::variant<Day, settings::Mistakes> read_day(const std::string& path,
-                                               const settings::Files& files = settings::file_text);
-// The deployment alone: a day's file is a settings file too.
+// Reads a scenario script, or gives every mistake in it.
+std::variant<Scenario, settings::Mistakes> read_scenario(const std::string& path,
+                                                         const settings::Files& files = settings::file_text);
+// Reads the deployment alone, since a scenario script is also a settings script.
 std::variant<settings::Deployment, settings::Mistakes> read_settings(
     const std::string& path, const settings::Files& files = settings::file_text);
-const char* name_of(Ill ill);
-bool holds(const Day& day, const BoxTerms& box, std::string_view title);
+// The kind's name in scripts.
+const char* fault_name(FaultKind kind);
+// True if the settings place the title on the box's cell.
+bool is_holder(const Scenario& scenario, const BoxSettings& box, std::string_view title);
 
 }  // namespace violettide::standins
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-Fleet::Fleet(Day day, std::vector<std::uint16_t> ports, Duration to_day, Sink sink)
-    : day_(std::move(day)),
+Fleet::Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, Sink sink)
+    : scenario_(std::move(scenario)),
       ports_(std::move(ports)),
-      to_day_(to_day),
+      scenario_offset_(scenario_offset),
       sink_(std::move(sink)),
-      boxes_(day_.boxes.size()),
-      chance_(day_.seed + 2) {
+      boxes_(scenario_.boxes.size()),
+      chance_(scenario_.seed + 2) {
   for (auto& box : boxes_)
     box.started = -std::chrono::hours(1);
 }
@@ -39,7 +39,7 @@
   trace::Passed record;
   record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
   record.set_kind(kind);
-  record.set_box(day_.boxes[box].name);
+  record.set_box(scenario_.boxes[box].name);
   record.set_status(status);
   record.set_number(static_cast<std::uint64_t>(boxes_[box].incarnation));
   if (peer) {
@@ -117,41 +117,43 @@
 
 // ---- troubles ----
 
-const Trouble* Fleet::ill_with(int box, Ill ill) const {
-  for (const auto& trouble : day_.troubles) {
-    if (trouble.ill != ill || day_now() < trouble.at || day_now() >= trouble.at + trouble.lasts)
+const Fault* Fleet::ill_with(int box, FaultKind ill) const {
+  for (const auto& fault : scenario_.faults) {
+    if (fault.kind != ill || scenario_now() < fault.start || scenario_now() >= fault.start + fault.duration)
       continue;
-    if (trouble.whom.empty() ||
-        std::find(trouble.whom.begin(), trouble.whom.end(), box) != trouble.whom.end())
-      return &trouble;
+    if (fault.targets.empty() ||
+        std::find(fault.targets.begin(), fault.targets.end(), box) != fault.targets.end())
+      return &fault;
   }
   return nullptr;
 }
 
 void Fleet::live_through_troubles(std::vector<Action>& actions) {
-  for (std::size_t t = 0; t < day_.troubles.size(); ++t) {
-    const auto& trouble = day_.troubles[t];
-    const Duration since = day_now() - trouble.at;
-    for (const int box : trouble.whom) {
+  for (std::size_t t = 0; t < scenario_.faults.size(); ++t) {
+    const auto& fault = scenario_.faults[t];
+    const Duration since = scenario_now() - fault.start;
+    for (const int box : fault.targets) {
       const bool begins = since >= 0s && !begun_.contains({t, box});
-      const bool ends = since >= trouble.lasts && !ended_.contains({t, box});
-      if (trouble.ill == Ill::drain) {
+      const bool ends = since >= fault.duration && !ended_.contains({t, box});
+      if (fault.kind == FaultKind::drain) {
         // `size` seconds after the notice the process goes; it comes back when the trouble ends.
         if (begins)
           boxes_[box].drained = true, begun_.insert({t, box}), record_list();
-        if (since >= std::chrono::duration<double>(trouble.size) && begun_.contains({t, box}) &&
-            boxes_[box].drained && boxes_[box].up && !ends && since < trouble.lasts)
+        if (since >= std::chrono::duration<double>(fault.magnitude) && begun_.contains({t, box}) &&
+            boxes_[box].drained && boxes_[box].up && !ends && since < fault.duration)
           go_down(box, actions, false);
         if (ends)
           ended_.insert({t, box}), come_up(box, actions);
-      } else if (trouble.ill == Ill::crash || trouble.ill == Ill::vanish || trouble.ill == Ill::ageing) {
-        const bool dies =
-            trouble.ill == Ill::ageing ? since >= trouble.lasts / 2 && !boxes_[box].ageing_died : begins;
+      } else if (fault.kind == FaultKind::crash || fault.kind == FaultKind::vanish ||
+                 fault.kind == FaultKind::ageing) {
+        const bool dies = fault.kind == FaultKind::ageing
+                              ? since >= fault.duration / 2 && !boxes_[box].ageing_died
+                              : begins;
         if (begins)
           begun_.insert({t, box});
         if (dies && !ends && boxes_[box].up) {
-          boxes_[box].ageing_died = trouble.ill == Ill::ageing;
-          go_down(box, actions, trouble.ill == Ill::vanish);
+          boxes_[box].ageing_died = fault.kind == FaultKind::ageing;
+          go_down(box, actions, fault.kind == FaultKind::vanish);
         }
         if (ends)
           ended_.insert({t, box}), come_up(box, actions);
@@ -193,7 +195,7 @@
   break_off(number, actions);
   box.up = true;
   box.cold = true;
-  box.started = day_now();
+  box.started = scenario_now();
   ++box.incarnation;
   box.set_ups.clear();
   box.told_at = -10s;
@@ -206,31 +208,31 @@
 
 double Fleet::slowness(int box) const {
   double slower = 1;
-  if (const auto* trouble = ill_with(box, Ill::slow))
-    slower = std::max(1.0, trouble->size);
-  if (const auto* trouble = ill_with(box, Ill::ageing)) {
-    const double aged = seconds(day_now() - trouble->at) / std::max(0.1, seconds(trouble->lasts) / 2);
-    slower = std::max(slower, 1 + std::min(1.0, aged) * (std::max(2.0, trouble->size) - 1));
+  if (const auto* fault = ill_with(box, FaultKind::slow))
+    slower = std::max(1.0, fault->magnitude);
+  if (const auto* fault = ill_with(box, FaultKind::ageing)) {
+    const double aged = seconds(scenario_now() - fault->start) / std::max(0.1, seconds(fault->duration) / 2);
+    slower = std::max(slower, 1 + std::min(1.0, aged) * (std::max(2.0, fault->magnitude) - 1));
   }
   return slower;
 }
 
 double Fleet::warmth(const Box& box) const {
-  const auto& site = day_.deployment.front.policy;
+  const auto& site = scenario_.deployment.front.policy;
   if (!box.cold || site.warmup_time <= 0s)
     return 1;
-  const double age = seconds(day_now() - box.started) / seconds(site.warmup_time);
+  const double age = seconds(scenario_now() - box.started) / seconds(site.warmup_time);
   if (age >= 1)
     return 1;
   return site.warmup_initial_share + (1 - site.warmup_initial_share) * age * age;
 }
 
 double Fleet::link_of(int number) const {
-  double link = day_.boxes[number].link_kb * warmth(boxes_[number]) / slowness(number);
-  if (const auto* trouble = ill_with(number, Ill::neighbour)) {
-    const auto phase = static_cast<int>(seconds(day_now() - trouble->at) / 2.5);
+  double link = scenario_.boxes[number].link_kb * warmth(boxes_[number]) / slowness(number);
+  if (const auto* fault = ill_with(number, FaultKind::neighbour)) {
+    const auto phase = static_cast<int>(seconds(scenario_now() - fault->start) / 2.5);
     if (phase % 2 == 0)
-      link *= 1 - std::min(0.95, trouble->size);
+      link *= 1 - std::min(0.95, fault->magnitude);
   }
   return link;
 }
@@ -238,11 +240,11 @@
 bool Fleet::mute(int box) const {
   if (box >= static_cast<int>(boxes_.size()))
     return true;  // the list, or a feed that waits: no objects there
-  return !boxes_[box].up || ill_with(box, Ill::hang) || ill_with(box, Ill::vanish);
+  return !boxes_[box].up || ill_with(box, FaultKind::hang) || ill_with(box, FaultKind::vanish);
 }
 
 double Fleet::asked_of(int number) const {
-  const auto& site = day_.deployment.front.policy;
+  const auto& site = scenario_.deployment.front.policy;
   double asked = 0;
   for (const auto& [sid, session] : boxes_[number].sessions)
     asked += site.rung_kb[session.rung] * site.plans[session.plan].rate_scale;
@@ -252,40 +254,40 @@
 // More set-ups within the stated time than a cold process stands.
 bool Fleet::pushed_over(int number) {
   auto& box = boxes_[number];
-  const auto& site = day_.deployment.front.policy;
-  if (!box.cold || day_now() - box.started >= site.warmup_time)
+  const auto& site = scenario_.deployment.front.policy;
+  if (!box.cold || scenario_now() - box.started >= site.warmup_time)
     return false;
-  const Duration fall = day_.deployment.fall;
-  std::erase_if(box.set_ups, [&](Duration at) { return at <= day_now() - fall; });
-  box.set_ups.push_back(day_now());
-  const double pace = site.streams_by_kind[day_.boxes[number].kind] / seconds(site.warmup_time) *
+  const Duration fall = scenario_.deployment.fall;
+  std::erase_if(box.set_ups, [&](Duration at) { return at <= scenario_now() - fall; });
+  box.set_ups.push_back(scenario_now());
+  const double pace = site.streams_by_kind[scenario_.boxes[number].kind] / seconds(site.warmup_time) *
                       warmth(box) * site.overload_multiple;
   return static_cast<double>(box.set_ups.size()) > pace * seconds(fall) + fall_slack;
 }
 
 std::string Fleet::cmsd_of(int number) {
   auto& box = boxes_[number];
-  if (day_now() - box.told_at >= told_every) {
-    box.told_at = day_now();
+  if (scenario_now() - box.told_at >= told_every) {
+    box.told_at = scenario_now();
     box.told_util = asked_of(number) / std::max(1.0, link_of(number));
     box.told_streams = static_cast<std::int64_t>(box.sessions.size());
-    const auto racks = std::max(1, day_.deployment.front.policy.racks);
+    const auto racks = std::max(1, scenario_.deployment.front.policy.racks);
     double asked = 0;
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
-      if (day_.boxes[i].cell % racks == day_.boxes[number].cell % racks)
+      if (scenario_.boxes[i].cell % racks == scenario_.boxes[number].cell % racks)
         asked += asked_of(i);
     }
-    box.told_uplink = day_.deployment.uplink_kb > 0 ? asked / day_.deployment.uplink_kb : 0;
+    box.told_uplink = scenario_.deployment.uplink_kb > 0 ? asked / scenario_.deployment.uplink_kb : 0;
   }
   hints::CmsdDynamic hop;
-  hop.server = day_.boxes[number].name;
-  const bool late = ill_with(number, Ill::report_late);
+  hop.server = scenario_.boxes[number].name;
+  const bool late = ill_with(number, FaultKind::report_late);
   if (!late)
     box.old_util = box.told_util, box.old_uplink = box.told_uplink;
   hop.util = late ? box.old_util : box.told_util;
-  if (const auto* trouble = ill_with(number, Ill::false_cmsd))
-    hop.util = trouble->size;
-  if (day_.deployment.uplink_kb > 0)
+  if (const auto* fault = ill_with(number, FaultKind::false_cmsd))
+    hop.util = fault->magnitude;
+  if (scenario_.deployment.uplink_kb > 0)
     hop.uplink = late ? box.old_uplink : box.told_uplink;
   hop.streams = box.told_streams;
   hop.duress = *hop.util > 1;
@@ -307,8 +309,9 @@
     const auto space = via.rfind(' ');
     peer.via = space == std::string::npos ? "" : via.substr(space + 1);
     if (issuer_ && peer.door == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
-      issuer_->turn_to(static_cast<int>(std::max(Duration(0), day_now()) / day_.issuer.rotate));
-      if (ill_with(-1, Ill::issuer_down))
+      issuer_->turn_to(
+          static_cast<int>(std::max(Duration(0), scenario_now()) / scenario_.issuer.rotation_interval));
+      if (ill_with(-1, FaultKind::issuer_down))
         answer(link, peer, 503, {}, "", actions);
       else
         answer(link, peer, 200, {{"Content-Type", "application/jwk-set+json"}}, issuer_->key_set(), actions);
@@ -351,13 +354,13 @@
     actions.push_back(Send{link, http::head_text(200, {{"CMSD-Dynamic", cmsd_of(number)}}, 0, true)});
     return;
   }
-  peer.hls = day_.deployment.hls ? read_hls_path(day_, request.target) : std::nullopt;
+  peer.hls = scenario_.deployment.hls ? read_hls_path(scenario_, request.target) : std::nullopt;
   manager::MediaPath as_hls;
   if (peer.hls)
     as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
-  const auto path = manager::parse_media_path(day_.deployment.front, request.target);
+  const auto path = manager::parse_media_path(scenario_.deployment.front, request.target);
   const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
-  if (!media || media->rung >= static_cast<int>(day_.deployment.front.policy.rung_kb.size()))
+  if (!media || media->rung >= static_cast<int>(scenario_.deployment.front.policy.rung_kb.size()))
     return answer(link, peer, 404, {}, "", actions);
   peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
   const auto hints = hints::read_cmcd(request.fields, request.target).hints;
@@ -366,13 +369,13 @@
   peer.sid = hints.session_id.value_or("");
   peer.title = media->title;
   peer.plan = media->plan;
-  peer.plan_name = day_.deployment.front.plans[media->plan].name;
+  peer.plan_name = scenario_.deployment.front.plans[media->plan].name;
   peer.rung = media->rung;
   peer.set_up = hints.startup;
   put(peer.set_up ? trace::Passed::SET_UP : trace::Passed::SERVED, number, &peer);
   // Under a catalogue every box has every file: where a set-up may go is the catalogue's word, and is
   // audited.
-  if (!catalogue_ && !holds(day_, day_.boxes[number], media->title)) {
+  if (!catalogue_ && !is_holder(scenario_, scenario_.boxes[number], media->title)) {
     if (std::exchange(peer.set_up, false))
       put(trace::Passed::TRY_ENDED, number, &peer, 404);
     return answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(number)}}, "", actions);
@@ -387,21 +390,21 @@
   }
   const bool full = peer.set_up &&
                     static_cast<double>(box.sessions.size()) >=
-                        day_.deployment.front.policy.streams_by_kind[day_.boxes[number].kind] &&
+                        scenario_.deployment.front.policy.streams_by_kind[scenario_.boxes[number].kind] &&
                     !box.sessions.contains(peer.sid);
   peer.status = full ? 503 : !peer.set_up && !box.sessions.contains(peer.sid) ? 421 : 200;
   if (peer.set_up && !full)
     box.sessions[peer.sid] = {peer.plan, peer.rung, now_};
   const double spread = 0.7 + 0.6 * static_cast<double>(chance_() % 1000) / 1000;
   const double time =
-      peer.set_up ? seconds(day_.setup_time) * slowness(number) * spread / warmth(box) : 0.001;
+      peer.set_up ? seconds(scenario_.setup_time) * slowness(number) * spread / warmth(box) : 0.001;
   peer.answer_at = now_ + Duration(static_cast<std::int64_t>(time * 1e6));
 }
 
 void Fleet::begin_object(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   const int number = peer.door;
   auto& box = boxes_[number];
-  const auto& front = day_.deployment.front;
+  const auto& front = scenario_.deployment.front;
   peer.head_sent = true;
   if (std::exchange(peer.set_up, false))
     put(trace::Passed::TRY_ENDED, number, &peer, peer.status);
@@ -421,9 +424,9 @@
   session = {peer.plan, peer.rung, now_};
   if (peer.hls) {
     const auto number = peer.hls->segment;
-    const bool live = is_live(day_, peer.title);
+    const bool live = is_live(scenario_, peer.title);
     const auto ills = list_ills(peer.door);
-    if (live && (number > newest_segment(day_, day_now()) || (ills.gaps && lacks(number)))) {
+    if (live && (number > newest_segment(scenario_, scenario_now()) || (ills.gaps && lacks(number)))) {
       peer.busy = false;
       answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(peer.door)}}, "", actions);
       if (peers_.contains(link))
@@ -432,10 +435,10 @@
     }
   }
   const double rate = front.policy.rung_kb[peer.rung] * front.policy.plans[peer.plan].rate_scale * 1000;
-  const double varied = 1 + day_.vary * (static_cast<double>(chance_() % 2001) / 1000 - 1);
+  const double varied = 1 + scenario_.rate_variation * (static_cast<double>(chance_() % 2001) / 1000 - 1);
   const auto size = static_cast<std::uint64_t>(rate * varied * seconds(front.object_duration));
   peer.left = static_cast<double>(size);
-  peer.rate = rate * varied * day_.pace;
+  peer.rate = rate * varied * scenario_.pacing_factor;
   hints::CmsdStatic fixed;
   fixed.bitrate = std::llround(rate * 8 / 1000);
   fixed.object_duration = front.object_duration.count() / 1000;
@@ -455,18 +458,18 @@
 
 ListIlls Fleet::list_ills(int box) const {
   ListIlls ills;
-  if (const auto* trouble = ill_with(box, Ill::list_behind))
-    ills.behind = std::llround(trouble->size);
-  ills.gaps = ill_with(box, Ill::list_gaps);
-  if (ill_with(box, Ill::list_nonsense))
+  if (const auto* fault = ill_with(box, FaultKind::list_behind))
+    ills.behind = std::llround(fault->magnitude);
+  ills.gaps = ill_with(box, FaultKind::list_gaps);
+  if (ill_with(box, FaultKind::list_nonsense))
     ills.nonsense = 1 + static_cast<int>(now_ / step_every);
   return ills;
 }
 
 void Fleet::answer_list(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
   const auto ills = list_ills(peer.door);
-  auto text = peer.hls->names == HlsPath::Names::lists ? lists_of(day_, *peer.hls, ills)
-                                                       : media_of(day_, *peer.hls, day_now(), ills);
+  auto text = peer.hls->names == HlsPath::Names::lists ? lists_of(scenario_, *peer.hls, ills)
+                                                       : media_of(scenario_, *peer.hls, scenario_now(), ills);
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
                       {"CMSD-Dynamic", cmsd_of(peer.door)}};
   if (peer.packs && peer.door % 2 == 1) {
@@ -487,7 +490,7 @@
   for (auto& [link, peer] : peers_) {
     if (!peer.busy || peer.head_sent || peer.answer_at > now_ || mute(peer.door))
       continue;
-    if (peer.set_up && ill_with(peer.door, Ill::answer_lost))
+    if (peer.set_up && ill_with(peer.door, FaultKind::answer_lost))
       continue;  // it ran; nobody hears of it
     due.push_back(link);
   }
@@ -500,17 +503,17 @@
     if (peer.busy && peer.head_sent && !mute(peer.door))
       asked[peer.door] += peer.rate / 1000;
   }
-  const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.front.policy.racks));
+  const auto racks = static_cast<std::size_t>(std::max(1, scenario_.deployment.front.policy.racks));
   std::vector<double> share(boxes_.size(), 1), rack_asked(racks, 0);
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
     if (asked[i] > 0)
       share[i] = std::min(1.0, link_of(static_cast<int>(i)) / asked[i]);
-    rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks] += asked[i] * share[i];
+    rack_asked[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks] += asked[i] * share[i];
   }
-  for (std::size_t i = 0; i < boxes_.size() && day_.deployment.uplink_kb > 0; ++i) {
-    const double of_rack = rack_asked[static_cast<std::size_t>(day_.boxes[i].cell) % racks];
-    if (of_rack > day_.deployment.uplink_kb)
-      share[i] *= day_.deployment.uplink_kb / of_rack;
+  for (std::size_t i = 0; i < boxes_.size() && scenario_.deployment.uplink_kb > 0; ++i) {
+    const double of_rack = rack_asked[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks];
+    if (of_rack > scenario_.deployment.uplink_kb)
+      share[i] *= scenario_.deployment.uplink_kb / of_rack;
   }
   static const std::string blank(256 * 1024, 'v');
   std::vector<ConnectionId> whole;
@@ -544,8 +547,8 @@
   // A session that asks for nothing for some objects' time has ended.
   for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
     std::erase_if(boxes_[i].sessions, [&](const auto& entry) {
-      return now_ - entry.second.seen >
-             std::max(day_.deployment.front.idle_timeout, 4 * day_.deployment.front.object_duration);
+      return now_ - entry.second.seen > std::max(scenario_.deployment.front.idle_timeout,
+                                                 4 * scenario_.deployment.front.object_duration);
     });
   }
 }
@@ -555,10 +558,10 @@
 // Each change of state is seen `list_lag` later, and later still while the list is late.
 void Fleet::record_list() {
   ListState state;
-  Duration lag = day_.list_lag;
-  if (const auto* trouble = ill_with(-1, Ill::list_late))
-    lag += Duration(static_cast<std::int64_t>(trouble->size * 1e6));
-  state.visible_at = day_now() + lag;
+  Duration lag = scenario_.list_delay;
+  if (const auto* fault = ill_with(-1, FaultKind::list_late))
+    lag += Duration(static_cast<std::int64_t>(fault->magnitude * 1e6));
+  state.visible_at = scenario_now() + lag;
   if (!list_history_.empty())
     state.visible_at = std::max(state.visible_at, list_history_.back().visible_at);
   state.revision = static_cast<std::int64_t>(list_history_.size()) + 1;
@@ -572,7 +575,7 @@
 
 void Fleet::serve_list(ConnectionId link, Peer& peer, const http::Request& request,
                        std::vector<Action>& actions) {
-  if (ill_with(-1, Ill::list_down)) {
+  if (ill_with(-1, FaultKind::list_down)) {
     peer.busy = true;
     return;
   }
@@ -580,24 +583,24 @@
     return answer(link, peer, 404, {}, "", actions);
   const ListState* seen = &list_history_.front();
   for (const auto& state : list_history_) {
-    if (state.visible_at <= day_now())
+    if (state.visible_at <= scenario_now())
       seen = &state;
   }
   const auto etag = "\"" + std::to_string(seen->revision) + "\"";
   const auto* known = http::find(request.fields, "If-None-Match");
   if (known && *known == etag)
     return answer(link, peer, 304, {{"ETag", etag}}, "", actions);
-  nlohmann::json list{{"revision", seen->revision}, {"clock_ms", 10'000'000 + day_now().count() / 1000}};
+  nlohmann::json list{{"revision", seen->revision}, {"clock_ms", 10'000'000 + scenario_now().count() / 1000}};
   auto& boxes = list["boxes"] = nlohmann::json::array();
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
-    const auto& terms = day_.boxes[i];
+    const auto& terms = scenario_.boxes[i];
     boxes.push_back({{"name", terms.name},
                      {"address", "127.0.0.1"},
                      {"port", ports_[i]},
                      {"state", seen->states[i]},
                      {"kind", terms.kind},
                      {"cell", terms.cell},
-                     {"hall", day_.deployment.front.halls[terms.hall]},
+                     {"hall", scenario_.deployment.front.halls[terms.hall]},
                      {"weight", terms.weight},
                      {"started_ms", 10'000'000 + seen->started[i].count() / 1000}});
     auto& before = told_[peer.via][terms.name];
@@ -619,25 +622,25 @@
 // ---- the catalogue's origin ----
 
 void Fleet::begin_catalogue() {
-  if (!day_.deployment.front.has_catalogue)
+  if (!scenario_.deployment.front.has_catalogue)
     return;
   catalogue::ReplicaConfig terms;
   terms.log_capacity = 32;  // short, so that a manager that was away meets a log that no longer reaches back
   catalogue_ = std::make_unique<catalogue::Replica>(
       terms, [](std::string_view) { return ServerId{0}; },
-      static_cast<int>(day_.deployment.front.policy.rung_kb.size()));
+      static_cast<int>(scenario_.deployment.front.policy.rung_kb.size()));
   std::vector<catalogue::Change> all;
-  for (int t = 0; t < day_.viewers.titles; ++t) {
+  for (int t = 0; t < scenario_.workload.title_count; ++t) {
     const auto title = "recording-" + std::to_string(t);
     catalogue::Recording recording{title, {}, {}};
-    const auto& site = day_.deployment.front.policy;
+    const auto& site = scenario_.deployment.front.policy;
     for (int rung = 0; rung < static_cast<int>(site.rung_kb.size()); ++rung)
       recording.renditions.push_back(
           {"r" + std::to_string(rung), rung, "avc1", site.rung_kb[rung], std::chrono::minutes(3)});
     for (std::size_t b = 0; b < boxes_.size(); ++b) {
-      if (!holds(day_, day_.boxes[b], title))
+      if (!is_holder(scenario_, scenario_.boxes[b], title))
         continue;
-      recording.locations.push_back({day_.boxes[b].name, catalogue::LocationState::here, 0});
+      recording.locations.push_back({scenario_.boxes[b].name, catalogue::LocationState::here, 0});
       lies_on_[title].push_back(static_cast<int>(b));
     }
     all.push_back(catalogue::PutRecording{std::move(recording)});
@@ -649,8 +652,8 @@
 void Fleet::move_recordings(double passed, std::vector<Action>& actions) {
   if (!catalogue_)
     return;
-  if (const auto* trouble = ill_with(-1, Ill::catalogue_moves))
-    moves_due_ += passed * trouble->size;
+  if (const auto* fault = ill_with(-1, FaultKind::catalogue_moves))
+    moves_due_ += passed * fault->magnitude;
   for (; moves_due_ >= 1; moves_due_ -= 1) {
     auto& [title, on] = *std::next(lies_on_.begin(), static_cast<long>(chance_() % lies_on_.size()));
     const int to = static_cast<int>(chance_() % boxes_.size());
@@ -658,8 +661,8 @@
       continue;
     const auto from = chance_() % on.size();
     const std::vector<catalogue::Change> batch{
-        catalogue::RemoveLocation{title, day_.boxes[on[from]].name},
-        catalogue::PutLocation{title, {day_.boxes[to].name, catalogue::LocationState::here, 0}}};
+        catalogue::RemoveLocation{title, scenario_.boxes[on[from]].name},
+        catalogue::PutLocation{title, {scenario_.boxes[to].name, catalogue::LocationState::here, 0}}};
     on[from] = to;
     catalogue_->handle(catalogue::ChangeRequest{0, std::nullopt, true, batch});
     catalogue_->handle(catalogue::BatchPersisted{catalogue_->current()->revision + 1, std::nullopt});
@@ -695,7 +698,7 @@
 
 void Fleet::serve_feed(ConnectionId link, Peer& peer, const http::Request& request,
                        std::vector<Action>& actions) {
-  const bool broken = ill_with(-1, Ill::feed_broken);
+  const bool broken = ill_with(-1, FaultKind::feed_broken);
   const auto how = broken ? chance_() % 5 : 5;
   if (how == 0) {  // breaks off
     actions.push_back(Close{link, false});
@@ -724,7 +727,7 @@
     // The whole: what it does not name is unlisted.
     for (const auto& [title, on] : lies_on_) {
       for (std::size_t b = 0; b < boxes_.size(); ++b)
-        put_listed(peer, title, day_.boxes[b].name,
+        put_listed(peer, title, scenario_.boxes[b].name,
                    std::find(on.begin(), on.end(), static_cast<int>(b)) != on.end());
     }
   }
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -23,7 +23,7 @@
 class Fleet : public Core {
  public:
   // `ports`: of the boxes' doors, for the list. `to_day`: what turns this core's time into the day's.
-  Fleet(Day day, std::vector<std::uint16_t> ports, Duration to_day, Sink sink);
+  Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, Sink sink);
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   void listen_at(std::vector<std::uint16_t> ports) { ports_ = std::move(ports); }
 
@@ -89,7 +89,7 @@
   void go_down(int box, std::vector<Action>& actions, bool silent);
   void come_up(int box, std::vector<Action>& actions);
   void record_list();
-  const Trouble* ill_with(int box, Ill ill) const;
+  const Fault* ill_with(int box, FaultKind ill) const;
   double link_of(int box) const;
   double slowness(int box) const;
   bool mute(int box) const;  // takes, answers nothing
@@ -98,11 +98,11 @@
   double warmth(const Box& box) const;
   bool pushed_over(int box);
   void put(trace::Passed::Kind kind, int box, const Peer* peer, int status = 0);
-  Duration day_now() const { return now_ + to_day_; }
+  Duration scenario_now() const { return now_ + scenario_offset_; }
 
-  Day day_;
+  Scenario scenario_;
   std::vector<std::uint16_t> ports_;
-  Duration to_day_;
+  Duration scenario_offset_;
   Sink sink_;
   Duration now_{0}, stepped_{0};
   std::uint64_t clock_offset_ = 0;
--- a/src/standins/hls_origin.cpp
+++ b/src/standins/hls_origin.cpp
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-std::optional<HlsPath> read_hls_path(const Day& day, std::string_view target) {
+std::optional<HlsPath> read_hls_path(const Scenario& scenario, std::string_view target) {
   auto path = std::string(target.substr(0, target.find('?')));
   HlsPath made;
   const auto slashes = std::count(path.begin(), path.end(), '/');
@@ -57,9 +57,9 @@
     path.replace(audio, 5, "/r0/");
     made.audio = true;
   }
-  const auto read = manager::parse_media_path(day.deployment.front, path);
+  const auto read = manager::parse_media_path(scenario.deployment.front, path);
   const auto* media = std::get_if<manager::MediaPath>(&read);
-  if (!media || media->rung >= static_cast<int>(day.deployment.front.policy.rung_kb.size()))
+  if (!media || media->rung >= static_cast<int>(scenario.deployment.front.policy.rung_kb.size()))
     return std::nullopt;
   made.plan = media->plan;
   made.rung = media->rung;
@@ -78,24 +78,24 @@
   return made;
 }
 
-bool is_live(const Day& day, std::string_view title) {
+bool is_live(const Scenario& scenario, std::string_view title) {
   std::uint32_t number = 0;
   const auto dash = title.rfind('-');
   if (dash != std::string_view::npos)
     std::from_chars(title.data() + dash + 1, title.data() + title.size(), number);
-  return number % 10 < std::lround(day.live_titles * 10);
+  return number % 10 < std::lround(scenario.live_title_share * 10);
 }
 
-std::int64_t newest_segment(const Day& day, Duration day_now) {
-  return (day_now + before_day) / day.deployment.front.object_duration - 1;
+std::int64_t newest_segment(const Scenario& scenario, Duration scenario_now) {
+  return (scenario_now + before_day) / scenario.deployment.front.object_duration - 1;
 }
 
 bool lacks(std::int64_t segment) { return segment % gap_every == gap_at; }
 
-std::string lists_of(const Day& day, const HlsPath& path, const ListIlls& ills) {
+std::string lists_of(const Scenario& scenario, const HlsPath& path, const ListIlls& ills) {
   if (ills.nonsense > 0)
     return nonsense(ills.nonsense);
-  const auto& site = day.deployment.front.policy;
+  const auto& site = scenario.deployment.front.policy;
   std::string text =
       "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-INDEPENDENT-SEGMENTS\n"
       "#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"aud\",NAME=\"Original\",DEFAULT=YES,AUTOSELECT=YES,"
@@ -109,21 +109,22 @@
   return text;
 }
 
-std::string media_of(const Day& day, const HlsPath& path, Duration day_now, const ListIlls& ills) {
+std::string media_of(const Scenario& scenario, const HlsPath& path, Duration scenario_now,
+                     const ListIlls& ills) {
   if (ills.nonsense > 0)
     return nonsense(ills.nonsense);
-  const double length = std::chrono::duration<double>(day.deployment.front.object_duration).count();
+  const double length = std::chrono::duration<double>(scenario.deployment.front.object_duration).count();
   char duration[32];
   std::snprintf(duration, sizeof duration, "#EXTINF:%.3f,\n", length);
   std::string text = "#EXTM3U\n#EXT-X-VERSION:6\n#EXT-X-TARGETDURATION:" +
                      std::to_string(std::max<long>(1, std::lround(std::ceil(length)))) + "\n";
-  if (!is_live(day, path.title)) {
+  if (!is_live(scenario, path.title)) {
     text += "#EXT-X-PLAYLIST-TYPE:VOD\n";
     for (std::int64_t i = 0; i < recorded_segments; ++i)
       text += duration + ("seg-" + std::to_string(i)) + ".m4s\n";
     return text + "#EXT-X-ENDLIST\n";
   }
-  const auto to = newest_segment(day, day_now) - ills.behind;
+  const auto to = newest_segment(scenario, scenario_now) - ills.behind;
   const auto from = std::max<std::int64_t>(0, to - window + 1);
   // A box with gaps counts what it has.
   const auto missing = ills.gaps ? (from + gap_every - 1 - gap_at) / gap_every : 0;
--- a/src/standins/hls_origin.h
+++ b/src/standins/hls_origin.h
@@ -18,7 +18,7 @@
   std::string title;
   std::int64_t segment = 0;
 };
-std::optional<HlsPath> read_hls_path(const Day& day, std::string_view target);
+std::optional<HlsPath> read_hls_path(const Scenario& scenario, std::string_view target);
 
 // What is wrong with a box's lists.
 struct ListIlls {
@@ -26,12 +26,13 @@
   bool gaps = false;        // some segments are missing, and later ones numbered as if they had never been
   int nonsense = 0;         // 0: none; else which
 };
-bool is_live(const Day& day, std::string_view title);
+bool is_live(const Scenario& scenario, std::string_view title);
 // The newest segment that there is, at the day's time.
-std::int64_t newest_segment(const Day& day, Duration day_now);
+std::int64_t newest_segment(const Scenario& scenario, Duration scenario_now);
 bool lacks(std::int64_t segment);  // of a box with gaps
-std::string lists_of(const Day& day, const HlsPath& path, const ListIlls& ills);
-std::string media_of(const Day& day, const HlsPath& path, Duration day_now, const ListIlls& ills);
+std::string lists_of(const Scenario& scenario, const HlsPath& path, const ListIlls& ills);
+std::string media_of(const Scenario& scenario, const HlsPath& path, Duration scenario_now,
+                     const ListIlls& ills);
 // What a segment's bytes begin with: its title, rung and number, for players to check.
 std::string stamp_of(const HlsPath& path);
 
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -42,17 +42,17 @@
 
 }  // namespace
 
-Viewers::Viewers(const Day& day, std::vector<Door> doors, Duration to_day, std::uint64_t origin_us,
-                 std::function<void(const trace::Passed&)> sink)
-    : day_(day),
+Viewers::Viewers(const Scenario& scenario, std::vector<Door> doors, Duration scenario_offset,
+                 std::uint64_t origin_us, std::function<void(const trace::Passed&)> sink)
+    : scenario_(scenario),
       doors_(std::move(doors)),
-      to_day_(to_day),
+      scenario_offset_(scenario_offset),
       origin_us_(origin_us),
       sink_(std::move(sink)),
-      chance_(day.seed + 3) {
+      chance_(scenario.seed + 3) {
   double sum = 0;
-  for (int i = 0; i < day_.viewers.titles; ++i)
-    zipf_.push_back(sum += std::pow(i + 1, -day_.viewers.zipf));
+  for (int i = 0; i < scenario_.workload.title_count; ++i)
+    zipf_.push_back(sum += std::pow(i + 1, -scenario_.workload.zipf_exponent));
 }
 
 double Viewers::draw() {
@@ -72,7 +72,7 @@
   record.set_manager(doors_[viewer.door].manager);
   record.set_trace(viewer.trace);
   record.set_sid(viewer.sid);
-  record.set_plan(day_.deployment.front.plans[viewer.plan].name);
+  record.set_plan(scenario_.deployment.front.plans[viewer.plan].name);
   record.set_title(viewer.title);
   record.set_rung(kind == trace::Passed::OBJECT || kind == trace::Passed::ANSWERED ? viewer.rung
                                                                                    : viewer.top);
@@ -140,8 +140,8 @@
       // Its time is up: nothing that comes now counts.
       put(trace::Passed::LEFT, viewer, 0, viewer.first ? "abandoned" : "stalled");
       hang(viewer, actions);
-      if (draw() < day_.viewers.returns && !viewer.first)
-        rest(viewer, day_.viewers.rejoin, actions);
+      if (draw() < scenario_.workload.return_probability && !viewer.first)
+        rest(viewer, scenario_.workload.rejoin_delay, actions);
       else
         viewer.state = State::over;
     } else if (bell == Bell::again) {
@@ -169,13 +169,13 @@
 }
 
 void Viewers::arrive(std::vector<Action>& actions, bool crowd) {
-  if (day_now() >= day_.length || stopping_) {
+  if (scenario_now() >= scenario_.duration || stopping_) {
     // What still plays when the day is long over is left; what is being set up is waited for.
-    Duration over = day_.length;
-    for (const auto& plan : day_.deployment.front.plans)
-      over = std::max(over, day_.length + plan.abandon_time);
+    Duration over = scenario_.duration;
+    for (const auto& plan : scenario_.deployment.front.plans)
+      over = std::max(over, scenario_.duration + plan.abandon_time);
     for (auto& [number, viewer] : viewers_) {
-      if (day_now() > over && viewer.state != State::over && viewer.state != State::asking)
+      if (scenario_now() > over && viewer.state != State::over && viewer.state != State::asking)
         leave(viewer, actions, "the day is over");
     }
     if (viewers_.empty() && !crowd)
@@ -184,11 +184,11 @@
       bells_.schedule(now_ + 100ms, packed(static_cast<std::uint64_t>(Bell::arrival), 0));
     return;
   }
-  double rate = crowd ? 0 : day_.viewers.per_second;
-  for (const auto& trouble : day_.troubles) {
-    if (crowd && trouble.ill == Ill::crowd && day_now() >= trouble.at &&
-        day_now() < trouble.at + trouble.lasts)
-      rate += trouble.size;
+  double rate = crowd ? 0 : scenario_.workload.arrivals_per_second;
+  for (const auto& fault : scenario_.faults) {
+    if (crowd && fault.kind == FaultKind::crowd && scenario_now() >= fault.start &&
+        scenario_now() < fault.start + fault.duration)
+      rate += fault.magnitude;
   }
   const auto code = packed(static_cast<std::uint64_t>(Bell::arrival), crowd ? 1 : 0);
   if (rate <= 0) {
@@ -196,11 +196,11 @@
     return;
   }
   bells_.schedule(now_ + span_of(-std::log(1 - draw()) / rate), code);
-  if (day_now() < 0s)
+  if (scenario_now() < 0s)
     return;  // the day has not begun
   Viewer viewer;
   viewer.number = next_viewer_++;
-  const auto& terms = day_.viewers;
+  const auto& terms = scenario_.workload;
   double sum = 0;
   for (const double share : terms.plan_shares)
     sum += share;
@@ -211,21 +211,23 @@
       crowd ? terms.crowd_title
             : std::lower_bound(zipf_.begin(), zipf_.end(), draw() * zipf_.back()) - zipf_.begin();
   viewer.title = "recording-" + std::to_string(title);
-  viewer.hall = static_cast<int>(draw() * static_cast<double>(day_.deployment.front.halls.size()));
-  const auto& plan = day_.deployment.front.policy.plans[viewer.plan];
+  viewer.hall = static_cast<int>(draw() * static_cast<double>(scenario_.deployment.front.halls.size()));
+  const auto& plan = scenario_.deployment.front.policy.plans[viewer.plan];
   viewer.top = plan.top;
-  if (draw() < terms.small_screens)
+  if (draw() < terms.small_screen_share)
     viewer.top = std::max(plan.floor, plan.top - 1);
   viewer.watch = viewer.left_to_watch =
-      terms.least_watch + span_of(draw() * seconds(terms.most_watch - terms.least_watch));
+      terms.min_watch_time + span_of(draw() * seconds(terms.max_watch_time - terms.min_watch_time));
   const double kind = draw();
-  viewer.hints = kind < terms.hintless ? 1 : kind < terms.hintless + terms.malformed ? 2 : 0;
+  viewer.hints = kind < terms.no_hints_share                                 ? 1
+                 : kind < terms.no_hints_share + terms.malformed_hints_share ? 2
+                                                                             : 0;
   char sid[40];
-  std::snprintf(sid, sizeof sid, "%08x-%04x-4000-8000-%012x", viewer.number, day_.seed & 0xffff,
+  std::snprintf(sid, sizeof sid, "%08x-%04x-4000-8000-%012x", viewer.number, scenario_.seed & 0xffff,
                 static_cast<unsigned>(chance_()));
   viewer.sid = sid;
   viewer.came = now_;
-  if (terms.hls > 0 && draw() < terms.hls)
+  if (terms.hls_share > 0 && draw() < terms.hls_share)
     viewer.hls = std::make_unique<HlsPlayer>("", 0);
   begin_hls(viewer);
   auto& kept = viewers_.emplace(viewer.number, std::move(viewer)).first->second;
@@ -233,7 +235,7 @@
 }
 
 void Viewers::request_text(Viewer& viewer) {
-  const auto& front = day_.deployment.front;
+  const auto& front = scenario_.deployment.front;
   manager::MediaPath path{viewer.plan, viewer.title, 0, std::to_string(viewer.object) + ".m4s"};
   http::Fields fields{
       {"Host", "front"},
@@ -276,20 +278,21 @@
 
 // A new token when the last is half over: most are renewed while they play.
 void Viewers::show_token(Viewer& viewer, http::Fields& fields) {
-  issuer_->turn_to(static_cast<int>(std::max(Duration(0), day_now()) / day_.issuer.rotate));
-  if (viewer.token.empty() || now_ - viewer.token_at > day_.issuer.token_life / 2) {
+  issuer_->turn_to(
+      static_cast<int>(std::max(Duration(0), scenario_now()) / scenario_.issuer.rotation_interval));
+  if (viewer.token.empty() || now_ - viewer.token_at > scenario_.issuer.token_lifetime / 2) {
     const auto now = wall_ + now_;
     Issuer::Says says{viewer.sid + "-" + std::to_string(++viewer.tokens),
                       "viewer-" + std::to_string(viewer.number),
                       team_of(viewer),
-                      day_.issuer.seats,
+                      scenario_.issuer.seats_per_team,
                       now,
-                      now + day_.issuer.token_life,
+                      now + scenario_.issuer.token_lifetime,
                       Duration(0),
                       {},
                       {}};
     if (viewer.tokens == 1)
-      viewer.bad_token = draw() < day_.issuer.bad;
+      viewer.bad_token = draw() < scenario_.issuer.invalid_token_share;
     if (viewer.bad_token && viewer.number % 2 == 0)
       says.expires = now - std::chrono::hours(1);
     viewer.token = viewer.bad_token && viewer.number % 2 == 1 ? issuer_->forged(says) : issuer_->token(says);
@@ -308,7 +311,7 @@
     ++asked_;
   }
   char trace[40];
-  std::snprintf(trace, sizeof trace, "%08x%08x%08x%08x", day_.seed, viewer.number,
+  std::snprintf(trace, sizeof trace, "%08x%08x%08x%08x", scenario_.seed, viewer.number,
                 static_cast<unsigned>(asked_), static_cast<unsigned>(++requests_));
   viewer.trace = trace;
   if (viewer.first && !viewer.link) {
@@ -340,7 +343,7 @@
   }
   if (viewer.first)
     put(trace::Passed::ASKED, viewer);
-  const Duration patience = day_.deployment.front.plans[viewer.plan].abandon_time;
+  const Duration patience = scenario_.deployment.front.plans[viewer.plan].abandon_time;
   arm(viewer, viewer.first ? patience : 3 * patience, Bell::patience);
 }
 
@@ -359,14 +362,14 @@
       viewer.retry_after = std::atoi(wait->c_str());
     const auto said = hints::read_cmsd(http::joined(part.head->fields, "CMSD-Static"),
                                        http::joined(part.head->fields, "CMSD-Dynamic"));
-    const auto& rates = day_.deployment.front.policy.rung_kb;
+    const auto& rates = scenario_.deployment.front.policy.rung_kb;
     if (!said.hops.empty() && said.hops.back().max_suggested_bitrate)
       viewer.suggested_bits = static_cast<double>(*said.hops.back().max_suggested_bitrate) * 1000;
     if (const auto* again = http::find(part.head->fields, "Content-Location"); again && viewer.hls)
       viewer.hls->lists_again_at(*again);
     if (said.fixed && said.fixed->bitrate) {
       const double kb = static_cast<double>(*said.fixed->bitrate) / 8 /
-                        day_.deployment.front.policy.plans[viewer.plan].rate_scale;
+                        scenario_.deployment.front.policy.plans[viewer.plan].rate_scale;
       viewer.rung = static_cast<int>(
           std::min_element(rates.begin(), rates.end(),
                            [&](double a, double b) { return std::fabs(a - kb) < std::fabs(b - kb); }) -
@@ -376,7 +379,7 @@
       put(trace::Passed::ANSWERED, viewer, viewer.status);
       // It plays: patience is for the set-up; a body that stalls is left later.
       if (viewer.status == 200)
-        arm(viewer, 3 * day_.deployment.front.plans[viewer.plan].abandon_time, Bell::patience);
+        arm(viewer, 3 * scenario_.deployment.front.plans[viewer.plan].abandon_time, Bell::patience);
     }
   }
   viewer.bytes += part.body.size();
@@ -394,11 +397,13 @@
   const bool was_first = viewer.first;
   if (!was_first)
     put(trace::Passed::OBJECT, viewer, viewer.status);
-  const bool comes_again = (viewer.status == 503 || !was_first) && draw() < day_.viewers.returns;
+  const bool comes_again =
+      (viewer.status == 503 || !was_first) && draw() < scenario_.workload.return_probability;
   if (!comes_again)
     return leave(viewer, actions, "turned away");
   rest(viewer,
-       viewer.retry_after > 0 ? span_of(viewer.retry_after * (1 + 0.5 * draw())) : day_.viewers.rejoin,
+       viewer.retry_after > 0 ? span_of(viewer.retry_after * (1 + 0.5 * draw()))
+                              : scenario_.workload.rejoin_delay,
        actions);
 }
 
@@ -414,13 +419,13 @@
 
 void Viewers::object_whole(Viewer& viewer, std::vector<Action>& actions) {
   drain_buffer(viewer);
-  const double length = seconds(day_.deployment.front.object_duration);
+  const double length = seconds(scenario_.deployment.front.object_duration);
   viewer.throughput =
       static_cast<double>(viewer.bytes) / 1000 / std::max(0.001, seconds(now_ - viewer.sent_at));
   viewer.ever_played = true;
   viewer.first = false;
   viewer.buffer_s += length;
-  viewer.left_to_watch -= day_.deployment.front.object_duration;
+  viewer.left_to_watch -= scenario_.deployment.front.object_duration;
   ++viewer.object;
   put(trace::Passed::OBJECT, viewer, viewer.status);
   if (viewer.left_to_watch <= 0s)
@@ -435,7 +440,7 @@
 void Viewers::begin_hls(Viewer& viewer) {
   if (!viewer.hls)
     return;
-  const auto& front = day_.deployment.front;
+  const auto& front = scenario_.deployment.front;
   const auto& plan = front.policy.plans[viewer.plan];
   const auto lists = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
                      http::percent_encoded(viewer.title) + "/index.m3u8";
@@ -494,7 +499,7 @@
 bool Viewers::hls_refused(Viewer& viewer, std::vector<Action>& actions) {
   put(trace::Passed::OBJECT, viewer, viewer.status);
   const auto pause = viewer.retry_after > 0 ? span_of(viewer.retry_after * (1 + 0.5 * draw()))
-                                            : span_of(seconds(day_.viewers.rejoin) * 0.25);
+                                            : span_of(seconds(scenario_.workload.rejoin_delay) * 0.25);
   if (viewer.status == 404 || viewer.status == 503) {
     if (viewer.status == 404)
       viewer.hls->refused(viewer.hls_ask);
@@ -520,7 +525,7 @@
     viewer.goes_on = ++viewer.breaks < most_breaks;
     if (viewer.state == State::idle)
       return;
-    return rest(viewer, span_of(seconds(day_.viewers.rejoin) * (0.25 + 0.5 * draw())), actions);
+    return rest(viewer, span_of(seconds(scenario_.workload.rejoin_delay) * (0.25 + 0.5 * draw())), actions);
   }
   if (!under_way) {  // between objects: the next one is asked on a new connection, as a playback anew
     viewer.first = true;
@@ -528,18 +533,18 @@
   }
   if (!unanswered && viewer.state == State::asking)
     put(trace::Passed::LEFT, viewer, 0, "cut");
-  if (draw() >= day_.viewers.returns) {
+  if (draw() >= scenario_.workload.return_probability) {
     viewer.state = State::over;
     bells_.cancel(viewer.timer);
     return;
   }
-  rest(viewer, span_of(seconds(day_.viewers.rejoin) * (0.5 + draw())), actions);
+  rest(viewer, span_of(seconds(scenario_.workload.rejoin_delay) * (0.5 + draw())), actions);
 }
 
 void Viewers::rest(Viewer& viewer, Duration pause, std::vector<Action>& actions) {
   if (viewer.link)
     hang(viewer, actions);
-  if (now_ + pause >= viewer.came + viewer.watch || day_now() >= day_.length) {
+  if (now_ + pause >= viewer.came + viewer.watch || scenario_now() >= scenario_.duration) {
     viewer.state = State::over;
     bells_.cancel(viewer.timer);
     return;
--- a/src/standins/viewers.h
+++ b/src/standins/viewers.h
@@ -26,8 +26,8 @@
 
 class Viewers : public Core {
  public:
-  Viewers(const Day& day, std::vector<Door> doors, Duration to_day, std::uint64_t origin_us,
-          std::function<void(const trace::Passed&)> sink);
+  Viewers(const Scenario& scenario, std::vector<Door> doors, Duration scenario_offset,
+          std::uint64_t origin_us, std::function<void(const trace::Passed&)> sink);
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
   std::size_t asked() const { return asked_; }
   // Viewers show its tokens. `wall`: the machine's clock at this core's time 0.
@@ -75,7 +75,7 @@
   void ask(Viewer& viewer, std::vector<Action>& actions);
   void request_text(Viewer& viewer);
   std::string team_of(const Viewer& viewer) const {
-    return "team-" + std::to_string(viewer.number % static_cast<unsigned>(day_.issuer.teams));
+    return "team-" + std::to_string(viewer.number % static_cast<unsigned>(scenario_.issuer.team_count));
   }
   void show_token(Viewer& viewer, http::Fields& fields);
   void begin_hls(Viewer& viewer);
@@ -93,11 +93,11 @@
   void arm(Viewer& viewer, Duration in, Bell bell);
   void put(trace::Passed::Kind kind, const Viewer& viewer, int status = 0, const std::string& cause = "");
   double draw();
-  Duration day_now() const { return now_ + to_day_; }
+  Duration scenario_now() const { return now_ + scenario_offset_; }
 
-  Day day_;
+  Scenario scenario_;
   std::vector<Door> doors_;
-  Duration to_day_;
+  Duration scenario_offset_;
   std::uint64_t origin_us_;
   std::function<void(const trace::Passed&)> sink_;
   Duration now_{0};
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -34,16 +34,17 @@
 limits(silence = s(2))
 )";
 
-standins::Day parse_day(const std::string& script) {
+standins::Scenario parse_day(const std::string& script) {
   const std::map<std::string, std::string> texts{{"f.star", settings_script},
                                                  {"d.star", "load(\"f.star\")\n" + script}};
-  const auto read = standins::read_day("d.star", [&](const std::string& path) -> std::optional<std::string> {
-    const auto found = texts.find(path);
-    return found == texts.end() ? std::nullopt : std::optional(found->second);
-  });
+  const auto read =
+      standins::read_scenario("d.star", [&](const std::string& path) -> std::optional<std::string> {
+        const auto found = texts.find(path);
+        return found == texts.end() ? std::nullopt : std::optional(found->second);
+      });
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
     throw std::runtime_error(mistakes->front().text());
-  return std::get<standins::Day>(read);
+  return std::get<standins::Scenario>(read);
 }
 
 // The policy, with a function that alters its commands.
@@ -91,7 +92,7 @@
   }
 };
 
-DayResult run_day(const standins::Day& day, AlteringDecider::Alter alter = {},
+DayResult run_day(const standins::Scenario& day, AlteringDecider::Alter alter = {},
                   std::function<void(std::vector<Action>&)> tamper = {},
                   std::function<void(Network&, std::vector<int>&, const std::function<void(int)>&,
                                      std::vector<trace::Passed>&)>
@@ -124,7 +125,7 @@
     sink(started);
     return tampering_cores.back();
   };
-  for (int i = 0; i < day.managers; ++i) {
+  for (int i = 0; i < day.manager_count; ++i) {
     hosts.push_back(net.add(make_manager(i, ""), 1));
     doors.push_back({"m" + std::to_string(i), Network::port(hosts.back()), 0});
   }
@@ -137,7 +138,7 @@
   if (interfere)
     interfere(net, hosts, restart, result.records);
   for (int second = 1; second < 200 && !net.stopped(audience); ++second)
-    net.run(day.length + second * 1s);
+    net.run(day.duration + second * 1s);
   EXPECT_TRUE(net.stopped(audience)) << "the viewers did not finish";
   net.run(net.now() + 20s);  // lets every idle timeout expire
   for (const auto& manager : managers) {
@@ -441,7 +442,7 @@
       "day(length = s(4))\nboxes(count = 3)\nviewers(per_second = 1, least_watch = s(1), most_watch = "
       "s(2))\n");
   day.deployment.front.entitlement.enabled = true;
-  day.issuer.seats = 1;
+  day.issuer.seats_per_team = 1;
   std::vector<Passed> records{make_record(Passed::STARTED, 0, "")};
   const auto playback = [&](const std::string& sid, int from, int to, const std::string& team = "red") {
     records.push_back(make_record(Passed::ASKED, from, sid, team));
--- a/tests/program/settings_test.cpp
+++ b/tests/program/settings_test.cpp
@@ -143,7 +143,7 @@
       "load(\"f.star\")\nday(length = s(4))\nboxes(count = 4)\nviewers(per_second = 1, least_watch = s(1), "
       "most_watch = s(2))\n";
   const auto told = [&](const std::string& line) {
-    const auto read = standins::read_day(
+    const auto read = standins::read_scenario(
         "d/day.star", files_of({{"d/f.star", without_semicolon()}, {"d/day.star", day + line}}));
     return std::holds_alternative<Mistakes>(read) ? std::get<Mistakes>(read)[0].text() : "";
   };
