--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -417,9 +417,9 @@
       ports.push_back(loop.port(i));
     auto fleet = std::make_unique<standins::Fleet>(day, ports, into_day(loop.origin_us(), words.zero_us),
                                                    [&](const trace::Passed& record) { trace.put(record); });
-    fleet->clock_at(loop.origin_us());
+    fleet->set_trace_clock(loop.origin_us());
     if (day.deployment.front.entitlement.enabled)
-      fleet->issue_by(issuer_in(words.folder, day));
+      fleet->publish_keys(issuer_in(words.folder, day));
     later.core = std::move(fleet);
     write_ports(words.ports_to, ports);
     if (words.ports_to.empty())
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -15,89 +15,90 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration step_every = 10ms;
-constexpr Duration told_every = 200ms;  // how often a box's figures are taken anew
-constexpr double fall_slack = 2;        // set-ups, for chance, as the rule is counted
-constexpr Duration notice = 500ms;      // until the list service sees that a process died
+constexpr Duration step_interval = 10ms;
+constexpr Duration report_interval = 200ms;  // between updates of the load that a box reports in CMSD
+constexpr double overload_slack = 2;  // setups above the limit, for random variation; as the auditor counts
+constexpr Duration death_notice_delay = 500ms;  // until the list service notices that a process died
 
-double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 }  // namespace
 
-Fleet::Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, Sink sink)
+Fleet::Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, TraceSink sink)
     : scenario_(std::move(scenario)),
       ports_(std::move(ports)),
       scenario_offset_(scenario_offset),
       sink_(std::move(sink)),
       boxes_(scenario_.boxes.size()),
-      chance_(scenario_.seed + 2) {
+      random_(scenario_.seed + 2) {
   for (auto& box : boxes_)
     box.started = -std::chrono::hours(1);
 }
 
-void Fleet::put(trace::Passed::Kind kind, int box, const Peer* peer, int status) {
+void Fleet::record_event(trace::Passed::Kind kind, int box, const Connection* connection, int status) {
   trace::Passed record;
-  record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
+  record.set_at_us(trace_clock_offset_ + static_cast<std::uint64_t>(now_.count()));
   record.set_kind(kind);
   record.set_box(scenario_.boxes[box].name);
   record.set_status(status);
   record.set_number(static_cast<std::uint64_t>(boxes_[box].incarnation));
-  if (peer) {
-    record.set_manager(peer->via);
-    record.set_trace(peer->trace);
-    record.set_sid(peer->sid);
-    record.set_plan(peer->plan_name);
-    record.set_title(peer->title);
-    // A list of renditions and an audio track are of no rung.
-    const bool of_none = peer->hls && (peer->hls->audio || peer->hls->names == HlsPath::Names::lists);
-    record.set_rung(of_none ? -1 : peer->rung);
-    if (peer->hls)
+  if (connection) {
+    record.set_manager(connection->manager);
+    record.set_trace(connection->trace);
+    record.set_sid(connection->sid);
+    record.set_plan(connection->plan_name);
+    record.set_title(connection->title);
+    // A multivariant playlist and an audio track belong to no rung.
+    const bool of_none =
+        connection->hls && (connection->hls->audio || connection->hls->names == HlsPath::Names::lists);
+    record.set_rung(of_none ? -1 : connection->rung);
+    if (connection->hls)
       record.set_state("hls");
   }
   sink_(record);
 }
 
 void Fleet::handle(Duration now, const IoEvent& what, std::vector<Action>& actions) {
-  const bool first = list_history_.empty();
+  const bool first_event = list_history_.empty();
   now_ = std::max(now_, now);
-  if (first) {
-    stepped_ = now_;
-    record_list();
-    begin_catalogue();
+  if (first_event) {
+    last_step_ = now_;
+    record_list_state();
+    init_catalogue();
     list_history_.front().visible_at = -std::chrono::hours(1);
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i)
-      put(trace::Passed::UP, i, nullptr, 1);
-    actions.push_back(StartTimer{now_ + step_every});
+      record_event(trace::Passed::UP, i, nullptr, 1);
+    actions.push_back(StartTimer{now_ + step_interval});
   }
   std::visit(Overloaded{
                  [&](const Accepted& a) {
-                   auto& peer = peers_[a.connection];
-                   peer.door = a.listener;
+                   auto& connection = connections_[a.connection];
+                   connection.listener = a.listener;
                  },
                  [&](const Received& r) {
-                   const auto found = peers_.find(r.connection);
-                   if (found == peers_.end())
+                   const auto found = connections_.find(r.connection);
+                   if (found == connections_.end())
                      return;
                    found->second.reader.push(r.bytes);
                    if (!found->second.busy)
-                     requests(r.connection, found->second, actions);
+                     process_requests(r.connection, found->second, actions);
                  },
                  [&](const HalfClosed& h) {
-                   const auto found = peers_.find(h.connection);
-                   if (found == peers_.end())
+                   const auto found = connections_.find(h.connection);
+                   if (found == connections_.end())
                      return;
-                   if (found->second.set_up)
-                     put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
+                   if (found->second.is_setup)
+                     record_event(trace::Passed::TRY_ENDED, found->second.listener, &found->second, 0);
                    actions.push_back(Close{h.connection, false});
-                   peers_.erase(found);
+                   connections_.erase(found);
                  },
                  [&](const Disconnected& e) {
-                   const auto found = peers_.find(e.connection);
-                   if (found == peers_.end())
+                   const auto found = connections_.find(e.connection);
+                   if (found == connections_.end())
                      return;
-                   if (found->second.set_up)
-                     put(trace::Passed::TRY_ENDED, found->second.door, &found->second, 0);
-                   peers_.erase(found);
+                   if (found->second.is_setup)
+                     record_event(trace::Passed::TRY_ENDED, found->second.listener, &found->second, 0);
+                   connections_.erase(found);
                  },
                  [&](const TimerFired&) {},
                  [&](const ShutdownRequested&) {
@@ -107,19 +108,19 @@
                  [&](const auto&) {},
              },
              what);
-  if (now_ - stepped_ >= step_every) {
-    live_through_troubles(actions);
-    move_recordings(seconds(now_ - stepped_), actions);
+  if (now_ - last_step_ >= step_interval) {
+    apply_faults(actions);
+    move_recordings(seconds(now_ - last_step_), actions);
     step(actions);
-    actions.push_back(StartTimer{now_ + step_every});
+    actions.push_back(StartTimer{now_ + step_interval});
   }
 }
 
-// ---- troubles ----
+// ---- faults ----
 
-const Fault* Fleet::ill_with(int box, FaultKind ill) const {
+const Fault* Fleet::active_fault(int box, FaultKind kind) const {
   for (const auto& fault : scenario_.faults) {
-    if (fault.kind != ill || scenario_now() < fault.start || scenario_now() >= fault.start + fault.duration)
+    if (fault.kind != kind || scenario_now() < fault.start || scenario_now() >= fault.start + fault.duration)
       continue;
     if (fault.targets.empty() ||
         std::find(fault.targets.begin(), fault.targets.end(), box) != fault.targets.end())
@@ -128,504 +129,512 @@
   return nullptr;
 }
 
-void Fleet::live_through_troubles(std::vector<Action>& actions) {
+void Fleet::apply_faults(std::vector<Action>& actions) {
   for (std::size_t t = 0; t < scenario_.faults.size(); ++t) {
     const auto& fault = scenario_.faults[t];
     const Duration since = scenario_now() - fault.start;
     for (const int box : fault.targets) {
-      const bool begins = since >= 0s && !begun_.contains({t, box});
-      const bool ends = since >= fault.duration && !ended_.contains({t, box});
+      const bool begins = since >= 0s && !started_faults_.contains({t, box});
+      const bool ends = since >= fault.duration && !ended_faults_.contains({t, box});
       if (fault.kind == FaultKind::drain) {
-        // `size` seconds after the notice the process goes; it comes back when the trouble ends.
+        // The process exits `magnitude` seconds after the drain starts and restarts when the fault ends.
         if (begins)
-          boxes_[box].drained = true, begun_.insert({t, box}), record_list();
-        if (since >= std::chrono::duration<double>(fault.magnitude) && begun_.contains({t, box}) &&
-            boxes_[box].drained && boxes_[box].up && !ends && since < fault.duration)
-          go_down(box, actions, false);
+          boxes_[box].draining = true, started_faults_.insert({t, box}), record_list_state();
+        if (since >= std::chrono::duration<double>(fault.magnitude) && started_faults_.contains({t, box}) &&
+            boxes_[box].draining && boxes_[box].up && !ends && since < fault.duration)
+          stop_box(box, actions, false);
         if (ends)
-          ended_.insert({t, box}), come_up(box, actions);
+          ended_faults_.insert({t, box}), start_box(box, actions);
       } else if (fault.kind == FaultKind::crash || fault.kind == FaultKind::vanish ||
                  fault.kind == FaultKind::ageing) {
         const bool dies = fault.kind == FaultKind::ageing
-                              ? since >= fault.duration / 2 && !boxes_[box].ageing_died
+                              ? since >= fault.duration / 2 && !boxes_[box].died_of_ageing
                               : begins;
         if (begins)
-          begun_.insert({t, box});
+          started_faults_.insert({t, box});
         if (dies && !ends && boxes_[box].up) {
-          boxes_[box].ageing_died = fault.kind == FaultKind::ageing;
-          go_down(box, actions, fault.kind == FaultKind::vanish);
+          boxes_[box].died_of_ageing = fault.kind == FaultKind::ageing;
+          stop_box(box, actions, fault.kind == FaultKind::vanish);
         }
         if (ends)
-          ended_.insert({t, box}), come_up(box, actions);
+          ended_faults_.insert({t, box}), start_box(box, actions);
       }
     }
   }
 }
 
-void Fleet::break_off(int number, std::vector<Action>& actions) {
-  for (auto it = peers_.begin(); it != peers_.end();) {
-    if (it->second.door != number) {
+void Fleet::close_connections(int number, std::vector<Action>& actions) {
+  for (auto it = connections_.begin(); it != connections_.end();) {
+    if (it->second.listener != number) {
       ++it;
       continue;
     }
-    if (it->second.set_up)
-      put(trace::Passed::TRY_ENDED, number, &it->second, -1);
+    if (it->second.is_setup)
+      record_event(trace::Passed::TRY_ENDED, number, &it->second, -1);
     actions.push_back(Close{it->first, false});
-    it = peers_.erase(it);
+    it = connections_.erase(it);
   }
 }
 
-void Fleet::go_down(int number, std::vector<Action>& actions, bool silent) {
+void Fleet::stop_box(int number, std::vector<Action>& actions, bool vanishes) {
   auto& box = boxes_[number];
   box.up = false;
   box.sessions.clear();
-  put(trace::Passed::DOWN, number, nullptr);
-  record_list();
-  if (silent)
-    return;  // a machine that vanished neither refuses nor resets
+  record_event(trace::Passed::DOWN, number, nullptr);
+  record_list_state();
+  if (vanishes)
+    return;  // a vanished machine neither refuses nor resets connections
   actions.push_back(StopListening{number});
-  break_off(number, actions);
+  close_connections(number, actions);
 }
 
-void Fleet::come_up(int number, std::vector<Action>& actions) {
+void Fleet::start_box(int number, std::vector<Action>& actions) {
   auto& box = boxes_[number];
-  box.drained = box.ageing_died = false;
+  box.draining = box.died_of_ageing = false;
   if (box.up)
-    return record_list();
-  break_off(number, actions);
+    return record_list_state();
+  close_connections(number, actions);
   box.up = true;
   box.cold = true;
   box.started = scenario_now();
   ++box.incarnation;
-  box.set_ups.clear();
-  box.told_at = -10s;
+  box.recent_setups.clear();
+  box.reported_at = -10s;
   actions.push_back(Listen{number});
-  put(trace::Passed::UP, number, nullptr);
-  record_list();
+  record_event(trace::Passed::UP, number, nullptr);
+  record_list_state();
 }
 
-// ---- the model of a box ----
+// ---- box model ----
 
-double Fleet::slowness(int box) const {
+double Fleet::slowdown(int box) const {
   double slower = 1;
-  if (const auto* fault = ill_with(box, FaultKind::slow))
+  if (const auto* fault = active_fault(box, FaultKind::slow))
     slower = std::max(1.0, fault->magnitude);
-  if (const auto* fault = ill_with(box, FaultKind::ageing)) {
+  if (const auto* fault = active_fault(box, FaultKind::ageing)) {
     const double aged = seconds(scenario_now() - fault->start) / std::max(0.1, seconds(fault->duration) / 2);
     slower = std::max(slower, 1 + std::min(1.0, aged) * (std::max(2.0, fault->magnitude) - 1));
   }
   return slower;
 }
 
-double Fleet::warmth(const Box& box) const {
-  const auto& site = scenario_.deployment.front.policy;
-  if (!box.cold || site.warmup_time <= 0s)
+double Fleet::capacity_share(const Box& box) const {
+  const auto& policy = scenario_.deployment.front.policy;
+  if (!box.cold || policy.warmup_time <= 0s)
     return 1;
-  const double age = seconds(scenario_now() - box.started) / seconds(site.warmup_time);
+  const double age = seconds(scenario_now() - box.started) / seconds(policy.warmup_time);
   if (age >= 1)
     return 1;
-  return site.warmup_initial_share + (1 - site.warmup_initial_share) * age * age;
+  return policy.warmup_initial_share + (1 - policy.warmup_initial_share) * age * age;
 }
 
-double Fleet::link_of(int number) const {
-  double link = scenario_.boxes[number].link_kb * warmth(boxes_[number]) / slowness(number);
-  if (const auto* fault = ill_with(number, FaultKind::neighbour)) {
+double Fleet::link_capacity(int number) const {
+  double capacity = scenario_.boxes[number].link_kb * capacity_share(boxes_[number]) / slowdown(number);
+  if (const auto* fault = active_fault(number, FaultKind::neighbour)) {
     const auto phase = static_cast<int>(seconds(scenario_now() - fault->start) / 2.5);
     if (phase % 2 == 0)
-      link *= 1 - std::min(0.95, fault->magnitude);
+      capacity *= 1 - std::min(0.95, fault->magnitude);
   }
-  return link;
+  return capacity;
 }
 
-bool Fleet::mute(int box) const {
+bool Fleet::is_unresponsive(int box) const {
   if (box >= static_cast<int>(boxes_.size()))
-    return true;  // the list, or a feed that waits: no objects there
-  return !boxes_[box].up || ill_with(box, FaultKind::hang) || ill_with(box, FaultKind::vanish);
+    return true;  // the list, feed and key listeners send no objects
+  return !boxes_[box].up || active_fault(box, FaultKind::hang) || active_fault(box, FaultKind::vanish);
 }
 
-double Fleet::asked_of(int number) const {
-  const auto& site = scenario_.deployment.front.policy;
-  double asked = 0;
+double Fleet::demand_on(int number) const {
+  const auto& policy = scenario_.deployment.front.policy;
+  double demand = 0;
   for (const auto& [sid, session] : boxes_[number].sessions)
-    asked += site.rung_kb[session.rung] * site.plans[session.plan].rate_scale;
-  return asked;
+    demand += policy.rung_kb[session.rung] * policy.plans[session.plan].rate_scale;
+  return demand;
 }
 
-// More set-ups within the stated time than a cold process stands.
-bool Fleet::pushed_over(int number) {
+// Records a setup and tells whether a cold process fails under the number of recent ones.
+bool Fleet::fails_when_cold(int number) {
   auto& box = boxes_[number];
-  const auto& site = scenario_.deployment.front.policy;
-  if (!box.cold || scenario_now() - box.started >= site.warmup_time)
+  const auto& policy = scenario_.deployment.front.policy;
+  if (!box.cold || scenario_now() - box.started >= policy.warmup_time)
     return false;
   const Duration fall = scenario_.deployment.fall;
-  std::erase_if(box.set_ups, [&](Duration at) { return at <= scenario_now() - fall; });
-  box.set_ups.push_back(scenario_now());
-  const double pace = site.streams_by_kind[scenario_.boxes[number].kind] / seconds(site.warmup_time) *
-                      warmth(box) * site.overload_multiple;
-  return static_cast<double>(box.set_ups.size()) > pace * seconds(fall) + fall_slack;
+  std::erase_if(box.recent_setups, [&](Duration at) { return at <= scenario_now() - fall; });
+  box.recent_setups.push_back(scenario_now());
+  const double pace = policy.streams_by_kind[scenario_.boxes[number].kind] / seconds(policy.warmup_time) *
+                      capacity_share(box) * policy.overload_multiple;
+  return static_cast<double>(box.recent_setups.size()) > pace * seconds(fall) + overload_slack;
 }
 
-std::string Fleet::cmsd_of(int number) {
+std::string Fleet::cmsd_header(int number) {
   auto& box = boxes_[number];
-  if (scenario_now() - box.told_at >= told_every) {
-    box.told_at = scenario_now();
-    box.told_util = asked_of(number) / std::max(1.0, link_of(number));
-    box.told_streams = static_cast<std::int64_t>(box.sessions.size());
+  if (scenario_now() - box.reported_at >= report_interval) {
+    box.reported_at = scenario_now();
+    box.reported_util = demand_on(number) / std::max(1.0, link_capacity(number));
+    box.reported_streams = static_cast<std::int64_t>(box.sessions.size());
     const auto racks = std::max(1, scenario_.deployment.front.policy.racks);
-    double asked = 0;
+    double demand = 0;
     for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
       if (scenario_.boxes[i].cell % racks == scenario_.boxes[number].cell % racks)
-        asked += asked_of(i);
+        demand += demand_on(i);
     }
-    box.told_uplink = scenario_.deployment.uplink_kb > 0 ? asked / scenario_.deployment.uplink_kb : 0;
-  }
-  hints::CmsdDynamic hop;
-  hop.server = scenario_.boxes[number].name;
-  const bool late = ill_with(number, FaultKind::report_late);
-  if (!late)
-    box.old_util = box.told_util, box.old_uplink = box.told_uplink;
-  hop.util = late ? box.old_util : box.told_util;
-  if (const auto* fault = ill_with(number, FaultKind::false_cmsd))
-    hop.util = fault->magnitude;
+    box.reported_uplink = scenario_.deployment.uplink_kb > 0 ? demand / scenario_.deployment.uplink_kb : 0;
+  }
+  hints::CmsdDynamic dynamic_hints;
+  dynamic_hints.server = scenario_.boxes[number].name;
+  const bool stale = active_fault(number, FaultKind::report_late);
+  if (!stale)
+    box.stale_util = box.reported_util, box.stale_uplink = box.reported_uplink;
+  dynamic_hints.util = stale ? box.stale_util : box.reported_util;
+  if (const auto* fault = active_fault(number, FaultKind::false_cmsd))
+    dynamic_hints.util = fault->magnitude;
   if (scenario_.deployment.uplink_kb > 0)
-    hop.uplink = late ? box.old_uplink : box.told_uplink;
-  hop.streams = box.told_streams;
-  hop.duress = *hop.util > 1;
-  return hints::cmsd_entry(hop);
+    dynamic_hints.uplink = stale ? box.stale_uplink : box.reported_uplink;
+  dynamic_hints.streams = box.reported_streams;
+  dynamic_hints.duress = *dynamic_hints.util > 1;
+  return hints::cmsd_entry(dynamic_hints);
 }
 
 // ---- requests ----
 
-void Fleet::requests(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
-  while (!peer.busy) {
-    auto request = peer.reader.next();
+void Fleet::process_requests(ConnectionId id, Connection& connection, std::vector<Action>& actions) {
+  while (!connection.busy) {
+    auto request = connection.reader.next();
     if (!request) {
-      if (peer.reader.fault())
-        actions.push_back(Close{link, false});
+      if (connection.reader.fault())
+        actions.push_back(Close{id, false});
       return;
     }
-    peer.close_after = !request->keep_alive;
+    connection.close_after = !request->keep_alive;
     const auto via = http::joined(request->fields, "Via");
     const auto space = via.rfind(' ');
-    peer.via = space == std::string::npos ? "" : via.substr(space + 1);
-    if (issuer_ && peer.door == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
+    connection.manager = space == std::string::npos ? "" : via.substr(space + 1);
+    if (issuer_ && connection.listener == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
       issuer_->turn_to(
           static_cast<int>(std::max(Duration(0), scenario_now()) / scenario_.issuer.rotation_interval));
-      if (ill_with(-1, FaultKind::issuer_down))
-        answer(link, peer, 503, {}, "", actions);
+      if (active_fault(-1, FaultKind::issuer_down))
+        respond(id, connection, 503, {}, "", actions);
       else
-        answer(link, peer, 200, {{"Content-Type", "application/jwk-set+json"}}, issuer_->key_set(), actions);
-      if (!peers_.contains(link))
+        respond(id, connection, 200, {{"Content-Type", "application/jwk-set+json"}}, issuer_->key_set(),
+                actions);
+      if (!connections_.contains(id))
         return;
-    } else if (peer.door > static_cast<int>(boxes_.size())) {
-      serve_feed(link, peer, *request, actions);
-      if (!peers_.contains(link))
+    } else if (connection.listener > static_cast<int>(boxes_.size())) {
+      handle_feed_request(id, connection, *request, actions);
+      if (!connections_.contains(id))
         return;
-    } else if (peer.door == static_cast<int>(boxes_.size())) {
-      serve_list(link, peer, *request, actions);
-      if (!peers_.contains(link))
+    } else if (connection.listener == static_cast<int>(boxes_.size())) {
+      handle_list_request(id, connection, *request, actions);
+      if (!connections_.contains(id))
         return;
     } else {
-      serve_box(link, peer, *request, actions);
-      if (!peers_.contains(link))
+      handle_box_request(id, connection, *request, actions);
+      if (!connections_.contains(id))
         return;
     }
   }
 }
 
-void Fleet::answer(ConnectionId link, Peer& peer, int status, http::Fields fields, const std::string& body,
-                   std::vector<Action>& actions) {
-  actions.push_back(Send{link, http::head_text(status, fields, body.size(), !peer.close_after) + body});
-  if (peer.close_after)
-    actions.push_back(Close{link, true}), peers_.erase(link);
+void Fleet::respond(ConnectionId id, Connection& connection, int status, http::Fields fields,
+                    const std::string& body, std::vector<Action>& actions) {
+  actions.push_back(Send{id, http::head_text(status, fields, body.size(), !connection.close_after) + body});
+  if (connection.close_after)
+    actions.push_back(Close{id, true}), connections_.erase(id);
 }
 
-void Fleet::serve_box(ConnectionId link, Peer& peer, const http::Request& request,
-                      std::vector<Action>& actions) {
-  const int number = peer.door;
+void Fleet::handle_box_request(ConnectionId id, Connection& connection, const http::Request& request,
+                               std::vector<Action>& actions) {
+  const int number = connection.listener;
   auto& box = boxes_[number];
-  peer.set_up = false;
-  if (mute(number) && request.method == "HEAD") {
-    peer.busy = true;  // and stays so
+  connection.is_setup = false;
+  if (is_unresponsive(number) && request.method == "HEAD") {
+    connection.busy = true;  // never answered
     return;
   }
   if (request.method == "HEAD") {
-    put(trace::Passed::PROBED, number, &peer);
-    actions.push_back(Send{link, http::head_text(200, {{"CMSD-Dynamic", cmsd_of(number)}}, 0, true)});
+    record_event(trace::Passed::PROBED, number, &connection);
+    actions.push_back(Send{id, http::head_text(200, {{"CMSD-Dynamic", cmsd_header(number)}}, 0, true)});
     return;
   }
-  peer.hls = scenario_.deployment.hls ? read_hls_path(scenario_, request.target) : std::nullopt;
+  connection.hls = scenario_.deployment.hls ? read_hls_path(scenario_, request.target) : std::nullopt;
   manager::MediaPath as_hls;
-  if (peer.hls)
-    as_hls = {peer.hls->plan, peer.hls->title, peer.hls->rung, ""};
+  if (connection.hls)
+    as_hls = {connection.hls->plan, connection.hls->title, connection.hls->rung, ""};
   const auto path = manager::parse_media_path(scenario_.deployment.front, request.target);
-  const auto* media = peer.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
+  const auto* media = connection.hls ? &as_hls : std::get_if<manager::MediaPath>(&path);
   if (!media || media->rung >= static_cast<int>(scenario_.deployment.front.policy.rung_kb.size()))
-    return answer(link, peer, 404, {}, "", actions);
-  peer.packs = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
+    return respond(id, connection, 404, {}, "", actions);
+  connection.accepts_gzip = gzip::is_accepted(http::joined(request.fields, "Accept-Encoding"));
   const auto hints = hints::read_cmcd(request.fields, request.target).hints;
   const auto* trace = http::find(request.fields, "traceparent");
-  peer.trace = trace && trace->size() >= 35 ? trace->substr(3, 32) : "";
-  peer.sid = hints.session_id.value_or("");
-  peer.title = media->title;
-  peer.plan = media->plan;
-  peer.plan_name = scenario_.deployment.front.plans[media->plan].name;
-  peer.rung = media->rung;
-  peer.set_up = hints.startup;
-  put(peer.set_up ? trace::Passed::SET_UP : trace::Passed::SERVED, number, &peer);
-  // Under a catalogue every box has every file: where a set-up may go is the catalogue's word, and is
-  // audited.
+  connection.trace = trace && trace->size() >= 35 ? trace->substr(3, 32) : "";
+  connection.sid = hints.session_id.value_or("");
+  connection.title = media->title;
+  connection.plan = media->plan;
+  connection.plan_name = scenario_.deployment.front.plans[media->plan].name;
+  connection.rung = media->rung;
+  connection.is_setup = hints.startup;
+  record_event(connection.is_setup ? trace::Passed::SET_UP : trace::Passed::SERVED, number, &connection);
+  // With a catalogue every box serves every recording. The auditor checks that setups go only to locations
+  // that the catalogue lists.
   if (!catalogue_ && !is_holder(scenario_, scenario_.boxes[number], media->title)) {
-    if (std::exchange(peer.set_up, false))
-      put(trace::Passed::TRY_ENDED, number, &peer, 404);
-    return answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(number)}}, "", actions);
-  }
-  peer.busy = true;
-  peer.head_sent = false;
-  peer.left = peer.credit = 0;
-  if (peer.set_up && box.up && pushed_over(number)) {
-    put(trace::Passed::FELL, number, &peer);
-    go_down(number, actions, false);  // this peer too is gone now
+    if (std::exchange(connection.is_setup, false))
+      record_event(trace::Passed::TRY_ENDED, number, &connection, 404);
+    return respond(id, connection, 404, {{"CMSD-Dynamic", cmsd_header(number)}}, "", actions);
+  }
+  connection.busy = true;
+  connection.head_sent = false;
+  connection.bytes_left = connection.byte_credit = 0;
+  if (connection.is_setup && box.up && fails_when_cold(number)) {
+    record_event(trace::Passed::FELL, number, &connection);
+    stop_box(number, actions, false);  // closes this connection too
     return;
   }
-  const bool full = peer.set_up &&
+  const bool full = connection.is_setup &&
                     static_cast<double>(box.sessions.size()) >=
                         scenario_.deployment.front.policy.streams_by_kind[scenario_.boxes[number].kind] &&
-                    !box.sessions.contains(peer.sid);
-  peer.status = full ? 503 : !peer.set_up && !box.sessions.contains(peer.sid) ? 421 : 200;
-  if (peer.set_up && !full)
-    box.sessions[peer.sid] = {peer.plan, peer.rung, now_};
-  const double spread = 0.7 + 0.6 * static_cast<double>(chance_() % 1000) / 1000;
-  const double time =
-      peer.set_up ? seconds(scenario_.setup_time) * slowness(number) * spread / warmth(box) : 0.001;
-  peer.answer_at = now_ + Duration(static_cast<std::int64_t>(time * 1e6));
+                    !box.sessions.contains(connection.sid);
+  connection.status = full ? 503 : !connection.is_setup && !box.sessions.contains(connection.sid) ? 421 : 200;
+  if (connection.is_setup && !full)
+    box.sessions[connection.sid] = {connection.plan, connection.rung, now_};
+  const double jitter = 0.7 + 0.6 * static_cast<double>(random_() % 1000) / 1000;
+  const double time = connection.is_setup
+                          ? seconds(scenario_.setup_time) * slowdown(number) * jitter / capacity_share(box)
+                          : 0.001;
+  connection.answer_at = now_ + Duration(static_cast<std::int64_t>(time * 1e6));
 }
 
-void Fleet::begin_object(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
-  const int number = peer.door;
+void Fleet::start_response(ConnectionId id, Connection& connection, std::vector<Action>& actions) {
+  const int number = connection.listener;
   auto& box = boxes_[number];
   const auto& front = scenario_.deployment.front;
-  peer.head_sent = true;
-  if (std::exchange(peer.set_up, false))
-    put(trace::Passed::TRY_ENDED, number, &peer, peer.status);
-  if (peer.status != 200) {
-    peer.busy = false;
-    answer(link, peer, peer.status, {{"CMSD-Dynamic", cmsd_of(number)}, {"Retry-After", "1"}}, "", actions);
-    if (peers_.contains(link))
-      requests(link, peer, actions);
+  connection.head_sent = true;
+  if (std::exchange(connection.is_setup, false))
+    record_event(trace::Passed::TRY_ENDED, number, &connection, connection.status);
+  if (connection.status != 200) {
+    connection.busy = false;
+    respond(id, connection, connection.status, {{"CMSD-Dynamic", cmsd_header(number)}, {"Retry-After", "1"}},
+            "", actions);
+    if (connections_.contains(id))
+      process_requests(id, connection, actions);
     return;
   }
-  auto& session = box.sessions[peer.sid];
-  if (peer.hls && peer.hls->names != HlsPath::Names::segment) {
-    // A list says nothing of the rung that is played.
-    session = {peer.plan, session.rung, now_};
-    return answer_list(link, peer, actions);
-  }
-  session = {peer.plan, peer.rung, now_};
-  if (peer.hls) {
-    const auto number = peer.hls->segment;
-    const bool live = is_live(scenario_, peer.title);
-    const auto ills = list_ills(peer.door);
-    if (live && (number > newest_segment(scenario_, scenario_now()) || (ills.gaps && lacks(number)))) {
-      peer.busy = false;
-      answer(link, peer, 404, {{"CMSD-Dynamic", cmsd_of(peer.door)}}, "", actions);
-      if (peers_.contains(link))
-        requests(link, peer, actions);
+  auto& session = box.sessions[connection.sid];
+  if (connection.hls && connection.hls->names != HlsPath::Names::segment) {
+    // A multivariant or media playlist request doesn't change the rung in play.
+    session = {connection.plan, session.rung, now_};
+    return send_playlist(id, connection, actions);
+  }
+  session = {connection.plan, connection.rung, now_};
+  if (connection.hls) {
+    const auto number = connection.hls->segment;
+    const bool live = is_live(scenario_, connection.title);
+    const auto faults = playlist_faults(connection.listener);
+    if (live && (number > newest_segment(scenario_, scenario_now()) || (faults.gaps && lacks(number)))) {
+      connection.busy = false;
+      respond(id, connection, 404, {{"CMSD-Dynamic", cmsd_header(connection.listener)}}, "", actions);
+      if (connections_.contains(id))
+        process_requests(id, connection, actions);
       return;
     }
   }
-  const double rate = front.policy.rung_kb[peer.rung] * front.policy.plans[peer.plan].rate_scale * 1000;
-  const double varied = 1 + scenario_.rate_variation * (static_cast<double>(chance_() % 2001) / 1000 - 1);
-  const auto size = static_cast<std::uint64_t>(rate * varied * seconds(front.object_duration));
-  peer.left = static_cast<double>(size);
-  peer.rate = rate * varied * scenario_.pacing_factor;
-  hints::CmsdStatic fixed;
-  fixed.bitrate = std::llround(rate * 8 / 1000);
-  fixed.object_duration = front.object_duration.count() / 1000;
-  fixed.object_type = "v";
-  fixed.stream_type = "v";
-  actions.push_back(Send{link, http::head_text(200,
-                                               {{"Content-Type", "video/mp4"},
-                                                {"CMSD-Static", hints::cmsd_static(fixed)},
-                                                {"CMSD-Dynamic", cmsd_of(number)}},
-                                               size, !peer.close_after)});
-  if (peer.hls) {
-    const auto stamp = stamp_of(*peer.hls).substr(0, size);
-    peer.left -= static_cast<double>(stamp.size());
-    actions.push_back(Send{link, stamp});
+  const double rate =
+      front.policy.rung_kb[connection.rung] * front.policy.plans[connection.plan].rate_scale * 1000;
+  const double rate_factor =
+      1 + scenario_.rate_variation * (static_cast<double>(random_() % 2001) / 1000 - 1);
+  const auto size = static_cast<std::uint64_t>(rate * rate_factor * seconds(front.object_duration));
+  connection.bytes_left = static_cast<double>(size);
+  connection.bytes_per_s = rate * rate_factor * scenario_.pacing_factor;
+  hints::CmsdStatic object_hints;
+  object_hints.bitrate = std::llround(rate * 8 / 1000);
+  object_hints.object_duration = front.object_duration.count() / 1000;
+  object_hints.object_type = "v";
+  object_hints.stream_type = "v";
+  actions.push_back(Send{id, http::head_text(200,
+                                             {{"Content-Type", "video/mp4"},
+                                              {"CMSD-Static", hints::cmsd_static(object_hints)},
+                                              {"CMSD-Dynamic", cmsd_header(number)}},
+                                             size, !connection.close_after)});
+  if (connection.hls) {
+    const auto stamp = stamp_of(*connection.hls).substr(0, size);
+    connection.bytes_left -= static_cast<double>(stamp.size());
+    actions.push_back(Send{id, stamp});
   }
 }
 
-ListIlls Fleet::list_ills(int box) const {
-  ListIlls ills;
-  if (const auto* fault = ill_with(box, FaultKind::list_behind))
-    ills.behind = std::llround(fault->magnitude);
-  ills.gaps = ill_with(box, FaultKind::list_gaps);
-  if (ill_with(box, FaultKind::list_nonsense))
-    ills.nonsense = 1 + static_cast<int>(now_ / step_every);
-  return ills;
+ListIlls Fleet::playlist_faults(int box) const {
+  ListIlls faults;
+  if (const auto* fault = active_fault(box, FaultKind::list_behind))
+    faults.behind = std::llround(fault->magnitude);
+  faults.gaps = active_fault(box, FaultKind::list_gaps);
+  if (active_fault(box, FaultKind::list_nonsense))
+    faults.nonsense = 1 + static_cast<int>(now_ / step_interval);
+  return faults;
 }
 
-void Fleet::answer_list(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
-  const auto ills = list_ills(peer.door);
-  auto text = peer.hls->names == HlsPath::Names::lists ? lists_of(scenario_, *peer.hls, ills)
-                                                       : media_of(scenario_, *peer.hls, scenario_now(), ills);
+void Fleet::send_playlist(ConnectionId id, Connection& connection, std::vector<Action>& actions) {
+  const auto faults = playlist_faults(connection.listener);
+  auto text = connection.hls->names == HlsPath::Names::lists
+                  ? lists_of(scenario_, *connection.hls, faults)
+                  : media_of(scenario_, *connection.hls, scenario_now(), faults);
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
-                      {"CMSD-Dynamic", cmsd_of(peer.door)}};
-  if (peer.packs && peer.door % 2 == 1) {
+                      {"CMSD-Dynamic", cmsd_header(connection.listener)}};
+  if (connection.accepts_gzip && connection.listener % 2 == 1) {
     text = gzip::compress(text);
     fields.emplace_back("Content-Encoding", "gzip");
   }
-  peer.busy = false;
-  answer(link, peer, 200, std::move(fields), text, actions);
-  if (peers_.contains(link))
-    requests(link, peer, actions);
+  connection.busy = false;
+  respond(id, connection, 200, std::move(fields), text, actions);
+  if (connections_.contains(id))
+    process_requests(id, connection, actions);
 }
 
-// Time goes by: answers that are due, and bytes as far as links and uplinks give them.
+// Advances the model: sends due responses, and object bytes within the capacity of links and rack uplinks.
 void Fleet::step(std::vector<Action>& actions) {
-  const double passed = seconds(now_ - stepped_);
-  stepped_ = now_;
+  const double elapsed = seconds(now_ - last_step_);
+  last_step_ = now_;
   std::vector<ConnectionId> due;
-  for (auto& [link, peer] : peers_) {
-    if (!peer.busy || peer.head_sent || peer.answer_at > now_ || mute(peer.door))
+  for (auto& [id, connection] : connections_) {
+    if (!connection.busy || connection.head_sent || connection.answer_at > now_ ||
+        is_unresponsive(connection.listener))
       continue;
-    if (peer.set_up && ill_with(peer.door, FaultKind::answer_lost))
-      continue;  // it ran; nobody hears of it
-    due.push_back(link);
+    if (connection.is_setup && active_fault(connection.listener, FaultKind::answer_lost))
+      continue;  // the setup took effect, but its answer is lost
+    due.push_back(id);
   }
-  for (const auto link : due) {
-    if (const auto found = peers_.find(link); found != peers_.end())
-      begin_object(link, found->second, actions);
+  for (const auto id : due) {
+    if (const auto found = connections_.find(id); found != connections_.end())
+      start_response(id, found->second, actions);
   }
-  std::vector<double> asked(boxes_.size(), 0);
-  for (const auto& [link, peer] : peers_) {
-    if (peer.busy && peer.head_sent && !mute(peer.door))
-      asked[peer.door] += peer.rate / 1000;
+  std::vector<double> demand(boxes_.size(), 0);
+  for (const auto& [id, connection] : connections_) {
+    if (connection.busy && connection.head_sent && !is_unresponsive(connection.listener))
+      demand[connection.listener] += connection.bytes_per_s / 1000;
   }
   const auto racks = static_cast<std::size_t>(std::max(1, scenario_.deployment.front.policy.racks));
-  std::vector<double> share(boxes_.size(), 1), rack_asked(racks, 0);
+  std::vector<double> link_share(boxes_.size(), 1), rack_demand(racks, 0);
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
-    if (asked[i] > 0)
-      share[i] = std::min(1.0, link_of(static_cast<int>(i)) / asked[i]);
-    rack_asked[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks] += asked[i] * share[i];
+    if (demand[i] > 0)
+      link_share[i] = std::min(1.0, link_capacity(static_cast<int>(i)) / demand[i]);
+    rack_demand[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks] += demand[i] * link_share[i];
   }
   for (std::size_t i = 0; i < boxes_.size() && scenario_.deployment.uplink_kb > 0; ++i) {
-    const double of_rack = rack_asked[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks];
-    if (of_rack > scenario_.deployment.uplink_kb)
-      share[i] *= scenario_.deployment.uplink_kb / of_rack;
-  }
-  static const std::string blank(256 * 1024, 'v');
-  std::vector<ConnectionId> whole;
-  for (auto& [link, peer] : peers_) {
-    if (!peer.busy || !peer.head_sent || mute(peer.door))
+    const double rack_total = rack_demand[static_cast<std::size_t>(scenario_.boxes[i].cell) % racks];
+    if (rack_total > scenario_.deployment.uplink_kb)
+      link_share[i] *= scenario_.deployment.uplink_kb / rack_total;
+  }
+  static const std::string padding(256 * 1024, 'v');
+  std::vector<ConnectionId> finished;
+  for (auto& [id, connection] : connections_) {
+    if (!connection.busy || !connection.head_sent || is_unresponsive(connection.listener))
       continue;
-    peer.credit += peer.rate * share[peer.door] * passed;
-    const auto bytes =
-        static_cast<std::size_t>(std::min({peer.credit, peer.left, static_cast<double>(blank.size())}));
+    connection.byte_credit += connection.bytes_per_s * link_share[connection.listener] * elapsed;
+    const auto bytes = static_cast<std::size_t>(
+        std::min({connection.byte_credit, connection.bytes_left, static_cast<double>(padding.size())}));
     if (bytes > 0)
-      actions.push_back(Send{link, blank.substr(0, bytes)});
-    peer.credit -= static_cast<double>(bytes);
-    peer.left -= static_cast<double>(bytes);
-    if (auto& sessions = boxes_[peer.door].sessions; sessions.contains(peer.sid))
-      sessions[peer.sid].seen = now_;
-    if (peer.left < 1)
-      whole.push_back(link);
-  }
-  for (const auto link : whole) {
-    const auto found = peers_.find(link);
-    if (found == peers_.end())
+      actions.push_back(Send{id, padding.substr(0, bytes)});
+    connection.byte_credit -= static_cast<double>(bytes);
+    connection.bytes_left -= static_cast<double>(bytes);
+    if (auto& sessions = boxes_[connection.listener].sessions; sessions.contains(connection.sid))
+      sessions[connection.sid].last_seen = now_;
+    if (connection.bytes_left < 1)
+      finished.push_back(id);
+  }
+  for (const auto id : finished) {
+    const auto found = connections_.find(id);
+    if (found == connections_.end())
       continue;
     found->second.busy = false;
     if (found->second.close_after) {
-      actions.push_back(Close{link, true});
-      peers_.erase(found);
+      actions.push_back(Close{id, true});
+      connections_.erase(found);
     } else {
-      requests(link, found->second, actions);
+      process_requests(id, found->second, actions);
     }
   }
-  // A session that asks for nothing for some objects' time has ended.
+  // A session without requests for the idle timeout, and at least four object durations, has ended.
   for (int i = 0; i < static_cast<int>(boxes_.size()); ++i) {
     std::erase_if(boxes_[i].sessions, [&](const auto& entry) {
-      return now_ - entry.second.seen > std::max(scenario_.deployment.front.idle_timeout,
-                                                 4 * scenario_.deployment.front.object_duration);
+      return now_ - entry.second.last_seen > std::max(scenario_.deployment.front.idle_timeout,
+                                                      4 * scenario_.deployment.front.object_duration);
     });
   }
 }
 
-// ---- the list service ----
+// ---- list service ----
 
-// Each change of state is seen `list_lag` later, and later still while the list is late.
-void Fleet::record_list() {
+// Records the boxes' states. The list shows them after `list_delay`, plus the `list_late` fault's delay.
+void Fleet::record_list_state() {
   ListState state;
   Duration lag = scenario_.list_delay;
-  if (const auto* fault = ill_with(-1, FaultKind::list_late))
+  if (const auto* fault = active_fault(-1, FaultKind::list_late))
     lag += Duration(static_cast<std::int64_t>(fault->magnitude * 1e6));
   state.visible_at = scenario_now() + lag;
   if (!list_history_.empty())
     state.visible_at = std::max(state.visible_at, list_history_.back().visible_at);
   state.revision = static_cast<std::int64_t>(list_history_.size()) + 1;
   for (const auto& box : boxes_) {
-    state.states.push_back(box.drained ? (box.up ? "draining" : "gone") : box.up ? "ready" : "gone");
+    state.states.push_back(box.draining ? (box.up ? "draining" : "gone") : box.up ? "ready" : "gone");
     state.incarnations.push_back(box.incarnation);
     state.started.push_back(box.started);
   }
   list_history_.push_back(std::move(state));
 }
 
-void Fleet::serve_list(ConnectionId link, Peer& peer, const http::Request& request,
-                       std::vector<Action>& actions) {
-  if (ill_with(-1, FaultKind::list_down)) {
-    peer.busy = true;
+void Fleet::handle_list_request(ConnectionId id, Connection& connection, const http::Request& request,
+                                std::vector<Action>& actions) {
+  if (active_fault(-1, FaultKind::list_down)) {
+    connection.busy = true;
     return;
   }
   if (request.target != "/boxes")
-    return answer(link, peer, 404, {}, "", actions);
-  const ListState* seen = &list_history_.front();
+    return respond(id, connection, 404, {}, "", actions);
+  const ListState* visible = &list_history_.front();
   for (const auto& state : list_history_) {
     if (state.visible_at <= scenario_now())
-      seen = &state;
-  }
-  const auto etag = "\"" + std::to_string(seen->revision) + "\"";
-  const auto* known = http::find(request.fields, "If-None-Match");
-  if (known && *known == etag)
-    return answer(link, peer, 304, {{"ETag", etag}}, "", actions);
-  nlohmann::json list{{"revision", seen->revision}, {"clock_ms", 10'000'000 + scenario_now().count() / 1000}};
+      visible = &state;
+  }
+  const auto etag = "\"" + std::to_string(visible->revision) + "\"";
+  const auto* known_etag = http::find(request.fields, "If-None-Match");
+  if (known_etag && *known_etag == etag)
+    return respond(id, connection, 304, {{"ETag", etag}}, "", actions);
+  nlohmann::json list{{"revision", visible->revision},
+                      {"clock_ms", 10'000'000 + scenario_now().count() / 1000}};
   auto& boxes = list["boxes"] = nlohmann::json::array();
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
     const auto& terms = scenario_.boxes[i];
     boxes.push_back({{"name", terms.name},
                      {"address", "127.0.0.1"},
                      {"port", ports_[i]},
-                     {"state", seen->states[i]},
+                     {"state", visible->states[i]},
                      {"kind", terms.kind},
                      {"cell", terms.cell},
                      {"hall", scenario_.deployment.front.halls[terms.hall]},
                      {"weight", terms.weight},
-                     {"started_ms", 10'000'000 + seen->started[i].count() / 1000}});
-    auto& before = told_[peer.via][terms.name];
-    // One that asks without knowing anything may have just started: it is told everything anew.
-    if (std::exchange(before, seen->states[i]) == seen->states[i] && known)
+                     {"started_ms", 10'000'000 + visible->started[i].count() / 1000}});
+    auto& last_reported = reported_states_[connection.manager][terms.name];
+    // A request without an ETag may come from a manager that just started, so every state is recorded again.
+    if (std::exchange(last_reported, visible->states[i]) == visible->states[i] && known_etag)
       continue;
     trace::Passed record;
-    record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
+    record.set_at_us(trace_clock_offset_ + static_cast<std::uint64_t>(now_.count()));
     record.set_kind(trace::Passed::TOLD);
-    record.set_manager(peer.via);
+    record.set_manager(connection.manager);
     record.set_box(terms.name);
-    record.set_state(seen->states[i]);
-    record.set_number(static_cast<std::uint64_t>(seen->incarnations[i]));
+    record.set_state(visible->states[i]);
+    record.set_number(static_cast<std::uint64_t>(visible->incarnations[i]));
     sink_(record);
   }
-  answer(link, peer, 200, {{"Content-Type", "application/json"}, {"ETag", etag}}, list.dump(), actions);
+  respond(id, connection, 200, {{"Content-Type", "application/json"}, {"ETag", etag}}, list.dump(), actions);
 }
 
-// ---- the catalogue's origin ----
+// ---- catalogue origin ----
 
-void Fleet::begin_catalogue() {
+void Fleet::init_catalogue() {
   if (!scenario_.deployment.front.has_catalogue)
     return;
   catalogue::ReplicaConfig terms;
-  terms.log_capacity = 32;  // short, so that a manager that was away meets a log that no longer reaches back
+  terms.log_capacity = 32;  // short, so that a manager returning after an outage finds the log truncated
   catalogue_ = std::make_unique<catalogue::Replica>(
       terms, [](std::string_view) { return ServerId{0}; },
       static_cast<int>(scenario_.deployment.front.policy.rung_kb.size()));
@@ -633,15 +642,15 @@
   for (int t = 0; t < scenario_.workload.title_count; ++t) {
     const auto title = "recording-" + std::to_string(t);
     catalogue::Recording recording{title, {}, {}};
-    const auto& site = scenario_.deployment.front.policy;
-    for (int rung = 0; rung < static_cast<int>(site.rung_kb.size()); ++rung)
+    const auto& policy = scenario_.deployment.front.policy;
+    for (int rung = 0; rung < static_cast<int>(policy.rung_kb.size()); ++rung)
       recording.renditions.push_back(
-          {"r" + std::to_string(rung), rung, "avc1", site.rung_kb[rung], std::chrono::minutes(3)});
+          {"r" + std::to_string(rung), rung, "avc1", policy.rung_kb[rung], std::chrono::minutes(3)});
     for (std::size_t b = 0; b < boxes_.size(); ++b) {
       if (!is_holder(scenario_, scenario_.boxes[b], title))
         continue;
       recording.locations.push_back({scenario_.boxes[b].name, catalogue::LocationState::here, 0});
-      lies_on_[title].push_back(static_cast<int>(b));
+      locations_[title].push_back(static_cast<int>(b));
     }
     all.push_back(catalogue::PutRecording{std::move(recording)});
   }
@@ -649,109 +658,110 @@
   catalogue_->handle(catalogue::BatchPersisted{1, std::nullopt});
 }
 
-void Fleet::move_recordings(double passed, std::vector<Action>& actions) {
+void Fleet::move_recordings(double elapsed, std::vector<Action>& actions) {
   if (!catalogue_)
     return;
-  if (const auto* fault = ill_with(-1, FaultKind::catalogue_moves))
-    moves_due_ += passed * fault->magnitude;
-  for (; moves_due_ >= 1; moves_due_ -= 1) {
-    auto& [title, on] = *std::next(lies_on_.begin(), static_cast<long>(chance_() % lies_on_.size()));
-    const int to = static_cast<int>(chance_() % boxes_.size());
-    if (on.size() < 2 || std::find(on.begin(), on.end(), to) != on.end())
+  if (const auto* fault = active_fault(-1, FaultKind::catalogue_moves))
+    pending_moves_ += elapsed * fault->magnitude;
+  for (; pending_moves_ >= 1; pending_moves_ -= 1) {
+    auto& [title, holders] = *std::next(locations_.begin(), static_cast<long>(random_() % locations_.size()));
+    const int to = static_cast<int>(random_() % boxes_.size());
+    if (holders.size() < 2 || std::find(holders.begin(), holders.end(), to) != holders.end())
       continue;
-    const auto from = chance_() % on.size();
+    const auto from = random_() % holders.size();
     const std::vector<catalogue::Change> batch{
-        catalogue::RemoveLocation{title, scenario_.boxes[on[from]].name},
+        catalogue::RemoveLocation{title, scenario_.boxes[holders[from]].name},
         catalogue::PutLocation{title, {scenario_.boxes[to].name, catalogue::LocationState::here, 0}}};
-    on[from] = to;
+    holders[from] = to;
     catalogue_->handle(catalogue::ChangeRequest{0, std::nullopt, true, batch});
     catalogue_->handle(catalogue::BatchPersisted{catalogue_->current()->revision + 1, std::nullopt});
   }
   std::vector<ConnectionId> waiting;
-  for (const auto& [link, peer] : peers_) {
-    if (peer.feed_after)
-      waiting.push_back(link);
+  for (const auto& [id, connection] : connections_) {
+    if (connection.feed_after)
+      waiting.push_back(id);
   }
-  for (const auto link : waiting) {
-    auto& peer = peers_.at(link);
-    if (feed_now(link, peer, actions) || now_ < peer.feed_until)
+  for (const auto id : waiting) {
+    auto& connection = connections_.at(id);
+    if (send_feed_if_ready(id, connection, actions) || now_ < connection.feed_deadline)
       continue;
     const auto reply = cataloguewire::empty_feed_reply(catalogue_->current()->revision);
-    peer.busy = false;
-    peer.feed_after.reset();
-    answer(link, peer, reply.status, reply.fields, reply.body, actions);
+    connection.busy = false;
+    connection.feed_after.reset();
+    respond(id, connection, reply.status, reply.fields, reply.body, actions);
   }
 }
 
-void Fleet::put_listed(const Peer& peer, const std::string& title, const std::string& box, bool listed) {
-  if (peer.feed_lies)
+void Fleet::record_location(const Connection& connection, const std::string& title, const std::string& box,
+                            bool listed) {
+  if (connection.reply_unusable)
     return;
   trace::Passed record;
-  record.set_at_us(clock_offset_ + static_cast<std::uint64_t>(now_.count()));
+  record.set_at_us(trace_clock_offset_ + static_cast<std::uint64_t>(now_.count()));
   record.set_kind(listed ? trace::Passed::LISTED : trace::Passed::UNLISTED);
-  record.set_manager(peer.via);
+  record.set_manager(connection.manager);
   record.set_title(title);
   record.set_box(box);
   record.set_number(catalogue_->current()->revision);
   sink_(record);
 }
 
-void Fleet::serve_feed(ConnectionId link, Peer& peer, const http::Request& request,
-                       std::vector<Action>& actions) {
-  const bool broken = ill_with(-1, FaultKind::feed_broken);
-  const auto how = broken ? chance_() % 5 : 5;
-  if (how == 0) {  // breaks off
-    actions.push_back(Close{link, false});
-    peers_.erase(link);
+void Fleet::handle_feed_request(ConnectionId id, Connection& connection, const http::Request& request,
+                                std::vector<Action>& actions) {
+  const bool feed_broken = active_fault(-1, FaultKind::feed_broken);
+  const auto response_fault = feed_broken ? random_() % 5 : 5;
+  if (response_fault == 0) {  // closes the connection
+    actions.push_back(Close{id, false});
+    connections_.erase(id);
     return;
   }
-  if (how == 1)
-    return answer(link, peer, 503, {}, "", actions);
-  peer.feed_lies = how == 4;
-  const auto meaning = cataloguewire::read_request(request, *catalogue_);
-  if (const auto* wait = std::get_if<cataloguewire::FeedLongPoll>(&meaning)) {
-    peer.feed_after = wait->after;
-    peer.feed_lies = false;
-    peer.feed_until = now_ + wait->wait;
-    peer.busy = true;
-    if (how == 2 && wait->after > 0)
-      peer.feed_after = wait->after - 1;  // repeats
-    // Leaves one out: a manager must notice, and goes by nothing of it.
-    if (how == 3 && catalogue_->current()->revision > wait->after + 1)
-      ++*peer.feed_after, peer.feed_lies = true;
-    feed_now(link, peer, actions);
+  if (response_fault == 1)
+    return respond(id, connection, 503, {}, "", actions);
+  connection.reply_unusable = response_fault == 4;
+  const auto catalogue_request = cataloguewire::read_request(request, *catalogue_);
+  if (const auto* wait = std::get_if<cataloguewire::FeedLongPoll>(&catalogue_request)) {
+    connection.feed_after = wait->after;
+    connection.reply_unusable = false;
+    connection.feed_deadline = now_ + wait->wait;
+    connection.busy = true;
+    if (response_fault == 2 && wait->after > 0)
+      connection.feed_after = wait->after - 1;  // repeats a batch
+    // Skips a batch. The manager must notice and not apply the reply.
+    if (response_fault == 3 && catalogue_->current()->revision > wait->after + 1)
+      ++*connection.feed_after, connection.reply_unusable = true;
+    send_feed_if_ready(id, connection, actions);
     return;
   }
-  const auto& reply = std::get<cataloguewire::Reply>(meaning);
+  const auto& reply = std::get<cataloguewire::Reply>(catalogue_request);
   if (reply.status == 200) {
-    // The whole: what it does not name is unlisted.
-    for (const auto& [title, on] : lies_on_) {
+    // A full snapshot: locations that it doesn't name are unlisted.
+    for (const auto& [title, holders] : locations_) {
       for (std::size_t b = 0; b < boxes_.size(); ++b)
-        put_listed(peer, title, scenario_.boxes[b].name,
-                   std::find(on.begin(), on.end(), static_cast<int>(b)) != on.end());
+        record_location(connection, title, scenario_.boxes[b].name,
+                        std::find(holders.begin(), holders.end(), static_cast<int>(b)) != holders.end());
     }
   }
-  answer(link, peer, reply.status, reply.fields,
-         how == 4 ? reply.body.substr(0, reply.body.size() / 2) : reply.body, actions);
+  respond(id, connection, reply.status, reply.fields,
+          response_fault == 4 ? reply.body.substr(0, reply.body.size() / 2) : reply.body, actions);
 }
 
-bool Fleet::feed_now(ConnectionId link, Peer& peer, std::vector<Action>& actions) {
-  const auto reply = cataloguewire::feed_reply(*catalogue_, *peer.feed_after);
+bool Fleet::send_feed_if_ready(ConnectionId id, Connection& connection, std::vector<Action>& actions) {
+  const auto reply = cataloguewire::feed_reply(*catalogue_, *connection.feed_after);
   if (!reply)
     return false;
-  if (const auto batches = catalogue_->batches_after(*peer.feed_after, 256)) {
+  if (const auto batches = catalogue_->batches_after(*connection.feed_after, 256)) {
     for (const auto& [revision, changes] : *batches) {
       for (const auto& change : *changes) {
-        if (const auto* away = std::get_if<catalogue::RemoveLocation>(&change))
-          put_listed(peer, away->title, away->box, false);
+        if (const auto* removed = std::get_if<catalogue::RemoveLocation>(&change))
+          record_location(connection, removed->title, removed->box, false);
         if (const auto* here = std::get_if<catalogue::PutLocation>(&change))
-          put_listed(peer, here->title, here->location.box, true);
+          record_location(connection, here->title, here->location.box, true);
       }
     }
   }
-  peer.busy = false;
-  peer.feed_after.reset();
-  answer(link, peer, reply->status, reply->fields, reply->body, actions);
+  connection.busy = false;
+  connection.feed_after.reset();
+  respond(id, connection, reply->status, reply->fields, reply->body, actions);
   return true;
 }
 
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -1,6 +1,7 @@
-// Stand-in video servers and their list service, in one core: boxes with places, links and racks' uplinks
-// shared by all that plays, cold starts that fall over when pushed, and every trouble of the day. Doors: a
-// box each, then the list, then the catalogue's feed where the day has one.
+// Fake video servers with their list service, catalogue origin and token key endpoint, in one core. Boxes
+// have a stream limit, and share link and rack uplink capacity among their playbacks. A cold box fails when
+// it is overloaded. All faults of the schedule that concern boxes or services are injected here. Listeners:
+// one per box, then the list, then the catalogue feed and the key set where the scenario has them.
 #pragma once
 
 #include <functional>
@@ -18,49 +19,52 @@
 
 namespace violettide::standins {
 
-using Sink = std::function<void(const trace::Passed&)>;
+// Receives each trace record.
+using TraceSink = std::function<void(const trace::Passed&)>;
 
+// The fake servers of a scenario.
 class Fleet : public Core {
  public:
-  // `ports`: of the boxes' doors, for the list. `to_day`: what turns this core's time into the day's.
-  Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, Sink sink);
+  // `ports`: the boxes' listening ports, published in the list. `scenario_offset`: added to this core's time
+  // to get scenario time.
+  Fleet(Scenario scenario, std::vector<std::uint16_t> ports, Duration scenario_offset, TraceSink sink);
   void handle(Duration now, const IoEvent& what, std::vector<Action>& actions) override;
-  void listen_at(std::vector<std::uint16_t> ports) { ports_ = std::move(ports); }
+  void set_ports(std::vector<std::uint16_t> ports) { ports_ = std::move(ports); }
 
  private:
   struct Session {
     int plan = 0, rung = 0;
-    Duration seen{0};
+    Duration last_seen{0};
   };
   struct Box {
-    bool up = true, drained = false;
-    Duration started{0};  // of the process, in the day's time
+    bool up = true, draining = false;
+    Duration started{0};  // start of the process, scenario time
     bool cold = false;
     std::int64_t incarnation = 1;
     std::map<std::string, Session> sessions;
-    std::vector<Duration> set_ups;  // since its cold start
-    double told_util = 0, told_uplink = 0;
-    Duration told_at = std::chrono::seconds(-10);
-    double old_util = 0, old_uplink = 0;
-    std::int64_t told_streams = 0;
-    bool ageing_died = false;
+    std::vector<Duration> recent_setups;  // times, within the overload window
+    double reported_util = 0, reported_uplink = 0;
+    Duration reported_at = std::chrono::seconds(-10);
+    double stale_util = 0, stale_uplink = 0;
+    std::int64_t reported_streams = 0;
+    bool died_of_ageing = false;
   };
-  struct Peer {
-    int door = 0;
+  struct Connection {
+    int listener = 0;
     http::RequestReader reader;
-    bool busy = false, head_sent = false, set_up = false;
+    bool busy = false, head_sent = false, is_setup = false;
     Duration answer_at{0};
-    std::string sid, trace, via, title, plan_name;
+    std::string sid, trace, manager, title, plan_name;
     int plan = 0, rung = 0, status = 0;
-    std::optional<HlsPath> hls;  // what was asked is HLS
-    bool packs = false;          // it takes gzip
-    double left = 0;             // bytes of the object that are still to come
-    double rate = 0;             // bytes a second at which they go when the link is free
-    double credit = 0;
+    std::optional<HlsPath> hls;  // set when the request is for HLS
+    bool accepts_gzip = false;
+    double bytes_left = 0;   // bytes of the object that are still to be sent
+    double bytes_per_s = 0;  // sending rate when the link is not congested
+    double byte_credit = 0;
     bool close_after = false;
-    std::optional<catalogue::Revision> feed_after;  // waits for changes behind it
-    Duration feed_until{0};
-    bool feed_lies = false;  // what it is sent tells it nothing that it could go by
+    std::optional<catalogue::Revision> feed_after;  // long poll for changes after this revision
+    Duration feed_deadline{0};
+    bool reply_unusable = false;  // the reply is faulty, so it must not change the manager's locations
   };
   struct ListState {
     Duration visible_at{0};
@@ -70,59 +74,63 @@
     std::vector<Duration> started;
   };
 
-  void requests(ConnectionId link, Peer& peer, std::vector<Action>& actions);
-  void serve_box(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
-  void serve_list(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
-  void begin_catalogue();
-  void move_recordings(double passed, std::vector<Action>& actions);
-  void serve_feed(ConnectionId link, Peer& peer, const http::Request& request, std::vector<Action>& actions);
-  bool feed_now(ConnectionId link, Peer& peer, std::vector<Action>& actions);
-  void put_listed(const Peer& peer, const std::string& title, const std::string& box, bool listed);
-  void answer(ConnectionId link, Peer& peer, int status, http::Fields fields, const std::string& body,
-              std::vector<Action>& actions);
-  void answer_list(ConnectionId link, Peer& peer, std::vector<Action>& actions);
-  ListIlls list_ills(int box) const;
-  void begin_object(ConnectionId link, Peer& peer, std::vector<Action>& actions);
+  void process_requests(ConnectionId id, Connection& connection, std::vector<Action>& actions);
+  void handle_box_request(ConnectionId id, Connection& connection, const http::Request& request,
+                          std::vector<Action>& actions);
+  void handle_list_request(ConnectionId id, Connection& connection, const http::Request& request,
+                           std::vector<Action>& actions);
+  void init_catalogue();
+  void move_recordings(double elapsed, std::vector<Action>& actions);
+  void handle_feed_request(ConnectionId id, Connection& connection, const http::Request& request,
+                           std::vector<Action>& actions);
+  bool send_feed_if_ready(ConnectionId id, Connection& connection, std::vector<Action>& actions);
+  void record_location(const Connection& connection, const std::string& title, const std::string& box,
+                       bool listed);
+  void respond(ConnectionId id, Connection& connection, int status, http::Fields fields,
+               const std::string& body, std::vector<Action>& actions);
+  void send_playlist(ConnectionId id, Connection& connection, std::vector<Action>& actions);
+  ListIlls playlist_faults(int box) const;
+  void start_response(ConnectionId id, Connection& connection, std::vector<Action>& actions);
   void step(std::vector<Action>& actions);
-  void live_through_troubles(std::vector<Action>& actions);
-  void break_off(int box, std::vector<Action>& actions);
-  void go_down(int box, std::vector<Action>& actions, bool silent);
-  void come_up(int box, std::vector<Action>& actions);
-  void record_list();
-  const Fault* ill_with(int box, FaultKind ill) const;
-  double link_of(int box) const;
-  double slowness(int box) const;
-  bool mute(int box) const;  // takes, answers nothing
-  double asked_of(int box) const;
-  std::string cmsd_of(int box);
-  double warmth(const Box& box) const;
-  bool pushed_over(int box);
-  void put(trace::Passed::Kind kind, int box, const Peer* peer, int status = 0);
+  void apply_faults(std::vector<Action>& actions);
+  void close_connections(int box, std::vector<Action>& actions);
+  void stop_box(int box, std::vector<Action>& actions, bool vanishes);
+  void start_box(int box, std::vector<Action>& actions);
+  void record_list_state();
+  const Fault* active_fault(int box, FaultKind kind) const;
+  double link_capacity(int box) const;
+  double slowdown(int box) const;
+  bool is_unresponsive(int box) const;  // accepts requests but doesn't answer
+  double demand_on(int box) const;
+  std::string cmsd_header(int box);
+  double capacity_share(const Box& box) const;
+  bool fails_when_cold(int box);
+  void record_event(trace::Passed::Kind kind, int box, const Connection* connection, int status = 0);
   Duration scenario_now() const { return now_ + scenario_offset_; }
 
   Scenario scenario_;
   std::vector<std::uint16_t> ports_;
   Duration scenario_offset_;
-  Sink sink_;
-  Duration now_{0}, stepped_{0};
-  std::uint64_t clock_offset_ = 0;
+  TraceSink sink_;
+  Duration now_{0}, last_step_{0};
+  std::uint64_t trace_clock_offset_ = 0;
   std::vector<Box> boxes_;
-  std::map<ConnectionId, Peer> peers_;
+  std::map<ConnectionId, Connection> connections_;
   std::vector<ListState> list_history_;
-  std::map<std::string, std::map<std::string, std::string>> told_;  // to whom, of which box, what
-  std::set<std::pair<std::size_t, int>> begun_, ended_;             // troubles and whom
-  std::minstd_rand chance_;
+  std::map<std::string, std::map<std::string, std::string>> reported_states_;  // by manager and box
+  std::set<std::pair<std::size_t, int>> started_faults_, ended_faults_;  // index of the fault, and target
+  std::minstd_rand random_;
   std::unique_ptr<catalogue::Replica> catalogue_;
-  std::map<std::string, std::vector<int>> lies_on_;  // boxes of each recording
-  double moves_due_ = 0;
+  std::map<std::string, std::vector<int>> locations_;  // indices of the boxes that hold each recording
+  double pending_moves_ = 0;
   bool stopping_ = false;
   std::optional<Issuer> issuer_;
 
  public:
-  // Publishes its keys at the last door, and turns to the next as the day says.
-  void issue_by(Issuer issuer) { issuer_ = std::move(issuer); }
-  // The machine's clock at this core's time 0, for the traces.
-  void clock_at(std::uint64_t origin_us) { clock_offset_ = origin_us; }
+  // Publishes the issuer's keys at the last listener and rotates them as the scenario says.
+  void publish_keys(Issuer issuer) { issuer_ = std::move(issuer); }
+  // Sets the machine's monotonic clock in microseconds at this core's time 0, for trace records.
+  void set_trace_clock(std::uint64_t us_at_zero) { trace_clock_offset_ = us_at_zero; }
 };
 
 }  // namespace violettide::standins
