--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -435,7 +435,7 @@
   if (const auto* mistakes = std::get_if<settings::Mistakes>(&read))
     return tell(*mistakes);
   const auto day = std::get<standins::Scenario>(std::move(read));
-  std::vector<standins::Door> doors;
+  std::vector<standins::ManagerEndpoint> doors;
   for (const auto& word : words.managers) {
     const auto first = word.find(':'), second = word.rfind(':');
     const auto hall = first == std::string::npos || first == second
@@ -461,10 +461,9 @@
                                                      [&](const trace::Passed& record) { trace.put(record); });
     if (day.deployment.front.entitlement.enabled)
       static_cast<standins::Viewers&>(*later.core)
-          .licensed_by(
-              issuer_in(words.folder, day),
-              std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
-                  loop.now());
+          .use_tokens(issuer_in(words.folder, day), std::chrono::duration_cast<Duration>(
+                                                        std::chrono::system_clock::now().time_since_epoch()) -
+                                                        loop.now());
     loop.run();
     return 0;
   });
--- a/tests/program/audit_test.cpp
+++ b/tests/program/audit_test.cpp
@@ -108,7 +108,7 @@
   net.add(fleet, boxes + 1);
   std::deque<std::unique_ptr<manager::Manager>> managers;
   std::deque<TamperingCore> tampering_cores;
-  std::vector<standins::Door> doors;
+  std::vector<standins::ManagerEndpoint> doors;
   std::vector<int> hosts;
   const auto make_manager = [&](int i, std::string cached) -> Core& {
     auto front = day.deployment.front;
