--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -50,7 +50,7 @@
     record.set_title(connection->title);
     // A multivariant playlist and an audio track belong to no rung.
     const bool of_none =
-        connection->hls && (connection->hls->audio || connection->hls->names == HlsPath::Names::lists);
+        connection->hls && (connection->hls->audio || connection->hls->kind == HlsPath::Kind::multivariant);
     record.set_rung(of_none ? -1 : connection->rung);
     if (connection->hls)
       record.set_state("hls");
@@ -356,7 +356,7 @@
     actions.push_back(Send{id, http::head_text(200, {{"CMSD-Dynamic", cmsd_header(number)}}, 0, true)});
     return;
   }
-  connection.hls = scenario_.deployment.hls ? read_hls_path(scenario_, request.target) : std::nullopt;
+  connection.hls = scenario_.deployment.hls ? parse_hls_path(scenario_, request.target) : std::nullopt;
   manager::MediaPath as_hls;
   if (connection.hls)
     as_hls = {connection.hls->plan, connection.hls->title, connection.hls->rung, ""};
@@ -420,7 +420,7 @@
     return;
   }
   auto& session = box.sessions[connection.sid];
-  if (connection.hls && connection.hls->names != HlsPath::Names::segment) {
+  if (connection.hls && connection.hls->kind != HlsPath::Kind::segment) {
     // A multivariant or media playlist request doesn't change the rung in play.
     session = {connection.plan, session.rung, now_};
     return send_playlist(id, connection, actions);
@@ -430,7 +430,7 @@
     const auto number = connection.hls->segment;
     const bool live = is_live(scenario_, connection.title);
     const auto faults = playlist_faults(connection.listener);
-    if (live && (number > newest_segment(scenario_, scenario_now()) || (faults.gaps && lacks(number)))) {
+    if (live && (number > newest_segment(scenario_, scenario_now()) || (faults.has_gaps && is_gap(number)))) {
       connection.busy = false;
       respond(id, connection, 404, {{"CMSD-Dynamic", cmsd_header(connection.listener)}}, "", actions);
       if (connections_.contains(id))
@@ -456,27 +456,27 @@
                                               {"CMSD-Dynamic", cmsd_header(number)}},
                                              size, !connection.close_after)});
   if (connection.hls) {
-    const auto stamp = stamp_of(*connection.hls).substr(0, size);
-    connection.bytes_left -= static_cast<double>(stamp.size());
-    actions.push_back(Send{id, stamp});
+    const auto header = segment_header(*connection.hls).substr(0, size);
+    connection.bytes_left -= static_cast<double>(header.size());
+    actions.push_back(Send{id, header});
   }
 }
 
-ListIlls Fleet::playlist_faults(int box) const {
-  ListIlls faults;
+PlaylistFaults Fleet::playlist_faults(int box) const {
+  PlaylistFaults faults;
   if (const auto* fault = active_fault(box, FaultKind::list_behind))
-    faults.behind = std::llround(fault->magnitude);
-  faults.gaps = active_fault(box, FaultKind::list_gaps);
+    faults.lag_segments = std::llround(fault->magnitude);
+  faults.has_gaps = active_fault(box, FaultKind::list_gaps);
   if (active_fault(box, FaultKind::list_nonsense))
-    faults.nonsense = 1 + static_cast<int>(now_ / step_interval);
+    faults.invalid_variant = 1 + static_cast<int>(now_ / step_interval);
   return faults;
 }
 
 void Fleet::send_playlist(ConnectionId id, Connection& connection, std::vector<Action>& actions) {
   const auto faults = playlist_faults(connection.listener);
-  auto text = connection.hls->names == HlsPath::Names::lists
-                  ? lists_of(scenario_, *connection.hls, faults)
-                  : media_of(scenario_, *connection.hls, scenario_now(), faults);
+  auto text = connection.hls->kind == HlsPath::Kind::multivariant
+                  ? multivariant_playlist(scenario_, *connection.hls, faults)
+                  : media_playlist(scenario_, *connection.hls, scenario_now(), faults);
   http::Fields fields{{"Content-Type", "application/vnd.apple.mpegurl"},
                       {"CMSD-Dynamic", cmsd_header(connection.listener)}};
   if (connection.accepts_gzip && connection.listener % 2 == 1) {
--- a/src/standins/fleet.h
+++ b/src/standins/fleet.h
@@ -89,7 +89,7 @@
   void respond(ConnectionId id, Connection& connection, int status, http::Fields fields,
                const std::string& body, std::vector<Action>& actions);
   void send_playlist(ConnectionId id, Connection& connection, std::vector<Action>& actions);
-  ListIlls playlist_faults(int box) const;
+  PlaylistFaults playlist_faults(int box) const;
   void start_response(ConnectionId id, Connection& connection, std::vector<Action>& actions);
   void step(std::vector<Action>& actions);
   void apply_faults(std::vector<Action>& actions);
