--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -1,11 +1,10 @@
-#include "standins/viewers.h"
-
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
 #include "gzip/gzip.h"
 #include "hints/cmsd.h"
+#include "standins/viewers.h"
 
 namespace violettide::standins {
 
@@ -261,7 +260,7 @@
       viewer.hls ? viewer.hls_request.target : manager::format_media_path(front, path, viewer.max_rung);
   if (viewer.hls) {
     cmcd.format = hints::StreamingFormat::hls;
-    if (viewer.hls_request.kind != HlsPlayer::Ask::Kind::segment)
+    if (viewer.hls_request.kind != HlsPlayer::Request::Kind::segment)
       cmcd.object_type = hints::ObjectType::manifest;
     if (viewer.number % 3 == 0)
       fields.emplace_back("Accept-Encoding", "gzip");
@@ -374,7 +373,7 @@
       viewer.suggested_bits_per_s = static_cast<double>(*cmsd.hops.back().max_suggested_bitrate) * 1000;
     if (const auto* multivariant_target = http::find(part.head->fields, "Content-Location");
         multivariant_target && viewer.hls)
-      viewer.hls->lists_again_at(*multivariant_target);
+      viewer.hls->set_reload_target(*multivariant_target);
     if (cmsd.fixed && cmsd.fixed->bitrate) {
       const double kb = static_cast<double>(*cmsd.fixed->bitrate) / 8 /
                         scenario_.deployment.front.policy.plans[viewer.plan].rate_scale;
@@ -392,7 +391,7 @@
     }
   }
   viewer.bytes += part.body.size();
-  if (viewer.hls && (viewer.hls_request.kind != HlsPlayer::Ask::Kind::segment ||
+  if (viewer.hls && (viewer.hls_request.kind != HlsPlayer::Request::Kind::segment ||
                      viewer.body.size() < max_segment_header_bytes))
     viewer.body += part.body;
   if (!part.done)
@@ -452,16 +451,16 @@
     return;
   const auto& front = scenario_.deployment.front;
   const auto& plan = front.policy.plans[viewer.plan];
-  const auto lists = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
-                     http::percent_encoded(viewer.title) + "/index.m3u8";
+  const auto multivariant_target = "/" + http::percent_encoded(front.plans[viewer.plan].name) + "/" +
+                                   http::percent_encoded(viewer.title) + "/index.m3u8";
   viewer.hls = std::make_unique<HlsPlayer>(
-      lists, front.policy.rung_kb[viewer.max_rung] * plan.rate_scale * 8000 * (1 + 1e-6));
-  viewer.hls_request = {HlsPlayer::Ask::Kind::lists, lists};
+      multivariant_target, front.policy.rung_kb[viewer.max_rung] * plan.rate_scale * 8000 * (1 + 1e-6));
+  viewer.hls_request = {HlsPlayer::Request::Kind::multivariant, multivariant_target};
   viewer.resumes_hls = false;
 }
 
 void Viewers::record_playlist_errors(Viewer& viewer) {
-  for (const auto& what : viewer.hls->take_wrongs())
+  for (const auto& what : viewer.hls->take_errors())
     record_event(trace::Passed::UNSTEADY, viewer, 0, what);
 }
 
@@ -476,7 +475,7 @@
     viewer.state = State::idle;
     return start_timer(viewer, std::max(Duration(1ms), to_duration(*wait)), TimerKind::next_object);
   }
-  viewer.hls_request = std::get<HlsPlayer::Ask>(next);
+  viewer.hls_request = std::get<HlsPlayer::Request>(next);
   send_request(viewer, actions);
 }
 
@@ -487,12 +486,12 @@
   auto body = viewer.body;
   if (viewer.gzipped)
     body = gzip::decompress(body, 64 << 20).value_or("");
-  const bool segment = viewer.hls->took(seconds(now_), viewer.hls_request, body);
+  const bool segment = viewer.hls->on_response(seconds(now_), viewer.hls_request, body);
   record_playlist_errors(viewer);
   if (segment) {
     viewer.throughput_kb_per_s =
         static_cast<double>(viewer.bytes) / 1000 / std::max(0.001, seconds(now_ - viewer.sent_at));
-    viewer.hls->line(seconds(now_ - viewer.sent_at), viewer.suggested_bits_per_s);
+    viewer.hls->on_download(seconds(now_ - viewer.sent_at), viewer.suggested_bits_per_s);
     viewer.buffer_s += viewer.hls->segment_length();
     viewer.watch_time_left -= to_duration(viewer.hls->segment_length());
     viewer.rung = viewer.hls->rung();
@@ -512,7 +511,7 @@
                                             : to_duration(seconds(scenario_.workload.rejoin_delay) * 0.25);
   if (viewer.status == 404 || viewer.status == 503) {
     if (viewer.status == 404)
-      viewer.hls->refused(viewer.hls_request);
+      viewer.hls->on_not_found(viewer.hls_request);
     viewer.resumes_hls = true;
     schedule_retry(viewer, delay, actions);
     return true;
@@ -531,7 +530,7 @@
   close_connection(viewer, actions);
   if (viewer.hls && !viewer.starts_playback) {
     // HLS URLs stay valid across connections.
-    viewer.hls->broke();
+    viewer.hls->on_connection_lost();
     viewer.resumes_hls = ++viewer.connection_failures < max_connection_failures;
     if (viewer.state == State::idle)
       return;
--- a/src/standins/viewers.h
+++ b/src/standins/viewers.h
@@ -59,7 +59,7 @@
     double throughput_kb_per_s = 0;  // of the last object
     std::uint64_t bytes = 0;
     std::unique_ptr<HlsPlayer> hls;  // set for viewers that play by HLS
-    HlsPlayer::Ask hls_request;
+    HlsPlayer::Request hls_request;
     std::string token;
     Duration token_at{-1};
     int tokens_issued = 0;
