--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -159,7 +159,7 @@
         day_.deployment.front.entitlement.enabled) {
       const auto turns = static_cast<int>((day_.duration + 30s) / day_.issuer.rotation_interval) + 2;
       std::ofstream(folder_ + "/issuer.keys")
-          << standins::Issuer::made(gate.issuer, gate.audience, turns).written();
+          << standins::Issuer::generate_keys(gate.issuer, gate.audience, turns).serialize();
     }
     const auto zero = runtime::Loop::machine_clock_us() + 1'500'000;  // for everybody to have started
     const auto zero_text = std::to_string(zero);
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -390,8 +390,8 @@
 
 standins::Issuer issuer_in(const std::string& folder, const standins::Scenario& day) {
   const auto& gate = day.deployment.front.entitlement.token_validator;
-  return standins::Issuer::read(settings::file_text(folder + "/issuer.keys").value_or("[]"), gate.issuer,
-                                gate.audience);
+  return standins::Issuer::deserialize(settings::file_text(folder + "/issuer.keys").value_or("[]"),
+                                       gate.issuer, gate.audience);
 }
 
 }  // namespace
--- a/src/standins/fleet.cpp
+++ b/src/standins/fleet.cpp
@@ -310,7 +310,7 @@
     const auto space = via.rfind(' ');
     connection.manager = space == std::string::npos ? "" : via.substr(space + 1);
     if (issuer_ && connection.listener == static_cast<int>(boxes_.size()) + (catalogue_ ? 2 : 1)) {
-      issuer_->turn_to(
+      issuer_->select_key(
           static_cast<int>(std::max(Duration(0), scenario_now()) / scenario_.issuer.rotation_interval));
       if (active_fault(-1, FaultKind::issuer_down))
         respond(id, connection, 503, {}, "", actions);
--- a/src/standins/viewers.cpp
+++ b/src/standins/viewers.cpp
@@ -1,10 +1,11 @@
+#include "standins/viewers.h"
+
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
 #include "gzip/gzip.h"
 #include "hints/cmsd.h"
-#include "standins/viewers.h"
 
 namespace violettide::standins {
 
@@ -281,19 +282,19 @@
 
 // Issues a new token at half the lifetime of the last one, so that most viewers renew during playback.
 void Viewers::add_token(Viewer& viewer, http::Fields& fields) {
-  issuer_->turn_to(
+  issuer_->select_key(
       static_cast<int>(std::max(Duration(0), scenario_now()) / scenario_.issuer.rotation_interval));
   if (viewer.token.empty() || now_ - viewer.token_at > scenario_.issuer.token_lifetime / 2) {
     const auto now = wall_clock_at_zero_ + now_;
-    Issuer::Says claims{viewer.sid + "-" + std::to_string(++viewer.tokens_issued),
-                        "viewer-" + std::to_string(viewer.number),
-                        team_of(viewer),
-                        scenario_.issuer.seats_per_team,
-                        now,
-                        now + scenario_.issuer.token_lifetime,
-                        Duration(0),
-                        {},
-                        {}};
+    Issuer::TokenClaims claims{viewer.sid + "-" + std::to_string(++viewer.tokens_issued),
+                               "viewer-" + std::to_string(viewer.number),
+                               team_of(viewer),
+                               scenario_.issuer.seats_per_team,
+                               now,
+                               now + scenario_.issuer.token_lifetime,
+                               Duration(0),
+                               {},
+                               {}};
     if (viewer.tokens_issued == 1)
       viewer.bad_token = draw() < scenario_.issuer.invalid_token_share;
     if (viewer.bad_token && viewer.number % 2 == 0)
--- a/tests/program/token_validator_test.cpp
+++ b/tests/program/token_validator_test.cpp
@@ -28,7 +28,7 @@
     validator->on_keys_received(now, issuer.key_set(), skipped);
     EXPECT_TRUE(skipped.empty());
   }
-  Issuer::Says claims(const std::string& id = "1") const {
+  Issuer::TokenClaims claims(const std::string& id = "1") const {
     return {id, "ann", "red", 3, now - 10s, now + 60s, Duration(0), {}, {}};
   }
   // "good", "waits" for keys, or the cause for which the token is refused.
