--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -152,7 +152,7 @@
 // One run of a day in a folder. `run` throws RunError if a process fails or does not end in time.
 class DayRun {
  public:
-  DayRun(const DayOptions& options, const standins::Day& day, std::string folder)
+  DayRun(const DayOptions& options, const standins::Scenario& day, std::string folder)
       : options_(options), day_(day), folder_(std::move(folder)), trace_(folder_ + "/day.trace") {}
 
   void run() {
@@ -164,10 +164,11 @@
     }
     if (const auto& validator_settings = day_.deployment.front.entitlement.token_validator;
         day_.deployment.front.entitlement.enabled) {
-      const auto key_count = static_cast<int>((day_.length + 30s) / day_.issuer.rotate) + 2;
+      const auto key_count = static_cast<int>((day_.duration + 30s) / day_.issuer.rotation_interval) + 2;
       std::ofstream(folder_ + "/issuer.keys")
-          << standins::Issuer::made(validator_settings.issuer, validator_settings.audience, key_count)
-                 .written();
+          << standins::Issuer::generate_keys(validator_settings.issuer, validator_settings.audience,
+                                             key_count)
+                 .serialize();
     }
     const auto day_start_us =
         runtime::Loop::machine_clock_us() + 1'500'000;  // leaves 1.5 s for all processes to start
@@ -185,18 +186,18 @@
     if (day_.deployment.front.entitlement.enabled) {
       keys_port_ = service_ports.back();
       std::ofstream(folder_ + "/peers.key") << "day " << day_.seed << " " << day_start_us << "\n";
-      for (int i = 0; i < day_.managers; ++i)
+      for (int i = 0; i < day_.manager_count; ++i)
         peer_ports_.push_back(free_port());
     }
-    managers_.resize(static_cast<std::size_t>(day_.managers));
+    managers_.resize(static_cast<std::size_t>(day_.manager_count));
     ports_.resize(managers_.size());
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       start(i);
       ports_[i] = wait_for_ports(port_file(i), managers_[i]).front();
     }
     std::vector<std::string> viewer_arguments{"violettide", "viewers",   options_.day_file, "--folder",
                                               folder_,      "--zero-us", day_start_text};
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       viewer_arguments.push_back("--manager");
       viewer_arguments.push_back(manager_name(i) + ":" + manager_hall(i) + ":" + std::to_string(ports_[i]));
     }
@@ -207,7 +208,7 @@
     for (const auto& plan : day_.deployment.front.plans)
       longest_abandon_time = std::max(longest_abandon_time, plan.abandon_time);
     const auto deadline_us = day_start_us +
-                             static_cast<std::uint64_t>((day_.length + 4 * longest_abandon_time).count()) +
+                             static_cast<std::uint64_t>((day_.duration + 4 * longest_abandon_time).count()) +
                              10'000'000;
     std::optional<int> viewers_exit_code;
     while (!(viewers_exit_code = viewers.poll_exit())) {
@@ -256,7 +257,7 @@
     // Allows 1 s for a stalled manager to catch up.
     const auto& skew = day_.deployment.front.entitlement.ledger.skew;
     const auto at = std::chrono::duration_cast<Duration>(stopped_at.time_since_epoch()) - skew - 1s;
-    for (int i = 0; i < day_.managers; ++i) {
+    for (int i = 0; i < day_.manager_count; ++i) {
       for (const auto& anomaly : entitlement::find_anomalies(
                entitlement::SeatLog::read_records(folder_ + "/" + manager_name(i)), at)) {
         trace::Passed record;
@@ -293,7 +294,7 @@
         "--hall",      manager_hall(i),
         "--port",      std::to_string(ports_[i]),
         "--list-port", std::to_string(list_port_),
-        "--fronts",    std::to_string(day_.managers),
+        "--fronts",    std::to_string(day_.manager_count),
         "--number",    std::to_string(i),
         "--keep-in",   state_folder,
         "--log",       folder_ + "/" + manager_name(i) + ".log",
@@ -310,7 +311,7 @@
     if (day_.deployment.front.entitlement.enabled) {
       arguments.insert(arguments.end(),
                        {"--keys-port", std::to_string(keys_port_), "--peers-key", folder_ + "/peers.key"});
-      for (int p = 0; p < day_.managers; ++p) {
+      for (int p = 0; p < day_.manager_count; ++p) {
         arguments.push_back("--peer");
         arguments.push_back(manager_name(p) + ":" + std::to_string(peer_ports_[static_cast<std::size_t>(p)]));
       }
@@ -323,19 +324,19 @@
   // The restarts and stalls of the day's troubles, in order of time.
   std::vector<PlannedAction> planned_actions() const {
     std::vector<PlannedAction> actions;
-    for (const auto& trouble : day_.troubles) {
-      const auto count = static_cast<std::int64_t>(trouble.whom.size());
+    for (const auto& fault : day_.faults) {
+      const auto count = static_cast<std::int64_t>(fault.targets.size());
       for (std::int64_t k = 0; k < count; ++k) {
-        const int manager = trouble.whom[static_cast<std::size_t>(k)];
-        if (trouble.ill == standins::Ill::roll) {
-          const Duration at = trouble.at + trouble.lasts * k / count;
+        const int manager = fault.targets[static_cast<std::size_t>(k)];
+        if (fault.kind == standins::FaultKind::roll) {
+          const Duration at = fault.start + fault.duration * k / count;
           actions.push_back({at, PlannedAction::Kind::kill, manager});
-          actions.push_back({at + Duration(static_cast<std::int64_t>(trouble.size * 1e6)),
+          actions.push_back({at + Duration(static_cast<std::int64_t>(fault.magnitude * 1e6)),
                              PlannedAction::Kind::start, manager});
-        } else if (trouble.ill == standins::Ill::stall) {
-          actions.push_back({trouble.at, PlannedAction::Kind::suspend, manager,
-                             std::chrono::duration<double>(trouble.lasts).count()});
-          actions.push_back({trouble.at + trouble.lasts, PlannedAction::Kind::resume, manager});
+        } else if (fault.kind == standins::FaultKind::stall) {
+          actions.push_back({fault.start, PlannedAction::Kind::suspend, manager,
+                             std::chrono::duration<double>(fault.duration).count()});
+          actions.push_back({fault.start + fault.duration, PlannedAction::Kind::resume, manager});
         }
       }
     }
@@ -370,7 +371,7 @@
   }
 
   const DayOptions& options_;
-  const standins::Day& day_;
+  const standins::Scenario& day_;
   std::string folder_;
   trace::Writer trace_;
   std::uint16_t list_port_ = 0, feed_port_ = 0, keys_port_ = 0;
@@ -382,7 +383,7 @@
 
 // Prints the verdict on the traces. Returns 1 if a rule was broken, or if no playback was requested, as the
 // rules then hold for lack of events.
-int audit_traces(const standins::Day& day, const std::vector<std::string>& traces) {
+int audit_traces(const standins::Scenario& day, const std::vector<std::string>& traces) {
   std::vector<trace::Passed> records;
   for (const auto& path : traces) {
     auto read = trace::read(path);
@@ -391,24 +392,24 @@
     records.insert(records.end(), read.records.begin(), read.records.end());
   }
   const auto verdict = audit::check(day, std::move(records));
-  std::cout << audit::table(verdict);
-  if (verdict.asks == 0) {
+  std::cout << audit::format_verdict(verdict);
+  if (verdict.playbacks_requested == 0) {
     std::cout << "no playback was asked: nothing is proven\n";
     return 1;
   }
-  return verdict.kept() ? 0 : 1;
+  return verdict.passed() ? 0 : 1;
 }
 
 }  // namespace
 
 int run_day(const DayOptions& options) {
-  auto read = standins::read_day(options.day_file);
+  auto read = standins::read_scenario(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.to_string() << '\n';
     return 1;
   }
-  const auto day = std::get<standins::Day>(std::move(read));
+  const auto day = std::get<standins::Scenario>(std::move(read));
   try {
     auto folder = options.folder;
     if (folder.empty()) {
@@ -418,9 +419,9 @@
       folder = pattern;
     }
     std::filesystem::create_directories(folder);
-    std::cout << options.day_file << ": " << day.boxes.size() << " boxes, " << day.managers << " managers, "
-              << std::chrono::duration<double>(day.length).count() << " s, " << day.troubles.size()
-              << " troubles; traces in " << folder << std::endl;
+    std::cout << options.day_file << ": " << day.boxes.size() << " boxes, " << day.manager_count
+              << " managers, " << std::chrono::duration<double>(day.duration).count() << " s, "
+              << day.faults.size() << " troubles; traces in " << folder << std::endl;
     DayRun(options, day, folder).run();
     return audit_traces(day, {folder + "/viewers.trace", folder + "/boxes.trace", folder + "/day.trace"});
   } catch (const entitlement::SeatLog::Error& error) {
@@ -436,14 +437,14 @@
 }
 
 int run_audit(const AuditOptions& options) {
-  auto read = standins::read_day(options.day_file);
+  auto read = standins::read_scenario(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read)) {
     for (const auto& mistake : *mistakes)
       std::cerr << mistake.to_string() << '\n';
     return 1;
   }
   try {
-    return audit_traces(std::get<standins::Day>(read), options.traces);
+    return audit_traces(std::get<standins::Scenario>(read), options.traces);
   } catch (const trace::TraceError& error) {
     std::cerr << "violettide: " << error.message << '\n';
     return 2;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -127,8 +127,8 @@
 
 int run_check(const std::string& file) {
   // A file that calls day() is a day script; any other is a settings script.
-  auto day = standins::read_day(file);
-  if (std::holds_alternative<standins::Day>(day)) {
+  auto day = standins::read_scenario(file);
+  if (std::holds_alternative<standins::Scenario>(day)) {
     std::cout << file << ": a day without mistakes\n";
     return 0;
   }
@@ -402,19 +402,19 @@
 namespace {
 
 // Reads the issuer's keys that the day runner wrote; without the file the issuer has none.
-standins::Issuer read_issuer(const std::string& folder, const standins::Day& day) {
+standins::Issuer read_issuer(const std::string& folder, const standins::Scenario& day) {
   const auto& validator_settings = day.deployment.front.entitlement.token_validator;
-  return standins::Issuer::read(settings::read_file(folder + "/issuer.keys").value_or("[]"),
-                                validator_settings.issuer, validator_settings.audience);
+  return standins::Issuer::deserialize(settings::read_file(folder + "/issuer.keys").value_or("[]"),
+                                       validator_settings.issuer, validator_settings.audience);
 }
 
 }  // namespace
 
 int run_boxes(const StandinOptions& options) {
-  auto read = standins::read_day(options.day_file);
+  auto read = standins::read_scenario(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
     return report_mistakes(*mistakes);
-  const auto day = std::get<standins::Day>(std::move(read));
+  const auto day = std::get<standins::Scenario>(std::move(read));
   return run_reporting_errors([&] {
     TraceFile trace(options.folder, "boxes.trace");
     DeferredCore deferred;
@@ -433,9 +433,9 @@
     auto fleet = std::make_unique<standins::Fleet>(
         day, ports, time_since_day_start(loop.origin_us(), options.day_start_us),
         [&](const trace::Passed& record) { trace.put(record); });
-    fleet->clock_at(loop.origin_us());
+    fleet->set_trace_clock(loop.origin_us());
     if (day.deployment.front.entitlement.enabled)
-      fleet->issue_by(read_issuer(options.folder, day));
+      fleet->publish_keys(read_issuer(options.folder, day));
     deferred.core = std::move(fleet);
     write_ports(options.ports_file, ports);
     if (options.ports_file.empty())
@@ -447,11 +447,11 @@
 }
 
 int run_viewers(const StandinOptions& options) {
-  auto read = standins::read_day(options.day_file);
+  auto read = standins::read_scenario(options.day_file);
   if (const auto* mistakes = std::get_if<settings::Diagnostics>(&read))
     return report_mistakes(*mistakes);
-  const auto day = std::get<standins::Day>(std::move(read));
-  std::vector<standins::Door> managers;
+  const auto day = std::get<standins::Scenario>(std::move(read));
+  std::vector<standins::ManagerEndpoint> managers;
   for (const auto& argument : options.managers) {
     const auto first_colon = argument.find(':'), last_colon = argument.rfind(':');
     const auto hall = first_colon == std::string::npos || first_colon == last_colon
@@ -479,7 +479,7 @@
         [&](const trace::Passed& record) { trace.put(record); });
     if (day.deployment.front.entitlement.enabled)
       static_cast<standins::Viewers&>(*deferred.core)
-          .licensed_by(
+          .use_tokens(
               read_issuer(options.folder, day),
               std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
                   loop.now());
--- a/tests/program/settings_test.cpp
+++ b/tests/program/settings_test.cpp
@@ -147,7 +147,7 @@
       "load(\"f.star\")\nday(length = s(4))\nboxes(count = 4)\nviewers(per_second = 1, least_watch = s(1), "
       "most_watch = s(2))\n";
   const auto first_error = [&](const std::string& line) {
-    const auto read = standins::read_day(
+    const auto read = standins::read_scenario(
         "d/day.star", file_reader_for({{"d/f.star", without_semicolon()}, {"d/day.star", day + line}}));
     return std::holds_alternative<Diagnostics>(read) ? std::get<Diagnostics>(read)[0].to_string() : "";
   };
